--- a/src/main/java/garnetscale/core/block/Holder.java
+++ b/src/main/java/garnetscale/core/block/Holder.java
@@ -675,10 +675,9 @@
             : new Observation(params.self(), incarnation, m.block, mine.term(), m.id, r.address(), r.type(), r.zone(),
                 r.spot(), r.shift(), r.noticeS(), silent, r.tasks(), gone);
         m.restless |= news;
-        int hash = o.hashCode();
         // Repeats what the leader hasn't acted on yet: the first telling may have been lost with its connection.
-        if (hash != m.observedHash || news && now - m.observedAt > 2000) {
-            m.observedHash = hash;
+        if (!o.equals(m.observed) || news && now - m.observedAt > 2000) {
+            m.observed = o;
             m.observedAt = now;
             effects.add(new Effect.Tell(o));
         }
@@ -692,7 +691,7 @@
 
     private void untold() {
         machines.values().forEach(m -> {
-            m.observedHash = 0;
+            m.observed = null;
             m.dirty = true;
         });
         lastSheet = null;
--- a/src/main/java/garnetscale/core/block/MachineView.java
+++ b/src/main/java/garnetscale/core/block/MachineView.java
@@ -52,7 +52,8 @@
     boolean dirty = true;
     /** When it was last gone over something was left to do, say again or wait for. */
     boolean restless;
-    int observedHash;
+    /** What the leader was last told of it; null when it has to be told again. */
+    Observation observed;
     long observedAt = Long.MIN_VALUE / 2;
 
     /** Whether a command went unanswered and no report has yet shown that the machine hears this node. */
--- a/src/main/java/garnetscale/core/block/Observation.java
+++ b/src/main/java/garnetscale/core/block/Observation.java
@@ -2,6 +2,7 @@
 
 import garnetscale.core.machine.ReportedTask;
 import java.util.List;
+import java.util.Objects;
 
 /**
  * What a holder tells the leader of one machine.
@@ -13,4 +14,19 @@
 public record Observation(String node, long incarnation, String block, long term, String machine, String address,
                           String type, String zone, boolean spot, long shift, Double noticeS, boolean silent,
                           List<ReportedTask> tasks, List<Long> gone) {
+
+    /** Explicit because it is on the hot path; see the package documentation of {@code garnetscale.core}. */
+    @Override
+    public boolean equals(Object o) {
+        return o instanceof Observation other && incarnation == other.incarnation && term == other.term
+            && shift == other.shift && spot == other.spot && silent == other.silent
+            && machine.equals(other.machine) && node.equals(other.node) && block.equals(other.block)
+            && address.equals(other.address) && type.equals(other.type) && zone.equals(other.zone)
+            && Objects.equals(noticeS, other.noticeS) && tasks.equals(other.tasks) && gone.equals(other.gone);
+    }
+
+    @Override
+    public int hashCode() {
+        return 31 * machine.hashCode() + Long.hashCode(shift);
+    }
 }
--- a/src/main/java/garnetscale/core/job/TaskId.java
+++ b/src/main/java/garnetscale/core/job/TaskId.java
@@ -24,4 +24,15 @@
     public String toString() {
         return job + "/" + index;
     }
+
+    /** Explicit because it is on the hot path; see the package documentation of {@code garnetscale.core}. */
+    @Override
+    public boolean equals(Object o) {
+        return o instanceof TaskId other && job.equals(other.job) && index == other.index;
+    }
+
+    @Override
+    public int hashCode() {
+        return 31 * job.hashCode() + index;
+    }
 }
--- a/src/main/java/garnetscale/core/machine/Placement.java
+++ b/src/main/java/garnetscale/core/machine/Placement.java
@@ -18,4 +18,16 @@
     public Placement withStop(Stop next) {
         return new Placement(task, attempt, shift, next);
     }
+
+    /** Explicit because it is on the hot path; see the package documentation of {@code garnetscale.core}. */
+    @Override
+    public boolean equals(Object o) {
+        return o instanceof Placement other && attempt == other.attempt && shift == other.shift
+            && stop == other.stop && task.equals(other.task);
+    }
+
+    @Override
+    public int hashCode() {
+        return Long.hashCode(attempt);
+    }
 }
--- a/src/main/java/garnetscale/core/machine/ReportedTask.java
+++ b/src/main/java/garnetscale/core/machine/ReportedTask.java
@@ -8,4 +8,16 @@
     public boolean exited() {
         return state == TaskState.EXITED;
     }
+
+    /** Explicit because it is on the hot path; see the package documentation of {@code garnetscale.core}. */
+    @Override
+    public boolean equals(Object o) {
+        return o instanceof ReportedTask other && attempt == other.attempt && state == other.state
+            && cause == other.cause && saved == other.saved && task.equals(other.task);
+    }
+
+    @Override
+    public int hashCode() {
+        return Long.hashCode(attempt);
+    }
 }
--- a/src/main/java/garnetscale/core/package-info.java
+++ b/src/main/java/garnetscale/core/package-info.java
@@ -4,5 +4,9 @@
  * the order of work, {@code bid} bids and estimates, {@code quota} what teams use, {@code block} the holder's part,
  * {@code lead} the leader's, {@code fleet} renting. Times are milliseconds of one steady clock; callers bring
  * messages one at a time.
+ *
+ * <p>Records that are compared or hashed in every turn implement {@code equals} and {@code hashCode} explicitly. The
+ * compiler's versions are method handles that are linked at the first call, which no class archive can hold: a controller
+ * that had just started spent about 3% of its first seconds on linking those of six records.
  */
 package garnetscale.core;
--- a/src/main/java/garnetscale/peer/PeerMessage.java
+++ b/src/main/java/garnetscale/peer/PeerMessage.java
@@ -21,6 +21,18 @@
 
     /** The leader's list of machines, the started jobs that it takes late bids for, and those that fail wherever they run. */
     record Book(List<Address> machines, List<String> lateJobs, List<String> suspects) implements PeerMessage {
+
+        /** Explicit because it is on the hot path; see the package documentation of {@code garnetscale.core}. */
+        @Override
+        public boolean equals(Object o) {
+            return o instanceof Book other && machines.equals(other.machines) && lateJobs.equals(other.lateJobs)
+                && suspects.equals(other.suspects);
+        }
+
+        @Override
+        public int hashCode() {
+            return machines.hashCode();
+        }
     }
 
     /** A user's cancellation that the sender has stored. */
