--- a/src/main/java/garnetscale/net/HttpClient.java
+++ b/src/main/java/garnetscale/net/HttpClient.java
@@ -1,26 +1,29 @@
 package garnetscale.net;
 
 import io.netty.bootstrap.Bootstrap;
-import io.netty.buffer.ByteBufUtil;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFutureListener;
 import io.netty.channel.ChannelHandlerContext;
+import io.netty.channel.ChannelInboundHandlerAdapter;
 import io.netty.channel.ChannelInitializer;
 import io.netty.channel.ChannelOption;
 import io.netty.channel.EventLoopGroup;
-import io.netty.channel.SimpleChannelInboundHandler;
 import io.netty.channel.socket.SocketChannel;
 import io.netty.channel.socket.nio.NioSocketChannel;
 import io.netty.handler.codec.http.DefaultFullHttpRequest;
 import io.netty.handler.codec.http.FullHttpRequest;
-import io.netty.handler.codec.http.FullHttpResponse;
 import io.netty.handler.codec.http.HttpClientCodec;
+import io.netty.handler.codec.http.HttpContent;
 import io.netty.handler.codec.http.HttpHeaderNames;
 import io.netty.handler.codec.http.HttpMethod;
-import io.netty.handler.codec.http.HttpObjectAggregator;
+import io.netty.handler.codec.http.HttpObject;
+import io.netty.handler.codec.http.HttpResponse;
+import io.netty.handler.codec.http.HttpStatusClass;
 import io.netty.handler.codec.http.HttpUtil;
 import io.netty.handler.codec.http.HttpVersion;
+import io.netty.handler.codec.http.LastHttpContent;
+import io.netty.util.ReferenceCountUtil;
 import io.netty.util.concurrent.ScheduledFuture;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -112,7 +115,7 @@
             .handler(new ChannelInitializer<SocketChannel>() {
                 @Override
                 protected void initChannel(SocketChannel ch) {
-                    ch.pipeline().addLast(new HttpClientCodec(), new HttpObjectAggregator(MAX_BODY), new Handler());
+                    ch.pipeline().addLast(new HttpClientCodec(), new Handler());
                 }
             });
         Channel[] made = new Channel[1];
@@ -176,33 +179,71 @@
         return new InetSocketAddress(hostPort.substring(0, colon), Integer.parseInt(hostPort.substring(colon + 1)));
     }
 
-    private final class Handler extends SimpleChannelInboundHandler<FullHttpResponse> {
+    /** Collects one response at a time and ends the call that it answers. */
+    private final class Handler extends ChannelInboundHandlerAdapter {
 
+        private final BodyCollector body = new BodyCollector(MAX_BODY);
         private Call call;
         private String host;
+        /** The response that is arriving, or null. */
+        private HttpResponse head;
 
         @Override
-        protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse response) {
+        public void channelRead(ChannelHandlerContext ctx, Object message) {
+            try {
+                read(ctx, (HttpObject) message);
+            } finally {
+                ReferenceCountUtil.release(message);
+            }
+        }
+
+        private void read(ChannelHandlerContext ctx, HttpObject message) {
+            if (!message.decoderResult().isSuccess()) {
+                ctx.close();
+                return;
+            }
+            if (message instanceof HttpResponse response) {
+                // What precedes the answer, such as 100, has no say.
+                head = response.status().codeClass() == HttpStatusClass.INFORMATIONAL ? null : response;
+            }
+            if (message instanceof HttpContent content && head != null) {
+                if (!body.add(content.content())) {
+                    LOG.error("an answer of {} is longer than {} bytes", host, MAX_BODY);
+                    ctx.close();
+                } else if (message instanceof LastHttpContent) {
+                    end(ctx);
+                }
+            }
+        }
+
+        private void end(ChannelHandlerContext ctx) {
             Call done = call;
+            HttpResponse response = head;
             call = null;
+            head = null;
+            byte[] whole = body.take();
             if (done == null) {
                 ctx.close();
                 return;
             }
             if (HttpUtil.isKeepAlive(response)) {
-                Deque<Channel> free = idle.computeIfAbsent(done.host, k -> new ArrayDeque<>());
-                if (free.size() < idlePerHost) {
-                    free.addLast(ctx.channel());
-                    if (sockets != null) {
-                        sockets.restIdle(ctx.channel());
-                    }
-                } else {
-                    ctx.close();
-                }
+                keep(done.host, ctx.channel());
             } else {
                 ctx.close();
             }
-            done.end(HttpResult.answered(response.status().code(), ByteBufUtil.getBytes(response.content())));
+            done.end(HttpResult.answered(response.status().code(), whole));
+        }
+
+        private void keep(String host, Channel channel) {
+            Deque<Channel> free = idle.computeIfAbsent(host, k -> new ArrayDeque<>());
+            if (free.size() >= idlePerHost) {
+                channel.close();
+                return;
+            }
+            free.addLast(channel);
+            if (sockets != null) {
+                sockets.restIdle(channel);
+            }
         }
 
         @Override
--- a/src/main/java/garnetscale/standin/StandIns.java
+++ b/src/main/java/garnetscale/standin/StandIns.java
@@ -36,6 +36,8 @@
 
     private static final int MOST_CONNECTIONS = 1000;
     private static final long KEPT = 10_000;
+    /** A worker reports a token that it hasn't seen before once this has passed. */
+    private static final long CHANGE_REPORTED_MS = 500;
     private static final MachineType TYPE = new MachineType("small-4", 4, 0, 16, 20, 10, 0.4, 0.1, 5, List.of("a"));
 
     private final EventLoopGroup loop;
@@ -53,7 +55,7 @@
         this.loop = loop;
         this.addresses = Map.copyOf(controllers);
         this.controllers = List.copyOf(controllers.keySet());
-        this.http = new HttpClient(loop, 4, 500);
+        this.http = new HttpClient(loop, MOST_CONNECTIONS, 500);
         this.reportMs = reportMs;
     }
 
@@ -155,7 +157,11 @@
             try {
                 Map<?, ?> m = result.status() == 200 || result.status() == 421 ? Cbor.readMap(result.body()) : Map.of();
                 if (result.is(200)) {
-                    w.answered(now(), sentAt, r.shift(), ((Number) m.get("baton")).longValue(), orders(m));
+                    long token = ((Number) m.get("baton")).longValue();
+                    w.answered(now(), sentAt, r.shift(), token, orders(m));
+                    if (token > r.token()) {
+                        pause = Math.min(reportMs, CHANGE_REPORTED_MS);
+                    }
                 } else if (result.is(421) && m.get("steward") instanceof String to && controllers.contains(to)) {
                     // A steward may be missing: asking an immutable list for null ended the worker for good.
                     target.put(w.id(), controllers.indexOf(to));
--- a/src/test/java/garnetscale/net/HttpServerTest.java
+++ b/src/test/java/garnetscale/net/HttpServerTest.java
@@ -71,6 +71,43 @@
         }
     }
 
+    /** A body may come in chunks, and several requests in one packet; answers keep the order and the bodies apart. */
+    @Test
+    void chunksAndSeveralRequestsInOnePacketAreKeptApart() throws IOException {
+        try (Socket s = connect()) {
+            s.getOutputStream().write(("POST /a HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n1\r\nc\r\n0\r\n\r\n"
+                + "POST /b HTTP/1.1\r\nHost: x\r\nContent-Length: 2\r\n\r\nde"
+                + "POST /c HTTP/1.1\r\nHost: x\r\nConnection: close\r\nContent-Length: 0\r\n\r\n").getBytes(StandardCharsets.US_ASCII));
+            String all = new String(s.getInputStream().readAllBytes(), StandardCharsets.US_ASCII);
+            List<String> bodies = new ArrayList<>();
+            for (String part : all.split("HTTP/1.1 200 OK")) {
+                if (!part.isEmpty()) {
+                    bodies.add(part.substring(part.indexOf("\r\n\r\n") + 4));
+                }
+            }
+            assertEquals(List.of("abc", "de", ""), bodies);
+        }
+    }
+
+    @Test
+    void chunksOver64KiBAreMalformed() throws IOException {
+        try (Socket s = connect()) {
+            String chunk = "8000\r\n" + "x".repeat(0x8000) + "\r\n";
+            s.getOutputStream().write(("POST /v2/runs HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk.repeat(2) + "1\r\nx\r\n")
+                .getBytes(StandardCharsets.US_ASCII));
+            assertEquals("HTTP/1.1 400 Bad Request", firstLine(s));
+        }
+    }
+
+    @Test
+    void whoExpectsToContinueIsToldSo() throws IOException {
+        try (Socket s = connect()) {
+            s.getOutputStream().write(("POST /v2/runs HTTP/1.1\r\nHost: x\r\nExpect: 100-continue\r\nContent-Length: 3\r\n\r\n")
+                .getBytes(StandardCharsets.US_ASCII));
+            assertEquals("HTTP/1.1 100 Continue", firstLine(s));
+        }
+    }
+
     /** More users than there is room for push out those that rest; a worker's connection stays. */
     @Test
     void excessUsersDoNotPushOutWorkers() throws IOException {
