--- a/src/main/java/garnetscale/app/Archive.java
+++ b/src/main/java/garnetscale/app/Archive.java
@@ -41,8 +41,7 @@
         void present(List<String> keys, Consumer<Set<String>> done);
     }
 
-    private interface Asker extends BiConsumer<Boolean, Records.Archived> {
-    }
+    private interface Asker extends BiConsumer<Boolean, Records.Archived> {}
 
     private record Question(String id, List<Asker> askers) {
         void answer(boolean sure, Records.Archived archived) {
@@ -55,6 +54,7 @@
     private final Map<String, Question> waiting = new LinkedHashMap<>();
     /** Found to be there, and still to be read. */
     private final Deque<Question> there = new ArrayDeque<>();
+
     private boolean busy;
     /** Jobs that are over; their state never changes again. */
     private final Map<String, Records.Archived> over = new LinkedHashMap<>(64, 0.75f, true) {
@@ -90,7 +90,9 @@
             answer.accept(false, null);
             return;
         }
-        waiting.computeIfAbsent(id, k -> new Question(k, new ArrayList<>())).askers().add(answer::accept);
+        waiting.computeIfAbsent(id, k -> new Question(k, new ArrayList<>()))
+                .askers()
+                .add(answer::accept);
         next();
     }
 
--- a/src/main/java/garnetscale/app/CloudLink.java
+++ b/src/main/java/garnetscale/app/CloudLink.java
@@ -30,8 +30,14 @@
     private boolean busy;
     private long lastAt = Long.MIN_VALUE / 2;
 
-    CloudLink(Params params, HttpClient http, String host, Fleet fleet, Consumer<List<MachineType>> types,
-              Consumer<String> dead, Runnable listed) {
+    CloudLink(
+            Params params,
+            HttpClient http,
+            String host,
+            Fleet fleet,
+            Consumer<List<MachineType>> types,
+            Consumer<String> dead,
+            Runnable listed) {
         this.http = http;
         this.host = host;
         this.fleet = fleet;
@@ -49,30 +55,48 @@
         busy = true;
         lastAt = now;
         if (call instanceof CloudCall.Types) {
-            send(HttpMethod.GET, "/flavors", null, r -> {
-                List<MachineType> list = CloudCodec.types(r.body());
-                fleet.onTypes(list);
-                types.accept(list);
-            }, r -> { });
+            send(
+                    HttpMethod.GET,
+                    "/flavors",
+                    null,
+                    r -> {
+                        List<MachineType> list = CloudCodec.types(r.body());
+                        fleet.onTypes(list);
+                        types.accept(list);
+                    },
+                    r -> {});
         } else if (call instanceof CloudCall.Page p) {
-            send(HttpMethod.GET, CloudCodec.pagePath(p), null, r -> {
-                CloudCodec.Page page = CloudCodec.page(r.body());
-                fleet.onPage(Node.now(), page.machines(), page.more());
-                fleet.failed().forEach(dead);
-                if (!page.more()) {
-                    listed.run();
-                }
-            }, r -> { });
+            send(
+                    HttpMethod.GET,
+                    CloudCodec.pagePath(p),
+                    null,
+                    r -> {
+                        CloudCodec.Page page = CloudCodec.page(r.body());
+                        fleet.onPage(Node.now(), page.machines(), page.more());
+                        fleet.failed().forEach(dead);
+                        if (!page.more()) {
+                            listed.run();
+                        }
+                    },
+                    r -> {});
         } else if (call instanceof CloudCall.Rent rent) {
             // A rental without an answer may still be carried out; its machines then show in the list.
-            send(HttpMethod.POST, "/machines", CloudCodec.rent(rent),
-                r -> fleet.onRented(Node.now(), rent, CloudCodec.rented(r.body())),
-                r -> fleet.onRefused(Node.now(), rent));
+            send(
+                    HttpMethod.POST,
+                    "/machines",
+                    CloudCodec.rent(rent),
+                    r -> fleet.onRented(Node.now(), rent, CloudCodec.rented(r.body())),
+                    r -> fleet.onRefused(Node.now(), rent));
         } else if (call instanceof CloudCall.Delete d) {
-            send(HttpMethod.POST, "/machines/delete", CloudCodec.delete(d), r -> {
-                fleet.onDeleted(d.machines());
-                d.machines().forEach(dead);
-            }, r -> { });
+            send(
+                    HttpMethod.POST,
+                    "/machines/delete",
+                    CloudCodec.delete(d),
+                    r -> {
+                        fleet.onDeleted(d.machines());
+                        d.machines().forEach(dead);
+                    },
+                    r -> {});
         }
     }
 
--- a/src/main/java/garnetscale/app/Front.java
+++ b/src/main/java/garnetscale/app/Front.java
@@ -31,6 +31,7 @@
     private static final Logger LOG = LoggerFactory.getLogger(Front.class);
     /** The part of its sockets that may be users' who wait for the state service; more would only be answered late. */
     private static final int WAITING = 8;
+
     private static final double QUESTIONS = 0.75;
 
     /** The state service as users' requests need it. */
@@ -132,7 +133,10 @@
         if (refusal != null) {
             // A job that is known is answered with its state, whatever a repeat of its submission says.
             Reply no = refusal;
-            lookUp(id, found -> answer.accept(found == null ? later("state unknown") : found.status() == 404 ? no : found));
+            lookUp(
+                    id,
+                    found ->
+                            answer.accept(found == null ? later("state unknown") : found.status() == 404 ? no : found));
             return;
         }
         JobRecord record = new JobRecord(spec, JobState.LIVE, System.currentTimeMillis());
@@ -148,21 +152,30 @@
             waiting--;
             switch (result) {
                 case OK -> {
-                    LOG.debug("job {} accepted: {} tasks, team {}, class {}", id, accepted.tasks(), accepted.team(), accepted.jobClass());
-                    answer.accept(Reply.of(201, UserCodec.answer(
-                        new UserCodec.Answer(id, "pending", 0, 0, accepted.team(), null))));
+                    LOG.debug(
+                            "job {} accepted: {} tasks, team {}, class {}",
+                            id,
+                            accepted.tasks(),
+                            accepted.team(),
+                            accepted.jobClass());
+                    answer.accept(Reply.of(
+                            201, UserCodec.answer(new UserCodec.Answer(id, "pending", 0, 0, accepted.team(), null))));
                 }
                 case CONFLICT -> poll(id, true, answer);
-                case MAYBE -> lookUp(id, found ->
-                    answer.accept(found == null || found.status() == 404 ? later("not sure yet") : found));
+                case MAYBE ->
+                    lookUp(
+                            id,
+                            found -> answer.accept(
+                                    found == null || found.status() == 404 ? later("not sure yet") : found));
                 default -> answer.accept(later("the state service can't take it"));
             }
         });
     }
 
     private static String reason(Exception e) {
-        String m = e instanceof com.fasterxml.jackson.core.JacksonException j ? "not CBOR: " + j.getOriginalMessage()
-            : e.getMessage();
+        String m = e instanceof com.fasterxml.jackson.core.JacksonException j
+                ? "not CBOR: " + j.getOriginalMessage()
+                : e.getMessage();
         return m == null ? "malformed" : m;
     }
 
@@ -189,8 +202,12 @@
     }
 
     private void poll(String id, boolean known, Consumer<Reply> answer) {
-        lookUp(id, found -> answer.accept(found == null ? later("state unknown")
-            : known && found.status() == 404 ? later("state unknown") : found));
+        lookUp(
+                id,
+                found -> answer.accept(
+                        found == null
+                                ? later("state unknown")
+                                : known && found.status() == 404 ? later("state unknown") : found));
     }
 
     /** The job's state from a mirror newer than this call, or from the archive; null when it can't be known. */
@@ -237,18 +254,23 @@
     private byte[] answer(JobView job) {
         String id = job.spec().id();
         if (job.job().state() == JobState.CANCELLED) {
-            return UserCodec.answer(new UserCodec.Answer(id, "withdrawn", job.finishedCount(), job.placedCount(),
-                job.spec().team(), "cancelled by its user"));
+            return UserCodec.answer(new UserCodec.Answer(
+                    id,
+                    "withdrawn",
+                    job.finishedCount(),
+                    job.placedCount(),
+                    job.spec().team(),
+                    "cancelled by its user"));
         }
         String mood = job.placedCount() > 0 ? "running" : "pending";
-        return UserCodec.answer(new UserCodec.Answer(id, mood, job.finishedCount(), job.placedCount(),
-            job.spec().team(), why.apply(job)));
+        return UserCodec.answer(new UserCodec.Answer(
+                id, mood, job.finishedCount(), job.placedCount(), job.spec().team(), why.apply(job)));
     }
 
     private static byte[] answer(String id, Records.Archived a) {
         boolean done = a.state() == JobState.DONE;
-        return UserCodec.answer(new UserCodec.Answer(id, done ? "done" : "withdrawn", a.finished(), 0, a.team(),
-            done ? null : "cancelled by its user"));
+        return UserCodec.answer(new UserCodec.Answer(
+                id, done ? "done" : "withdrawn", a.finished(), 0, a.team(), done ? null : "cancelled by its user"));
     }
 
     private void cancel(String id, int tries, Consumer<Reply> answer) {
@@ -280,17 +302,28 @@
     /** Done is written over the same key: only one of the two can win. */
     private void withdraw(JobView job, int tries, Consumer<Reply> answer) {
         String id = job.spec().id();
-        Txn txn = new Txn().guard(Keys.job(id), job.stamp())
-            .put(Keys.job(id), Records.job(job.job().withState(JobState.CANCELLED)));
+        Txn txn = new Txn()
+                .guard(Keys.job(id), job.stamp())
+                .put(Keys.job(id), Records.job(job.job().withState(JobState.CANCELLED)));
         waiting++;
         state.submit(txn, (result, ledger) -> {
             waiting--;
             switch (result) {
                 case OK -> {
                     cancelled.accept(id);
-                    LOG.info("job {} of team {} cancelled by its user", id, job.spec().team());
-                    answer.accept(Reply.of(200, UserCodec.answer(new UserCodec.Answer(id, "withdrawn",
-                        job.finishedCount(), job.placedCount(), job.spec().team(), "cancelled by its user"))));
+                    LOG.info(
+                            "job {} of team {} cancelled by its user",
+                            id,
+                            job.spec().team());
+                    answer.accept(Reply.of(
+                            200,
+                            UserCodec.answer(new UserCodec.Answer(
+                                    id,
+                                    "withdrawn",
+                                    job.finishedCount(),
+                                    job.placedCount(),
+                                    job.spec().team(),
+                                    "cancelled by its user"))));
                 }
                 case CONFLICT, MAYBE -> cancel(id, tries + 1, answer);
                 default -> answer.accept(later("the state service can't take it"));
--- a/src/main/java/garnetscale/app/Main.java
+++ b/src/main/java/garnetscale/app/Main.java
@@ -3,16 +3,20 @@
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.List;
+import java.util.Locale;
 import java.util.concurrent.Callable;
 import java.util.concurrent.CountDownLatch;
-import java.util.Locale;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
 /** The command line. */
-@Command(name = "garnetscale", mixinStandardHelpOptions = true, version = "garnetscale 0.1.0",
-    description = "A cluster scheduler whose machines bid for work.", subcommands = {Main.Check.class, Rehearsal.class})
+@Command(
+        name = "garnetscale",
+        mixinStandardHelpOptions = true,
+        version = "garnetscale 0.1.0",
+        description = "A cluster scheduler whose machines bid for work.",
+        subcommands = {Main.Check.class, Rehearsal.class})
 public final class Main implements Callable<Integer> {
 
     @Option(names = "--config", paramLabel = "FILE", description = "Serve with the platform's settings in FILE (TOML).")
@@ -71,6 +75,8 @@
             System.err.println("garnetscale: LOG_LEVEL is not error, info or debug; taking info");
             level = "info";
         }
+        // Named, so that no start has to look for providers in every file of the jar.
+        System.setProperty("slf4j.provider", "org.slf4j.simple.SimpleServiceProvider");
         System.setProperty("org.slf4j.simpleLogger.defaultLogLevel", level);
         System.setProperty("org.slf4j.simpleLogger.log.io.netty", level.equals("debug") ? "info" : level);
         // Netty makes its ids from the hardware address and the process id unless it is told some.
--- a/src/main/java/garnetscale/app/Node.java
+++ b/src/main/java/garnetscale/app/Node.java
@@ -5,7 +5,6 @@
 import garnetscale.core.block.Blocks;
 import garnetscale.core.block.Holder;
 import garnetscale.core.block.LeaderInfo;
-import garnetscale.core.block.Observation;
 import garnetscale.core.fleet.CloudCall;
 import garnetscale.core.fleet.Fleet;
 import garnetscale.core.lead.Leader;
@@ -57,6 +56,7 @@
      * the soonest: news comes by reports, and the more machines there are the more each turn and draft goes over.
      */
     private static final long TURNS_IN_REPORT = 300;
+
     private static final long DRAFTS_IN_REPORT = 80;
     private static final long LEAST_TURN_MS = 4;
     /** What the fleet lacks is worked out no more often than this while there is nothing to ask of the cloud. */
@@ -70,8 +70,7 @@
     /** The pause after working out what the fleet lacks, likewise. */
     private static final long FLEET_REST = 200;
 
-    private record Peer(PeerMessage.Heartbeat last, long at) {
-    }
+    private record Peer(PeerMessage.Heartbeat last, long at) {}
 
     private final Params params;
     private final Turns turns = new Turns();
@@ -115,8 +114,14 @@
         this.pipeline = new Pipeline(mirror, leader);
         this.fleet = new Fleet(params, mirror, LOG::info);
         this.state = new StateLink(params, stateIo(), new SplittableRandom(), mirror, this);
-        this.cloud = new CloudLink(params, new HttpClient(loop, 1, 1000), settings.cloud(), fleet, this::onTypes,
-            this::onDead, this::onListed);
+        this.cloud = new CloudLink(
+                params,
+                new HttpClient(loop, 1, 1000),
+                settings.cloud(),
+                fleet,
+                this::onTypes,
+                this::onDead,
+                this::onListed);
         this.front = new Front(params, mirror, state, this::why, this::onCancelled);
         this.peers = new PeerLinks(loop, this::onPeer, this::onLink, this::onRefused);
         Sockets sockets = new Sockets(params.maxConnections());
@@ -143,8 +148,13 @@
 
             @Override
             public void call(HttpMethod method, String path, byte[] body, long timeoutMs, Consumer<HttpResult> done) {
-                http.call(settings.state(), method, path, body, timeoutMs,
-                    r -> turns.run(Turns.Role.STATE, () -> done.accept(r)));
+                http.call(
+                        settings.state(),
+                        method,
+                        path,
+                        body,
+                        timeoutMs,
+                        r -> turns.run(Turns.Role.STATE, () -> done.accept(r)));
             }
         };
     }
@@ -164,14 +174,17 @@
             // With a fixed delay: after a standstill a fixed rate would make up for every beat that it missed.
             loop.next().scheduleWithFixedDelay(this::work, TICK_MS, TICK_MS, TimeUnit.MILLISECONDS);
             loop.next().scheduleWithFixedDelay(this::beat, HEARTBEAT_MS, HEARTBEAT_MS, TimeUnit.MILLISECONDS);
-            loop.next().scheduleWithFixedDelay(() -> LOG.info("turns: {}", turns.take()), TURNS_MS, TURNS_MS, TimeUnit.MILLISECONDS);
+            loop.next()
+                    .scheduleWithFixedDelay(
+                            () -> LOG.info("turns: {}", turns.take()), TURNS_MS, TURNS_MS, TimeUnit.MILLISECONDS);
         });
     }
 
     private void await(ChannelFuture listening, String address) throws IOException {
         if (!listening.awaitUninterruptibly().isSuccess()) {
             stop();
-            throw new IOException("can't listen on " + address + ": " + listening.cause().getMessage());
+            throw new IOException(
+                    "can't listen on " + address + ": " + listening.cause().getMessage());
         }
     }
 
@@ -183,7 +196,8 @@
     // ---- requests
 
     private void onRequest(String method, String path, byte[] body, Consumer<Reply> answer) {
-        turns.run(path.equals("/hello") ? Turns.Role.REPORTS : Turns.Role.USERS, () -> serve(method, path, body, answer));
+        turns.run(
+                path.equals("/hello") ? Turns.Role.REPORTS : Turns.Role.USERS, () -> serve(method, path, body, answer));
     }
 
     private void serve(String method, String path, byte[] body, Consumer<Reply> answer) {
@@ -346,10 +360,14 @@
     private void queueWork() {
         if (!workQueued) {
             workQueued = true;
-            loop.next().schedule(() -> {
-                workQueued = false;
-                work();
-            }, Math.max(turnMs, restUntil - now()), TimeUnit.MILLISECONDS);
+            loop.next()
+                    .schedule(
+                            () -> {
+                                workQueued = false;
+                                work();
+                            },
+                            Math.max(turnMs, restUntil - now()),
+                            TimeUnit.MILLISECONDS);
         }
     }
 
@@ -376,7 +394,8 @@
             });
             if (holder.deaf() != deaf) {
                 deaf = holder.deaf();
-                LOG.info(deaf ? "no worker reaches this node: it gives up its blocks" : "workers reach this node again");
+                LOG.info(
+                        deaf ? "no worker reaches this node: it gives up its blocks" : "workers reach this node again");
                 leader.hears(params.self(), deaf);
                 peers.sendAll(heartbeat());
             }
@@ -395,13 +414,23 @@
     private void carryOut(Holder.Effect effect) {
         if (effect instanceof Holder.Effect.Command c) {
             LOG.debug("machine {} told {} directly under token {}", c.machine(), c.orders(), c.token());
-            workers.call(c.address(), HttpMethod.POST, "/commands",
-                WorkerCodec.commands(c.token(), c.shift(), c.orders()), 4000, r -> turns.run(Turns.Role.WORKERS, () -> onCommanded(c, r)));
+            workers.call(
+                    c.address(),
+                    HttpMethod.POST,
+                    "/commands",
+                    WorkerCodec.commands(c.token(), c.shift(), c.orders()),
+                    4000,
+                    r -> turns.run(Turns.Role.WORKERS, () -> onCommanded(c, r)));
             return;
         }
         if (effect instanceof Holder.Effect.Probe p) {
-            workers.call(p.address(), HttpMethod.GET, "/show", null, 2000,
-                r -> turns.run(Turns.Role.WORKERS, () -> onProbed(r)));
+            workers.call(
+                    p.address(),
+                    HttpMethod.GET,
+                    "/show",
+                    null,
+                    2000,
+                    r -> turns.run(Turns.Role.WORKERS, () -> onProbed(r)));
             return;
         }
         LeaderInfo l = mirror.leader();
@@ -474,8 +503,9 @@
         if (state.ageMs() < 3000 && cloud.ready(now) && now - fleetAt >= FLEET_MS) {
             fleetAt = now;
             CloudCall[] next = new CloudCall[1];
-            turns.run(Turns.Role.FLEET,
-                () -> next[0] = fleet.next(now, leader.machines(), leader.condemned(), leader.suspects()));
+            turns.run(
+                    Turns.Role.FLEET,
+                    () -> next[0] = fleet.next(now, leader.machines(), leader.condemned(), leader.suspects()));
             CloudCall call = next[0];
             fleetAt += Math.min(FLEET_MS, FLEET_REST * (now() - now));
             if (call != null) {
@@ -497,17 +527,23 @@
             return;
         }
         electing = true;
-        loop.next().schedule(() -> {
-            Txn fresh = leader.election(now());
-            if (fresh == null || lease < 0) {
-                electing = false;
-                return;
-            }
-            state.send(fresh, (result, ledger) -> state.sync(ok -> {
-                electing = false;
-                queueWork();
-            }));
-        }, ThreadLocalRandom.current().nextLong(150), TimeUnit.MILLISECONDS);
+        loop.next()
+                .schedule(
+                        () -> {
+                            Txn fresh = leader.election(now());
+                            if (fresh == null || lease < 0) {
+                                electing = false;
+                                return;
+                            }
+                            state.send(
+                                    fresh,
+                                    (result, ledger) -> state.sync(ok -> {
+                                        electing = false;
+                                        queueWork();
+                                    }));
+                        },
+                        ThreadLocalRandom.current().nextLong(150),
+                        TimeUnit.MILLISECONDS);
     }
 
     private void transact(long now) {
@@ -515,7 +551,8 @@
             // Nothing would be stored; what is drafted from a mirror that stands still only says things that aren't so.
             return;
         }
-        long gap = Math.max(params.windowMs() / PLANS_IN_WINDOW, params.reportMs() / DRAFTS_IN_REPORT) * (fruitless ? FRUITLESS : 1);
+        long gap = Math.max(params.windowMs() / PLANS_IN_WINDOW, params.reportMs() / DRAFTS_IN_REPORT)
+                * (fruitless ? FRUITLESS : 1);
         if (now - plannedAt < gap) {
             wakeAt(plannedAt + gap);
             return;
@@ -535,10 +572,14 @@
             if (result != TxnResult.REFUSED) {
                 state.sync(ok -> queueWork());
             }
-            loop.next().schedule(() -> {
-                pipeline.ready();
-                queueWork();
-            }, good ? 10 : 100 + ThreadLocalRandom.current().nextLong(100), TimeUnit.MILLISECONDS);
+            loop.next()
+                    .schedule(
+                            () -> {
+                                pipeline.ready();
+                                queueWork();
+                            },
+                            good ? 10 : 100 + ThreadLocalRandom.current().nextLong(100),
+                            TimeUnit.MILLISECONDS);
             if (result == TxnResult.OK) {
                 txn.ops().forEach(this::tellEnd);
             }
--- a/src/main/java/garnetscale/app/Rehearsal.java
+++ b/src/main/java/garnetscale/app/Rehearsal.java
@@ -26,8 +26,10 @@
  * Runs two controllers against the stand-ins until a job is done. The build does it to record which classes a
  * serving process loads, since at a small share of a core loading them is most of a restart.
  */
-@Command(name = "rehearse", mixinStandardHelpOptions = true,
-    description = "Run two controllers against stand-ins on loopback until a job is done.")
+@Command(
+        name = "rehearse",
+        mixinStandardHelpOptions = true,
+        description = "Run two controllers against stand-ins on loopback until a job is done.")
 final class Rehearsal implements Callable<Integer> {
 
     @Option(names = "--seconds", defaultValue = "20", description = "Give up after so long (default ${DEFAULT-VALUE}).")
@@ -134,20 +136,23 @@
             cpu = 1.0
             ram_mb = 256.0
             max_connections = 500
-            """.formatted(i, listen[i], back[i], 1 - i, back[1 - i], cloud, state);
+            """
+                .formatted(i, listen[i], back[i], 1 - i, back[1 - i], cloud, state);
     }
 
-    private boolean play(String[] listen) throws InterruptedException, ExecutionException, TimeoutException, IOException {
+    private boolean play(String[] listen)
+            throws InterruptedException, ExecutionException, TimeoutException, IOException {
         long end = System.nanoTime() + seconds * 1_000_000_000L;
         boolean accepted = false;
         boolean cancelled = false;
         while (System.nanoTime() < end) {
             if (!accepted) {
                 accepted = accepted(post(listen[0], "/v2/runs", Cbor.write(job("wk-000001", 3, 0.5))))
-                    && accepted(post(listen[1], "/v2/runs", Cbor.write(job("wk-000002", 9, 60))));
+                        && accepted(post(listen[1], "/v2/runs", Cbor.write(job("wk-000002", 9, 60))));
             } else {
                 call(listen[0], HttpMethod.GET, "/ready", null);
-                cancelled = cancelled || post(listen[0], "/v2/runs/wk-000002/cancel", null).status() == 200;
+                cancelled = cancelled
+                        || post(listen[0], "/v2/runs/wk-000002/cancel", null).status() == 200;
                 HttpResult r = call(listen[1], HttpMethod.GET, "/v2/runs/wk-000001", null);
                 if (r.status() == 200 && "done".equals(Cbor.readMap(r.body()).get("mood")) && cancelled) {
                     System.out.println("rehearsal: a job is done, another is cancelled");
@@ -166,12 +171,12 @@
     }
 
     private HttpResult post(String host, String path, byte[] body)
-        throws InterruptedException, ExecutionException, TimeoutException {
+            throws InterruptedException, ExecutionException, TimeoutException {
         return call(host, HttpMethod.POST, path, body);
     }
 
     private HttpResult call(String host, HttpMethod method, String path, byte[] body)
-        throws InterruptedException, ExecutionException, TimeoutException {
+            throws InterruptedException, ExecutionException, TimeoutException {
         CompletableFuture<HttpResult> result = new CompletableFuture<>();
         loop.next().execute(() -> http.call(host, method, path, body, 2000, result::complete));
         return result.get(5, TimeUnit.SECONDS);
--- a/src/main/java/garnetscale/app/Settings.java
+++ b/src/main/java/garnetscale/app/Settings.java
@@ -66,7 +66,8 @@
             int i = 0;
             for (Object m : list(root, "members")) {
                 String at = "members[" + i++ + "].";
-                members.add(new Params.Member(text(m, at, "node_name"), text(m, at, "site"), address(m, at, "endpoint")));
+                members.add(
+                        new Params.Member(text(m, at, "node_name"), text(m, at, "site"), address(m, at, "endpoint")));
             }
             // No Comparator.comparing: its lambda belongs to the platform's own classes, which the archive has without.
             members.sort((a, b) -> a.name().compareTo(b.name()));
@@ -93,16 +94,23 @@
             if (lease > 0 && cancel > 0 && cancel <= lease) {
                 faults.add("facts.workers.cancel_s must be longer than lease_s");
             }
-            Params params = new Params(self, List.copyOf(members), List.copyOf(zones), Params.byName(teams(facts)),
-                objectives(facts), report, lease, cancel,
-                (int) above0(path(facts, "state"), "facts.state.", "txn_ops"),
-                above0(path(facts, "state"), "facts.state.", "rps"),
-                above0(path(facts, "state"), "facts.state.", "write_rps"),
-                (int) (1024 * above0(path(facts, "state"), "facts.state.", "value_kb")),
-                above0(path(facts, "cloud"), "facts.cloud.", "rps"),
-                Math.round(1000 * atLeast0(path(facts, "cloud"), "facts.cloud.", "list_lag_s")),
-                (int) above0(limits, "facts.machine_limits.", "max_connections"),
-                Math.round(numberOr0(facts, "time_bound_ms")));
+            Params params = new Params(
+                    self,
+                    List.copyOf(members),
+                    List.copyOf(zones),
+                    Params.byName(teams(facts)),
+                    objectives(facts),
+                    report,
+                    lease,
+                    cancel,
+                    (int) above0(path(facts, "state"), "facts.state.", "txn_ops"),
+                    above0(path(facts, "state"), "facts.state.", "rps"),
+                    above0(path(facts, "state"), "facts.state.", "write_rps"),
+                    (int) (1024 * above0(path(facts, "state"), "facts.state.", "value_kb")),
+                    above0(path(facts, "cloud"), "facts.cloud.", "rps"),
+                    Math.round(1000 * atLeast0(path(facts, "cloud"), "facts.cloud.", "list_lag_s")),
+                    (int) above0(limits, "facts.machine_limits.", "max_connections"),
+                    Math.round(numberOr0(facts, "time_bound_ms")));
             double cpu = above0(limits, "facts.machine_limits.", "cpu");
             double ram = above0(limits, "facts.machine_limits.", "ram_mb");
             if (params.txnOps() > 0 && params.txnOps() < 16) {
@@ -136,8 +144,12 @@
             int i = 0;
             for (Object t : list(facts, "teams")) {
                 String at = "facts.teams[" + i++ + "].";
-                teams.add(new Params.Team(text(t, at, "name"), atLeast0(t, at, "cpus"), limit(t, at, "cpus_max"),
-                    atLeast0(t, at, "gpus"), limit(t, at, "gpus_max")));
+                teams.add(new Params.Team(
+                        text(t, at, "name"),
+                        atLeast0(t, at, "cpus"),
+                        limit(t, at, "cpus_max"),
+                        atLeast0(t, at, "gpus"),
+                        limit(t, at, "gpus_max")));
             }
             if (teams.isEmpty()) {
                 faults.add("facts.teams is missing or empty");
@@ -148,8 +160,12 @@
         private List<Params.Objective> objectives(Object facts) {
             List<Params.Objective> list = new ArrayList<>();
             for (Object o : list(facts, "objectives")) {
-                list.add(new Params.Objective(textOrEmpty(o, "kind"), textOrEmpty(o, "class"), numberOr0(o, "within_s"),
-                    numberOr0(o, "share"), numberOr0(o, "times")));
+                list.add(new Params.Objective(
+                        textOrEmpty(o, "kind"),
+                        textOrEmpty(o, "class"),
+                        numberOr0(o, "within_s"),
+                        numberOr0(o, "share"),
+                        numberOr0(o, "times")));
             }
             return List.copyOf(list);
         }
--- a/src/main/java/garnetscale/app/StateLink.java
+++ b/src/main/java/garnetscale/app/StateLink.java
@@ -53,12 +53,15 @@
     private static final long WATCH_MS = 5000;
     /** How often the mirror is confirmed when nobody asks. */
     static final long CONFIRM_MS = 500;
+
     private static final int PAGE = 500;
     /** Parts of the limits that this node uses for itself: all nodes together stay below one. */
     private static final double WATCHES = 0.45;
+
     private static final double READS = 0.25;
     /** What may be saved up of a part of the changes, in seconds. */
     private static final double SAVED_S = 0.8;
+
     private static final double SUBMISSIONS_SAVED_S = 1.6;
 
     private final Params params;
@@ -104,7 +107,7 @@
         acquire();
         list();
         every(params.nodeTtlMs() / 4, this::renew);
-        every(CONFIRM_MS, () -> sync(ok -> { }));
+        every(CONFIRM_MS, () -> sync(ok -> {}));
     }
 
     private void every(long ms, Runnable run) {
@@ -316,7 +319,9 @@
             try {
                 StateCodec.Batch b = StateCodec.log(r.body());
                 worked();
-                boolean news = !listing && mirror.advance(b.changes(), b.ledger()) && !b.changes().isEmpty();
+                boolean news = !listing
+                        && mirror.advance(b.changes(), b.ledger())
+                        && !b.changes().isEmpty();
                 if (!listing && mirror.torn()) {
                     LOG.info("the watch has lost entries, the mirror is read anew");
                     list();
--- a/src/main/java/garnetscale/app/Turns.java
+++ b/src/main/java/garnetscale/app/Turns.java
@@ -11,7 +11,14 @@
 
     /** Whose turn it is; a turn inside another counts for the inner one alone. */
     enum Role {
-        REPORTS, USERS, STATE, PEERS, WORKERS, HOLDER, LEADER, FLEET
+        REPORTS,
+        USERS,
+        STATE,
+        PEERS,
+        WORKERS,
+        HOLDER,
+        LEADER,
+        FLEET
     }
 
     private final long[] nanos = new long[Role.values().length];
@@ -42,8 +49,13 @@
     String take() {
         StringBuilder line = new StringBuilder();
         for (Role r : Role.values()) {
-            line.append(line.length() == 0 ? "" : ", ").append(r.name().toLowerCase(Locale.ROOT)).append(' ')
-                .append(count[r.ordinal()]).append(" in ").append(nanos[r.ordinal()] / 1_000_000).append(" ms");
+            line.append(line.length() == 0 ? "" : ", ")
+                    .append(r.name().toLowerCase(Locale.ROOT))
+                    .append(' ')
+                    .append(count[r.ordinal()])
+                    .append(" in ")
+                    .append(nanos[r.ordinal()] / 1_000_000)
+                    .append(" ms");
         }
         Arrays.fill(nanos, 0);
         Arrays.fill(count, 0);
--- a/src/main/java/garnetscale/app/WriteShares.java
+++ b/src/main/java/garnetscale/app/WriteShares.java
@@ -11,6 +11,7 @@
     private static final double USED = 0.9;
     /** The parts that submissions and leader may have; together more than all, since they seldom want it at once. */
     private static final double SUBMISSIONS = 0.55;
+
     private static final double LEADER_LEAST = 0.45;
     private static final double LEADER_MOST = 0.75;
     /** What a node may take of its part of the submissions: users keep their connections and don't come evenly. */
@@ -19,6 +20,7 @@
     private static final double AHEAD = 1.25;
     /** Submissions are counted over this time. */
     private static final long COUNTED_MS = 500;
+
     private static final double GAIN = 0.4;
 
     private final double all;
--- a/src/main/java/garnetscale/core/Params.java
+++ b/src/main/java/garnetscale/core/Params.java
@@ -8,22 +8,32 @@
  * The figures that the core decides by. All times are milliseconds. What isn't a setting is a ratio to one; the
  * ratios and their reasons are in docs/operations.md.
  */
-public record Params(String self, List<Member> members, List<String> zones, Map<String, Team> teams,
-                     List<Objective> objectives, long reportMs, long leaseMs, long cancelMs, int txnOps,
-                     double stateRps, double stateWritesPerS, int valueBytes, double cloudRps, long listLagMs,
-                     int maxConnections, long clockOffMs) {
+public record Params(
+        String self,
+        List<Member> members,
+        List<String> zones,
+        Map<String, Team> teams,
+        List<Objective> objectives,
+        long reportMs,
+        long leaseMs,
+        long cancelMs,
+        int txnOps,
+        double stateRps,
+        double stateWritesPerS,
+        int valueBytes,
+        double cloudRps,
+        long listLagMs,
+        int maxConnections,
+        long clockOffMs) {
 
     /** A controller node, this one included. */
-    public record Member(String name, String zone, String address) {
-    }
+    public record Member(String name, String zone, String address) {}
 
     /** What a team is guaranteed and may use at most; a limit of infinity is none. */
-    public record Team(String name, double cpus, double cpusMax, double gpus, double gpusMax) {
-    }
+    public record Team(String name, double cpus, double cpusMax, double gpus, double gpusMax) {}
 
     /** An aim of the operators; fields that its kind has no use for are 0 or empty. */
-    public record Objective(String kind, String jobClass, double withinS, double share, double times) {
-    }
+    public record Objective(String kind, String jobClass, double withinS, double share, double times) {}
 
     /** Twenty times the drift that PROTOCOL allows, plus what a busy process may be late by. */
     public long driftMs(long span) {
--- a/src/main/java/garnetscale/core/bid/Bid.java
+++ b/src/main/java/garnetscale/core/bid/Bid.java
@@ -10,8 +10,12 @@
     /** Explicit because it is on the hot path; see the package documentation of {@code garnetscale.core}. */
     @Override
     public boolean equals(Object o) {
-        return o instanceof Bid other && shift == other.shift && slots == other.slots
-            && Double.compare(finishS, other.finishS) == 0 && machine.equals(other.machine) && job.equals(other.job);
+        return o instanceof Bid other
+                && shift == other.shift
+                && slots == other.slots
+                && Double.compare(finishS, other.finishS) == 0
+                && machine.equals(other.machine)
+                && job.equals(other.job);
     }
 
     @Override
--- a/src/main/java/garnetscale/core/bid/BidSheet.java
+++ b/src/main/java/garnetscale/core/bid/BidSheet.java
@@ -8,5 +8,4 @@
  *
  * @param terms the blocks that the holder speaks for, with their terms
  */
-public record BidSheet(String node, long incarnation, long ledger, Map<String, Long> terms, List<Bid> bids) {
-}
+public record BidSheet(String node, long incarnation, long ledger, Map<String, Long> terms, List<Bid> bids) {}
--- a/src/main/java/garnetscale/core/bid/Bidding.java
+++ b/src/main/java/garnetscale/core/bid/Bidding.java
@@ -64,6 +64,7 @@
      * which small machines are full would keep large ones from bidding for those that fit nothing else.
      */
     private static final double OVERBOOKED = 1;
+
     private static final int PLACE_BITS = 24;
 
     private double overbooked;
@@ -107,7 +108,8 @@
                 break;
             }
             lookAt(job);
-            int tasks = suspects.contains(job.spec().id()) ? 1 : job.unstarted() == 0 ? job.placedCount() : job.unstarted();
+            int tasks =
+                    suspects.contains(job.spec().id()) ? 1 : job.unstarted() == 0 ? job.placedCount() : job.unstarted();
             // Some more than can win: the leader may know what is wrong with a machine that bids.
             int wanted = tasks + tasks / 2 + 1;
             int missing = bid(job, tasks, wanted, open, count, offers, false, bids);
@@ -139,8 +141,15 @@
      * room. An offer is its finish in tenths of a second, so that a sheet changes only when something has, and the
      * bidder's place: as one number each they are sorted without an object for every one.
      */
-    private int bid(JobView job, int tasks, int wanted, Bidder[] open, int count, long[] offers, boolean taken,
-                    List<Bid> bids) {
+    private int bid(
+            JobView job,
+            int tasks,
+            int wanted,
+            Bidder[] open,
+            int count,
+            long[] offers,
+            boolean taken,
+            List<Bid> bids) {
         JobSpec spec = job.spec();
         int found = 0;
         for (int i = 0; i < count; i++) {
@@ -148,8 +157,9 @@
             Room room = taken ? b.whole : b.left;
             if (b.kind.inLine && b.last != job && room.cpus() + MachineType.EPSILON >= spec.cpus() && room.fits(spec)) {
                 double run = estimator.runS(spec, b.factor);
-                double finish = (b.images.containsKey(spec.image()) ? 0 : b.kind.fetchS) + run
-                    + (b.spot ? Estimator.spotRiskS(spec, run) : 0);
+                double finish = (b.images.containsKey(spec.image()) ? 0 : b.kind.fetchS)
+                        + run
+                        + (b.spot ? Estimator.spotRiskS(spec, run) : 0);
                 offers[found++] = Math.round(finish * 10) << PLACE_BITS | i;
             }
         }
--- a/src/main/java/garnetscale/core/bid/Estimator.java
+++ b/src/main/java/garnetscale/core/bid/Estimator.java
@@ -18,6 +18,7 @@
 
     /** Weight of a new sample; the last handful of tasks decide. */
     private static final double GAIN = 0.2;
+
     private static final double MOST = 8;
     /** Finished tasks of a job before what they took is believed rather than the owner. */
     private static final int PEERS = 4;
@@ -25,6 +26,7 @@
     private static final double ALIKE = 1.5;
     /** Tasks' worth of evidence before a machine is judged. */
     private static final double ENOUGH = 4;
+
     private static final int JOBS = 512;
     /** How long a spot machine is reckoned to last, in seconds: pessimistic on quiet days, as waves come at once. */
     private static final double TAKEN_S = 1800;
@@ -38,8 +40,7 @@
     }
 
     /** A task under way: what it was expected to take and has run so far. */
-    public record UnderWay(JobSpec job, double ranS) {
-    }
+    public record UnderWay(JobSpec job, double ranS) {}
 
     private final double slackS;
     private final Map<String, Double> byClass = new HashMap<>();
@@ -90,8 +91,9 @@
 
     private double expectedS(JobSpec job) {
         double[] sum = byJob.get(job.id());
-        return sum == null || sum[1] < PEERS ? job.estimateS() * byClass.getOrDefault(job.jobClass(), 1.0)
-            : Math.exp(sum[0] / sum[1]);
+        return sum == null || sum[1] < PEERS
+                ? job.estimateS() * byClass.getOrDefault(job.jobClass(), 1.0)
+                : Math.exp(sum[0] / sum[1]);
     }
 
     /** The estimated run time of a task of the job on the machine. */
--- a/src/main/java/garnetscale/core/bid/LateBids.java
+++ b/src/main/java/garnetscale/core/bid/LateBids.java
@@ -9,8 +9,7 @@
     /** The paper finds its optimum between 0.4 and 0.6; estimates are revised here while a task runs, so the lower. */
     public static final double I0 = 0.4;
 
-    private LateBids() {
-    }
+    private LateBids() {}
 
     /** The improvement, from the seconds that each of the two would still take. */
     public static double improvement(double earlierS, double laterS) {
--- a/src/main/java/garnetscale/core/block/Hearing.java
+++ b/src/main/java/garnetscale/core/block/Hearing.java
@@ -78,7 +78,8 @@
             return ask;
         }
         askedAt = now;
-        String[] mine = all.stream().filter(m -> lost.contains(blockOf.apply(m))).toArray(String[]::new);
+        String[] mine =
+                all.stream().filter(m -> lost.contains(blockOf.apply(m))).toArray(String[]::new);
         for (int i = 0; i < Math.min(ASKED, mine.length); i++) {
             ask.add(mine[next++ % mine.length]);
         }
--- a/src/main/java/garnetscale/core/block/Holder.java
+++ b/src/main/java/garnetscale/core/block/Holder.java
@@ -45,39 +45,32 @@
 
     /** How the holder answers a report. */
     public sealed interface Reply {
-        record Answer(long token, List<Order> orders) implements Reply {
-        }
+        record Answer(long token, List<Order> orders) implements Reply {}
 
         /** Another node is responsible; null when nobody is known to be. */
-        record Redirect(String node) implements Reply {
-        }
+        record Redirect(String node) implements Reply {}
 
         /** Not entitled to act at the moment, or the report was overtaken. */
-        record Refuse(String why) implements Reply {
-        }
+        record Refuse(String why) implements Reply {}
     }
 
     /** What the holder wants done outside. */
     public sealed interface Effect {
-        record Command(String machine, String address, long token, long shift, List<Order> orders) implements Effect {
-        }
+        record Command(String machine, String address, long token, long shift, List<Order> orders) implements Effect {}
 
         /** Ask the worker for its report: it would only come here by itself when its next one is due. */
-        record Probe(String machine, String address) implements Effect {
-        }
+        record Probe(String machine, String address) implements Effect {}
 
-        record Tell(Observation observation) implements Effect {
-        }
+        record Tell(Observation observation) implements Effect {}
 
-        record Offer(BidSheet sheet) implements Effect {
-        }
+        record Offer(BidSheet sheet) implements Effect {}
     }
 
-    private record Held(long term, long since) {
-    }
+    private record Held(long term, long since) {}
 
     /** Sheets that fit into a window: often enough to close it early, and not for each change of a busy moment. */
     private static final int OFFERS_IN_WINDOW = 6;
+
     private static final int REMEMBERED = 4096;
     /** As long as an answer to such a question is waited for. */
     private static final long ASK_AGAIN_MS = 2000;
@@ -98,6 +91,7 @@
     private final Set<String> late = new HashSet<>();
     /** Jobs that fail wherever they run, by what the leader hears of all machines. */
     private final Set<String> suspects = new HashSet<>();
+
     private long incarnation = -1;
     private long confirmedAt = Long.MIN_VALUE / 2;
     private BidSheet lastSheet;
@@ -182,7 +176,8 @@
         if (!entitled(now)) {
             return new Reply.Refuse("term not confirmed within the grace");
         }
-        MachineView m = machines.computeIfAbsent(r.machine(), id -> new MachineView(id, block, Terms.firstToken(mine.term())));
+        MachineView m =
+                machines.computeIfAbsent(r.machine(), id -> new MachineView(id, block, Terms.firstToken(mine.term())));
         if (!r.isNewerThan(m.last) || r.shift() <= m.lapsedShift) {
             return new Reply.Refuse("report overtaken");
         }
@@ -206,7 +201,8 @@
             }
         }
         ask(now, m, r.address());
-        // All that going over the machine would do is done, but for what only a command can: that is due when the answer is
+        // All that going over the machine would do is done, but for what only a command can: that is due when the
+        // answer is
         // lost. Most reports bring nothing new, and bids are made anew only for those that do.
         m.dirty = false;
         m.restless = !orders.isEmpty() || m.commandInFlight || m.unreachable();
@@ -317,8 +313,8 @@
         if (mine == null || Terms.blockTermOf(r.token()) > mine.term()) {
             return;
         }
-        MachineView m = machines.computeIfAbsent(r.machine(),
-            id -> new MachineView(id, block, Terms.firstToken(mine.term())));
+        MachineView m =
+                machines.computeIfAbsent(r.machine(), id -> new MachineView(id, block, Terms.firstToken(mine.term())));
         m.answers = true;
         m.dirty = true;
         if (r.isNewerThan(m.last) && r.shift() > m.lapsedShift) {
@@ -387,7 +383,8 @@
             if (t.state() == TaskState.RUNNING) {
                 m.runningSince.putIfAbsent(t.attempt(), now);
             } else if (t.cause() == ExitCause.ERROR) {
-                // A machine that fails its tasks at once always has room and the image: its bids would be the only ones.
+                // A machine that fails its tasks at once always has room and the image: its bids would be the only
+                // ones.
                 // Failures of one job alone say nothing: it may have been submitted with a mistake.
                 boolean suspect = suspects.contains(t.task().job());
                 if (!suspect) {
@@ -456,7 +453,11 @@
 
     private boolean wanted(Placement p) {
         JobView job = mirror.job(p.task().job());
-        return job != null && job.live() && !cancelledByPeers.contains(p.task().job()) && p.stop() == Placement.Stop.KEEP && !job.isFinished(p.task().index());
+        return job != null
+                && job.live()
+                && !cancelledByPeers.contains(p.task().job())
+                && p.stop() == Placement.Stop.KEEP
+                && !job.isFinished(p.task().index());
     }
 
     /** What brings the machine from its newest report to what is stored. */
@@ -480,8 +481,11 @@
             }
         }
         for (Placement p : placed.values()) {
-            if (wanted(p) && p.shift() == m.last.shift() && m.last.find(p.attempt()) == null
-                && !m.gone.contains(p.attempt()) && !m.startsInAnswer.contains(p.attempt())) {
+            if (wanted(p)
+                    && p.shift() == m.last.shift()
+                    && m.last.find(p.attempt()) == null
+                    && !m.gone.contains(p.attempt())
+                    && !m.startsInAnswer.contains(p.attempt())) {
                 orders.add(new Order.Start(p.task(), p.attempt()));
             }
         }
@@ -490,7 +494,9 @@
 
     private double saveGrace(ReportedTask t) {
         JobView job = mirror.job(t.task().job());
-        return job == null || !job.live() || !job.spec().savesProgress() ? 0 : job.spec().saveS() * 1.5 + 1;
+        return job == null || !job.live() || !job.spec().savesProgress()
+                ? 0
+                : job.spec().saveS() * 1.5 + 1;
     }
 
     private boolean silent(long now, MachineView m) {
@@ -507,7 +513,8 @@
         if (!entitled(now)) {
             return;
         }
-        // By the mirror, as whoever carries out the effects goes: a peer's word of a new leader may come before it. What was
+        // By the mirror, as whoever carries out the effects goes: a peer's word of a new leader may come before it.
+        // What was
         // told then went to the old one, and the new one took machines at rest for silent and gave them back.
         if (!Objects.equals(toldTo, mirror.leader())) {
             toldTo = mirror.leader();
@@ -549,7 +556,8 @@
             due += m.last != null && m.oursAt >= 0 && !silent(now, m) ? 1 : 0;
         }
         hearing.lookAt(now, due, held.keySet());
-        for (String id : hearing.toAsk(now, book.keySet(), id -> blocks.blockOf(id, book.get(id).zone()))) {
+        for (String id : hearing.toAsk(
+                now, book.keySet(), id -> blocks.blockOf(id, book.get(id).zone()))) {
             effects.add(new Effect.Probe(id, book.get(id).address()));
             outbound.askAside();
         }
@@ -588,8 +596,10 @@
     /** Machines with placements that nobody has heard of in this term still have to be proved dead or alive. */
     private void adoptPlaced() {
         // Machines that were returned would be told of as silent for ever, and their holder be taken for deaf.
-        machines.values().removeIf(m -> (m.last == null || m.last.shift() <= m.lapsedShift)
-            && mirror.placements(m.id).isEmpty() && !book.containsKey(m.id));
+        machines.values()
+                .removeIf(m -> (m.last == null || m.last.shift() <= m.lapsedShift)
+                        && mirror.placements(m.id).isEmpty()
+                        && !book.containsKey(m.id));
         mirror.placedMachines().forEach(this::adopt);
         rooms.retain(machines.keySet());
     }
@@ -631,12 +641,16 @@
 
     private void command(long now, MachineView m, Held mine) {
         m.restless |= m.commandInFlight || m.unreachable();
-        if (m.commandInFlight || silent(now, m) || m.lostToken >= m.last.token() || !Terms.sameTerm(m.token + 1, m.token)) {
+        if (m.commandInFlight
+                || silent(now, m)
+                || m.lostToken >= m.last.token()
+                || !Terms.sameTerm(m.token + 1, m.token)) {
             return;
         }
         List<Order> orders = orders(now, m, mine, false);
         m.restless |= !orders.isEmpty();
-        orders.removeIf(o -> o instanceof Order.Stop && m.stopsSent.getOrDefault(o.attempt(), 0L) > now - 2 * params.reportMs());
+        orders.removeIf(o ->
+                o instanceof Order.Stop && m.stopsSent.getOrDefault(o.attempt(), 0L) > now - 2 * params.reportMs());
         if (orders.isEmpty()) {
             return;
         }
@@ -670,10 +684,36 @@
             }
         }
         Observation o = r == null
-            ? new Observation(params.self(), incarnation, m.block, mine.term(), m.id, "", "", "", false, 0, null, true,
-                List.of(), gone)
-            : new Observation(params.self(), incarnation, m.block, mine.term(), m.id, r.address(), r.type(), r.zone(),
-                r.spot(), r.shift(), r.noticeS(), silent, r.tasks(), gone);
+                ? new Observation(
+                        params.self(),
+                        incarnation,
+                        m.block,
+                        mine.term(),
+                        m.id,
+                        "",
+                        "",
+                        "",
+                        false,
+                        0,
+                        null,
+                        true,
+                        List.of(),
+                        gone)
+                : new Observation(
+                        params.self(),
+                        incarnation,
+                        m.block,
+                        mine.term(),
+                        m.id,
+                        r.address(),
+                        r.type(),
+                        r.zone(),
+                        r.spot(),
+                        r.shift(),
+                        r.noticeS(),
+                        silent,
+                        r.tasks(),
+                        gone);
         m.restless |= news;
         // Repeats what the leader hasn't acted on yet: the first telling may have been lost with its connection.
         if (!o.equals(m.observed) || news && now - m.observedAt > 2000) {
@@ -732,8 +772,10 @@
             bids = new Bidding(mirror, estimator, scarcity, wallMs(now), suspects).bids(waiting, bidders(now, waiting));
         }
         BidSheet sheet = new BidSheet(params.self(), incarnation, mirror.ledger(), terms, bids);
-        if (lastSheet == null || !lastSheet.bids().equals(bids) || !lastSheet.terms().equals(terms)
-            || !waiting.isEmpty() && lastSheet.ledger() != sheet.ledger()) {
+        if (lastSheet == null
+                || !lastSheet.bids().equals(bids)
+                || !lastSheet.terms().equals(terms)
+                || !waiting.isEmpty() && lastSheet.ledger() != sheet.ledger()) {
             lastSheet = sheet;
             effects.add(new Effect.Offer(sheet));
         }
@@ -785,8 +827,14 @@
 
     private boolean mayBid(long now, MachineView m) {
         Report r = m.last;
-        return r != null && !hearing.deaf() && m.answers && !m.unreachable() && !silent(now, m) && r.shift() > m.lapsedShift
-            && r.noticeS() == null && now >= m.noBidsUntil;
+        return r != null
+                && !hearing.deaf()
+                && m.answers
+                && !m.unreachable()
+                && !silent(now, m)
+                && r.shift() > m.lapsedShift
+                && r.noticeS() == null
+                && now >= m.noBidsUntil;
     }
 
     private boolean isPlaced(String machine, long attempt) {
--- a/src/main/java/garnetscale/core/block/LeaderInfo.java
+++ b/src/main/java/garnetscale/core/block/LeaderInfo.java
@@ -6,8 +6,10 @@
     /** Explicit because it is on the hot path; see the package documentation of {@code garnetscale.core}. */
     @Override
     public boolean equals(Object o) {
-        return o instanceof LeaderInfo other && incarnation == other.incarnation && term == other.term
-            && node.equals(other.node);
+        return o instanceof LeaderInfo other
+                && incarnation == other.incarnation
+                && term == other.term
+                && node.equals(other.node);
     }
 
     @Override
--- a/src/main/java/garnetscale/core/block/MachineView.java
+++ b/src/main/java/garnetscale/core/block/MachineView.java
@@ -14,6 +14,7 @@
     final String block;
     /** The newest report, also from answers to direct commands. */
     Report last;
+
     long lastReportAt;
     /** When a report of the current session was last answered with 200; the worker's lease ends after that. */
     long answeredAt;
@@ -30,6 +31,7 @@
     long token;
     /** The highest token of a direct command that went unanswered, or -1. */
     long lostToken = -1;
+
     boolean commandInFlight;
     /** Sessions up to this one are known to have ended. */
     long lapsedShift = -1;
@@ -46,6 +48,7 @@
     /** Attempts in the newest report that failed, the jobs of which any did since one completed, and until when the
      * machine doesn't bid for it. */
     final Set<Long> failed = new TreeSet<>();
+
     final Set<String> failedJobs = new TreeSet<>();
     long noBidsUntil = Long.MIN_VALUE;
     /** Something came of it or of its record since it was last gone over. */
@@ -54,6 +57,7 @@
     boolean restless;
     /** What the leader was last told of it; null when it has to be told again. */
     Observation observed;
+
     long observedAt = Long.MIN_VALUE / 2;
 
     /** Whether a command went unanswered and no report has yet shown that the machine hears this node. */
--- a/src/main/java/garnetscale/core/block/Terms.java
+++ b/src/main/java/garnetscale/core/block/Terms.java
@@ -11,8 +11,7 @@
     private static final int TOKEN_BITS = 20;
     private static final int ATTEMPT_BITS = 24;
 
-    private Terms() {
-    }
+    private Terms() {}
 
     public static long blockTerm(long leaderTerm, int sequence) {
         return (leaderTerm << BLOCK_BITS) + sequence;
--- a/src/main/java/garnetscale/core/fleet/CloudCall.java
+++ b/src/main/java/garnetscale/core/fleet/CloudCall.java
@@ -5,17 +5,13 @@
 /** A request to the cloud. */
 public sealed interface CloudCall {
 
-    record Types() implements CloudCall {
-    }
+    record Types() implements CloudCall {}
 
     /** One page of the machine list, after the named machine. */
-    record Page(String after) implements CloudCall {
-    }
+    record Page(String after) implements CloudCall {}
 
     /** A rental. The request's name is never used again, since a repeat of an answered one rents nothing. */
-    record Rent(String request, String type, String zone, boolean spot, int count) implements CloudCall {
-    }
+    record Rent(String request, String type, String zone, boolean spot, int count) implements CloudCall {}
 
-    record Delete(List<String> machines) implements CloudCall {
-    }
+    record Delete(List<String> machines) implements CloudCall {}
 }
--- a/src/main/java/garnetscale/core/fleet/Fleet.java
+++ b/src/main/java/garnetscale/core/fleet/Fleet.java
@@ -32,8 +32,7 @@
  */
 public final class Fleet {
 
-    private record Offer(String type, String zone, boolean spot) {
-    }
+    private record Offer(String type, String zone, boolean spot) {}
 
     private static final class Refusal {
         long until;
@@ -46,6 +45,7 @@
     private static final double STUCK = 4;
     /** Calls' worth of time after which what was refused again and again is asked for once more. */
     private static final int REFUSED_CALLS = 40;
+
     private static final int RENT_AT_ONCE = 50;
     private static final int DELETE_AT_ONCE = 100;
     private static final int RETURNED_OF_FLEET = 64;
@@ -60,6 +60,7 @@
     private final Map<String, Long> listedAt = new HashMap<>();
     /** Rented by this leader and not listed yet. */
     private final Map<String, Listed> fresh = new LinkedHashMap<>();
+
     private final Map<String, Long> freshAt = new HashMap<>();
     private final Set<String> deleted = new HashSet<>();
     private final Map<Offer, Refusal> refusals = new HashMap<>();
@@ -134,13 +135,16 @@
         reporting.forEach(o -> known.put(o.machine(), o));
         List<Supply> supply = new ArrayList<>();
         CloudCall call = null;
-        // In turns: a wave of lost machines brings deletes for half a minute, and what replaces them can't wait so long.
+        // In turns: a wave of lost machines brings deletes for half a minute, and what replaces them can't wait so
+        // long.
         if (deletedLast) {
             call = rent(now, known, supply, suspects);
         }
         if (call == null) {
-            call = condemned.isEmpty() ? delete(now, known)
-                : new CloudCall.Delete(List.copyOf(condemned.subList(0, Math.min(condemned.size(), DELETE_AT_ONCE))));
+            call = condemned.isEmpty()
+                    ? delete(now, known)
+                    : new CloudCall.Delete(
+                            List.copyOf(condemned.subList(0, Math.min(condemned.size(), DELETE_AT_ONCE))));
         }
         if (call == null && !deletedLast) {
             call = rent(now, known, supply, suspects);
@@ -211,7 +215,10 @@
 
     /** Machines that the cloud lists as failed: nothing is on them. */
     public List<String> failed() {
-        return listed.values().stream().filter(m -> m.state() == Listed.State.FAILED).map(Listed::id).toList();
+        return listed.values().stream()
+                .filter(m -> m.state() == Listed.State.FAILED)
+                .map(Listed::id)
+                .toList();
     }
 
     public void onRented(long now, CloudCall.Rent r, List<String> ids) {
@@ -256,7 +263,9 @@
     private CloudCall delete(long now, Map<String, Observation> known) {
         // Machines that are up by the list and not told of count, too: it may be the telling that fails.
         long silent = known.values().stream().filter(Observation::silent).count()
-            + listed.values().stream().filter(m -> m.state() == Listed.State.RUNNING && !known.containsKey(m.id())).count();
+                + listed.values().stream()
+                        .filter(m -> m.state() == Listed.State.RUNNING && !known.containsKey(m.id()))
+                        .count();
         List<String> ids = new ArrayList<>();
         for (Listed m : listed.values()) {
             MachineType type = type(m.type());
@@ -268,8 +277,10 @@
             } else if (o == null && m.state() == Listed.State.BOOTING && ageS > STUCK * bootS + 10) {
                 log.accept("machine " + m.id() + " is not up after " + Math.round(ageS) + " s and is given up");
                 ids.add(m.id());
-            } else if (m.state() == Listed.State.RUNNING && (o == null || o.silent())
-                && now - startedAt > params.leaseMs() && hopeless(now, m.id(), known.size(), silent)) {
+            } else if (m.state() == Listed.State.RUNNING
+                    && (o == null || o.silent())
+                    && now - startedAt > params.leaseMs()
+                    && hopeless(now, m.id(), known.size(), silent)) {
                 log.accept("machine " + m.id() + " stays silent and is given up");
                 ids.add(m.id());
             }
@@ -312,19 +323,25 @@
         long silent = now - silentSince.computeIfAbsent(id, k -> now);
         boolean few = silentMachines <= Math.max(2, machines / 8);
         return silent > params.fenceMs() + 2 * params.leaseMs()
-            || few && !mirror.placements(id).isEmpty() && silent > params.leaseMs() / 4;
+                || few && !mirror.placements(id).isEmpty() && silent > params.leaseMs() / 4;
     }
 
     /** What to rent next, or null; {@code supply} is filled with what there is and what the demand uses of it. */
     private CloudCall rent(long now, Map<String, Observation> known, List<Supply> supply, Set<String> suspects) {
-        silentSince.keySet().removeIf(id -> known.get(id) != null && !known.get(id).silent());
+        silentSince
+                .keySet()
+                .removeIf(id -> known.get(id) != null && !known.get(id).silent());
         if (mirror.types().isEmpty()) {
             return null;
         }
         supply.addAll(supply(known));
         QuotaBook quota = QuotaBook.of(params, mirror);
         List<Supply> open = new ArrayList<>(supply);
-        double least = mirror.jobs().stream().filter(JobView::live).mapToDouble(j -> j.spec().cpus()).min().orElse(0);
+        double least = mirror.jobs().stream()
+                .filter(JobView::live)
+                .mapToDouble(j -> j.spec().cpus())
+                .min()
+                .orElse(0);
         Map<Offer, Integer> wanted = new LinkedHashMap<>();
         for (JobView job : Line.sort(mirror.jobs(), order, now + wallOffset)) {
             int tasks = 0;
@@ -347,8 +364,12 @@
             for (Map.Entry<Offer, Integer> e : wanted.entrySet()) {
                 rentAt = now;
                 Offer o = e.getKey();
-                return new CloudCall.Rent("r-" + term + "-" + ++sequence, o.type(), o.zone(), o.spot(),
-                    Math.min(RENT_AT_ONCE, e.getValue()));
+                return new CloudCall.Rent(
+                        "r-" + term + "-" + ++sequence,
+                        o.type(),
+                        o.zone(),
+                        o.spot(),
+                        Math.min(RENT_AT_ONCE, e.getValue()));
             }
         }
         return null;
@@ -359,7 +380,12 @@
         for (Observation o : known.values()) {
             MachineType type = mirror.type(o.type());
             if (type != null && !o.silent() && o.noticeS() == null) {
-                Supply s = new Supply(o.machine(), type, o.zone(), o.spot(), rooms.of(o.machine(), type).copy());
+                Supply s = new Supply(
+                        o.machine(),
+                        type,
+                        o.zone(),
+                        o.spot(),
+                        rooms.of(o.machine(), type).copy());
                 s.used = !mirror.placements(o.machine()).isEmpty();
                 list.add(s);
             }
--- a/src/main/java/garnetscale/core/fleet/Listed.java
+++ b/src/main/java/garnetscale/core/fleet/Listed.java
@@ -4,6 +4,8 @@
 public record Listed(String id, String address, String type, String zone, boolean spot, State state, double ageS) {
 
     public enum State {
-        BOOTING, RUNNING, FAILED
+        BOOTING,
+        RUNNING,
+        FAILED
     }
 }
--- a/src/main/java/garnetscale/core/job/JobSpec.java
+++ b/src/main/java/garnetscale/core/job/JobSpec.java
@@ -6,10 +6,26 @@
  * What a user asked for. Lists and texts that the protocol lets be null are null here too, so that
  * "any type" and "no type" stay different things.
  */
-public record JobSpec(String id, String jobClass, String team, Priority priority, int tasks,
-                      double cpus, double gpus, double memoryGb, List<String> types, String zone,
-                      boolean oneZone, boolean spread, boolean spot, String image, double imageGb,
-                      double estimateS, double checkpointS, double saveS, Double deadlineS) {
+public record JobSpec(
+        String id,
+        String jobClass,
+        String team,
+        Priority priority,
+        int tasks,
+        double cpus,
+        double gpus,
+        double memoryGb,
+        List<String> types,
+        String zone,
+        boolean oneZone,
+        boolean spread,
+        boolean spot,
+        String image,
+        double imageGb,
+        double estimateS,
+        double checkpointS,
+        double saveS,
+        Double deadlineS) {
 
     public boolean allowsType(String type) {
         return types == null || types.contains(type);
--- a/src/main/java/garnetscale/core/job/Priority.java
+++ b/src/main/java/garnetscale/core/job/Priority.java
@@ -2,5 +2,8 @@
 
 /** How urgent a job is; the order of the constants is the order in a line, most urgent first. */
 public enum Priority {
-    CRITICAL, HIGH, NORMAL, LOW
+    CRITICAL,
+    HIGH,
+    NORMAL,
+    LOW
 }
--- a/src/main/java/garnetscale/core/lead/Awards.java
+++ b/src/main/java/garnetscale/core/lead/Awards.java
@@ -44,8 +44,14 @@
     /** Tasks of a job by zone, for jobs that are bound by where their other tasks are. */
     private final Map<String, Multiset<String>> zonesOfJob = new HashMap<>();
 
-    Awards(Mirror mirror, Auction auction, Map<String, MachineState> machines, int perMachine,
-           LineOrder order, Reserve reserve, Rooms counted) {
+    Awards(
+            Mirror mirror,
+            Auction auction,
+            Map<String, MachineState> machines,
+            int perMachine,
+            LineOrder order,
+            Reserve reserve,
+            Rooms counted) {
         this.counted = counted;
         this.mirror = mirror;
         this.auction = auction;
@@ -64,7 +70,9 @@
         for (MachineState m : machines.values()) {
             MachineType type = mirror.type(m.last.type());
             if (!m.last.silent() && m.last.noticeS() == null && type != null) {
-                free += draft.changes(m.id) ? room(draft, m).cpus() : counted.of(m.id, type).cpus();
+                free += draft.changes(m.id)
+                        ? room(draft, m).cpus()
+                        : counted.of(m.id, type).cpus();
                 fleet += type.cpus();
             }
         }
@@ -74,7 +82,10 @@
             double kept = reserve.cpus(fleet, borrowed);
             boolean reserved = free - job.spec().cpus() < kept && reserve.binds(job, borrowed, wallMs);
             int may = failures.mayPlace(now, job.spec().id(), job.placedCount());
-            if (may == 0 || !auction.closed(now, job) || reserved || !draft.quota().allows(job.spec())) {
+            if (may == 0
+                    || !auction.closed(now, job)
+                    || reserved
+                    || !draft.quota().allows(job.spec())) {
                 continue;
             }
             int next = next(now, job, 0, failures);
@@ -90,12 +101,15 @@
                         next = -1;
                         break;
                     }
-                    if (!room.fits(job.spec()) || !draft.quota().allows(job.spec()) || !zoneAllows(draft, job, m)
-                        || draft.placements(m.id).size() >= perMachine || !draft.hasRoom(false)) {
+                    if (!room.fits(job.spec())
+                            || !draft.quota().allows(job.spec())
+                            || !zoneAllows(draft, job, m)
+                            || draft.placements(m.id).size() >= perMachine
+                            || !draft.hasRoom(false)) {
                         break;
                     }
-                    Placement p = new Placement(new TaskId(job.spec().id(), next), attempts.getAsLong(), bid.shift(),
-                        Placement.Stop.KEEP);
+                    Placement p = new Placement(
+                            new TaskId(job.spec().id(), next), attempts.getAsLong(), bid.shift(), Placement.Stop.KEEP);
                     draft.place(m.id, mirror.type(m.last.type()), m.last.zone(), p, job.spec());
                     room.take(job.spec());
                     free -= job.spec().cpus();
@@ -124,8 +138,7 @@
         return next;
     }
 
-    private record Candidate(MachineState machine, Bid bid) {
-    }
+    private record Candidate(MachineState machine, Bid bid) {}
 
     /**
      * Usable bids by their finish, whole seconds alike, since estimates are no better than that. Among equals spot
@@ -156,9 +169,14 @@
     }
 
     private boolean usable(long now, MachineState m, Bid bid) {
-        return m != null && !m.last.silent() && m.last.noticeS() == null
-            && m.last.shift() == bid.shift() && now >= m.avoidUntil && !m.condemned && mirror.type(m.last.type()) != null
-            && spokenFor.computeIfAbsent(m.last.block(), auction::speaksFor);
+        return m != null
+                && !m.last.silent()
+                && m.last.noticeS() == null
+                && m.last.shift() == bid.shift()
+                && now >= m.avoidUntil
+                && !m.condemned
+                && mirror.type(m.last.type()) != null
+                && spokenFor.computeIfAbsent(m.last.block(), auction::speaksFor);
     }
 
     private boolean allowed(MachineState m, JobSpec job) {
--- a/src/main/java/garnetscale/core/lead/Draft.java
+++ b/src/main/java/garnetscale/core/lead/Draft.java
@@ -33,6 +33,7 @@
 
     /** An image with a longer name isn't noted: a few of them would fill a machine's record. */
     private static final int LONGEST_IMAGE = 100;
+
     private static final int MOST_IMAGES = 16;
 
     private final Mirror mirror;
@@ -187,8 +188,11 @@
     Txn toTxn() {
         Txn txn = new Txn().guard(Keys.LEADER, mirror.stamp(Keys.LEADER));
         Map<String, MachineRecord> records = new LinkedHashMap<>();
-        machines.forEach((id, list) -> records.put(id, list.isEmpty() && forgotten.contains(id) ? MachineRecord.NONE
-            : new MachineRecord(zones.get(id), List.copyOf(list), images.get(id))));
+        machines.forEach((id, list) -> records.put(
+                id,
+                list.isEmpty() && forgotten.contains(id)
+                        ? MachineRecord.NONE
+                        : new MachineRecord(zones.get(id), List.copyOf(list), images.get(id))));
         Map<String, BitSet> done = new LinkedHashMap<>();
         for (String part : parts) {
             String job = part.substring(0, part.lastIndexOf('/'));
@@ -204,8 +208,10 @@
             BitSet set = finished.get(id);
             int count = set == null ? job.finishedCount() : set.cardinality();
             JobState state = job.live() ? JobState.DONE : job.job().state();
-            txn.put(Keys.archived(id),
-                Records.archived(new Records.Archived(state, job.spec().tasks(), count, job.spec().team())));
+            txn.put(
+                    Keys.archived(id),
+                    Records.archived(new Records.Archived(
+                            state, job.spec().tasks(), count, job.spec().team())));
         }
         return txn;
     }
--- a/src/main/java/garnetscale/core/lead/Failures.java
+++ b/src/main/java/garnetscale/core/lead/Failures.java
@@ -22,6 +22,7 @@
     private static final int SUSPECT = 3;
     /** Of a suspect, the tasks that may be placed at a time: enough to find out, few enough to cost nothing. */
     private static final int TRIED_AT_ONCE = 1;
+
     private static final int REMEMBERED = 4096;
     private static final long FIRST_PAUSE_MS = 1000;
     private static final int MOST_DOUBLED = 5;
@@ -36,6 +37,7 @@
     private final Map<String, Tries> jobs = new HashMap<>();
     /** Failing tasks of jobs that have completed others. */
     private final Map<TaskId, Tries> tasks = new HashMap<>();
+
     private final Set<Long> seen = new LinkedHashSet<>();
 
     /** False when the attempt's end was judged before: a transaction may be drafted several times. */
@@ -114,7 +116,9 @@
     /** How many tasks of the job may be started now, when so many are placed. */
     int mayPlace(long now, String job, int placed) {
         Tries t = jobs.get(job);
-        return t == null || !suspect(t) ? Integer.MAX_VALUE : now < t.notBefore ? 0 : Math.max(0, TRIED_AT_ONCE - placed);
+        return t == null || !suspect(t)
+                ? Integer.MAX_VALUE
+                : now < t.notBefore ? 0 : Math.max(0, TRIED_AT_ONCE - placed);
     }
 
     /** Jobs that seem to be at fault, in their names' order. */
--- a/src/main/java/garnetscale/core/lead/Leader.java
+++ b/src/main/java/garnetscale/core/lead/Leader.java
@@ -58,8 +58,7 @@
     private static final double SURELY = 1.3;
 
     /** What a holder says of an attempt, under a block's term; {@code task} is null when it is gone without an exit. */
-    private record Exit(String machine, String block, long term, long attempt, ReportedTask task) {
-    }
+    private record Exit(String machine, String block, long term, long attempt, ReportedTask task) {}
 
     private final Params params;
     private final Mirror mirror;
@@ -70,6 +69,7 @@
     private long judgedAt = Long.MIN_VALUE / 2;
     /** Tasks that made room for others once. */
     private final Set<TaskId> stoppedOnce = new HashSet<>();
+
     private final LineOrder order;
     private final Estimator estimator;
     private final Reserve reserve;
@@ -81,6 +81,7 @@
     private final Long2ObjectHashMap<Exit> gone = new Long2ObjectHashMap<>();
     /** Machines that the cloud says are gone for good. */
     private final Set<String> dead = new HashSet<>();
+
     private final Map<String, Long> nodeSince = new HashMap<>();
     private final Failures failures = new Failures();
     private boolean suspectNews;
@@ -88,11 +89,13 @@
     private final Map<String, Long> suspects = new HashMap<>();
     /** The process that each suspicion was of, and when one last turned out to be wrong. */
     private final Map<String, Long> suspectedAs = new HashMap<>();
+
     private final Map<String, Long> falseAlarms = new HashMap<>();
     /** Nodes that say that no worker reaches them. */
     private final Set<String> deafNodes = new HashSet<>();
     /** When a block was last moved because none of its machines was heard of. */
     private final Map<String, Long> movedAt = new HashMap<>();
+
     private long notBefore = Long.MIN_VALUE;
     private long leaderSeenAt;
     private LeaderInfo leaderSeen;
@@ -187,8 +190,11 @@
     public Txn resignation(long now) {
         long patience = 2 * params.nodeTtlMs() + 4 * params.reportMs();
         boolean deaf = machines.values().stream().allMatch(m -> m.last.silent());
-        if (!deaf || machines.isEmpty() || mirror.nodes().size() < 2
-            || now - actingSince < patience || now < notBefore) {
+        if (!deaf
+                || machines.isEmpty()
+                || mirror.nodes().size() < 2
+                || now - actingSince < patience
+                || now < notBefore) {
             return null;
         }
         notBefore = now + 4 * patience;
@@ -209,12 +215,16 @@
             leaderSeen = l;
             leaderSeenAt = now;
         }
-        if (l == null || !deafNodes.contains(l.node()) && (suspectsAll()
-            || now - falseAlarms.getOrDefault(l.node(), Long.MIN_VALUE / 2) < 8 * params.nodeTtlMs())) {
+        if (l == null
+                || !deafNodes.contains(l.node())
+                        && (suspectsAll()
+                                || now - falseAlarms.getOrDefault(l.node(), Long.MIN_VALUE / 2)
+                                        < 8 * params.nodeTtlMs())) {
             return false;
         }
         return suspects.containsKey(l.node())
-            && now - suspects.get(l.node()) < params.nodeTtlMs() && now - leaderSeenAt > 4 * params.nodeTtlMs();
+                && now - suspects.get(l.node()) < params.nodeTtlMs()
+                && now - leaderSeenAt > 4 * params.nodeTtlMs();
     }
 
     private boolean suspectsAll() {
@@ -238,9 +248,11 @@
         }
         // A leader key of this node's earlier process is replaced at once: a node runs one process at a time.
         long term = mirror.termCounter() + 1;
-        return new Txn().guard(Keys.LEADER, mirror.stamp(Keys.LEADER)).guard(Keys.TERM, mirror.stamp(Keys.TERM))
-            .put(Keys.TERM, Records.term(term))
-            .put(Keys.LEADER, Records.leader(new LeaderInfo(params.self(), incarnation, term)), incarnation);
+        return new Txn()
+                .guard(Keys.LEADER, mirror.stamp(Keys.LEADER))
+                .guard(Keys.TERM, mirror.stamp(Keys.TERM))
+                .put(Keys.TERM, Records.term(term))
+                .put(Keys.LEADER, Records.leader(new LeaderInfo(params.self(), incarnation, term)), incarnation);
     }
 
     /**
@@ -248,8 +260,9 @@
      * it is in, the unknown one has either been applied, and the mirror will show it, or never will be.
      */
     public Txn fence() {
-        return new Txn().guard(Keys.LEADER, mirror.stamp(Keys.LEADER))
-            .put(Keys.LEADER, Records.leader(mirror.leader()), incarnation);
+        return new Txn()
+                .guard(Keys.LEADER, mirror.stamp(Keys.LEADER))
+                .put(Keys.LEADER, Records.leader(mirror.leader()), incarnation);
     }
 
     public void onObservation(long now, Observation o) {
@@ -296,8 +309,9 @@
      * list leave no other trace; with them in the count too many would seem silent for any to be given up early.
      */
     private void forgetSilent(long now) {
-        machines.values().removeIf(m -> m.last.silent() && mirror.placements(m.id).isEmpty()
-            && now - m.seen > 2 * params.leaseMs());
+        machines.values()
+                .removeIf(m ->
+                        m.last.silent() && mirror.placements(m.id).isEmpty() && now - m.seen > 2 * params.leaseMs());
     }
 
     /** The next transaction, or null when there is nothing to change. */
@@ -313,8 +327,8 @@
         settle(now, draft);
         int perMachine = Math.max(8, params.valueBytes() / 64);
         int before = sequence;
-        new Awards(mirror, auction, machines, perMachine, order, reserve, rooms).award(now, now + wallOffset, draft,
-            failures, () -> Terms.attempt(acting.term(), ++sequence));
+        new Awards(mirror, auction, machines, perMachine, order, reserve, rooms)
+                .award(now, now + wallOffset, draft, failures, () -> Terms.attempt(acting.term(), ++sequence));
         if (now - judgedAt >= params.reportMs() / 2) {
             judgedAt = now;
             forgetSilent(now);
@@ -379,14 +393,19 @@
                     continue;
                 }
                 Long since = m.runningSince.get(p.attempt());
-                double remaining = since == null ? estimator.runS(job.spec(), m.id)
-                    : estimator.remainingS(job.spec(), m.id, (now - since) / 1000.0);
+                double remaining = since == null
+                        ? estimator.runS(job.spec(), m.id)
+                        : estimator.remainingS(job.spec(), m.id, (now - since) / 1000.0);
                 double saving = job.spec().saveS() * 1.5 + 1 + params.reportMs() / 1000.0;
                 if (remaining > left * SURELY && (!job.spec().savesProgress() || left < 2 * saving)) {
-                    draft.stop(m.id, p, job.spec().savesProgress() && left > job.spec().saveS()
-                        ? Placement.Stop.SAVE : Placement.Stop.NOW);
-                    log.accept("task " + p.task() + " is stopped on " + m.id + ", which is taken in "
-                        + Math.round(left) + " s");
+                    draft.stop(
+                            m.id,
+                            p,
+                            job.spec().savesProgress() && left > job.spec().saveS()
+                                    ? Placement.Stop.SAVE
+                                    : Placement.Stop.NOW);
+                    log.accept("task " + p.task() + " is stopped on " + m.id + ", which is taken in " + Math.round(left)
+                            + " s");
                 }
             }
         }
@@ -412,7 +431,7 @@
                 if (b != null && LateBids.accepts(earlier, b.finishS()) && draft.hasRoom(false)) {
                     draft.stop(m.id, p, job.spec().savesProgress() ? Placement.Stop.SAVE : Placement.Stop.NOW);
                     log.accept("task " + p.task() + " is stopped on " + m.id + ": a late bid of " + b.machine()
-                        + " is better by " + Math.round(100 * LateBids.improvement(earlier, b.finishS())) + "%");
+                            + " is better by " + Math.round(100 * LateBids.improvement(earlier, b.finishS())) + "%");
                 }
             }
         }
@@ -455,9 +474,13 @@
             boolean tight = idleTurn && reserve.isTight(job);
             int waiting = job.unstarted() - draft.awarded(job.spec().id());
             boolean guaranteed = draft.quota().guarantees(job.spec());
-            boolean open = !auction.closed(now, job) && !auction.bids(job.spec().id()).isEmpty();
-            if (waiting <= 0 || !tight && !guaranteed && !idle || open || failures.isSuspect(job.spec().id())
-                || !draft.quota().allows(job.spec())) {
+            boolean open =
+                    !auction.closed(now, job) && !auction.bids(job.spec().id()).isEmpty();
+            if (waiting <= 0
+                    || !tight && !guaranteed && !idle
+                    || open
+                    || failures.isSuspect(job.spec().id())
+                    || !draft.quota().allows(job.spec())) {
                 continue;
             }
             if (looked++ >= PREEMPTED_FOR) {
@@ -468,8 +491,8 @@
             }
             int stopped = preemption.makeRoom(job, waiting, tight, guaranteed);
             if (stopped > 0) {
-                log.accept("stops " + stopped + " less urgent tasks for job " + job.spec().id() + " of team "
-                    + job.spec().team());
+                log.accept("stops " + stopped + " less urgent tasks for job "
+                        + job.spec().id() + " of team " + job.spec().team());
                 found = true;
             }
         }
@@ -496,8 +519,10 @@
                 }
                 JobView job = mirror.job(p.task().job());
                 draft.free(e.machine(), p);
-                if (job != null && job.live() && e.task().cause() == ExitCause.DONE
-                    && p.task().index() < job.spec().tasks()) {
+                if (job != null
+                        && job.live()
+                        && e.task().cause() == ExitCause.DONE
+                        && p.task().index() < job.spec().tasks()) {
                     draft.finish(job, p.task().index());
                 }
                 judge(now, e.machine(), p, e.task());
@@ -579,14 +604,14 @@
                 if (!failures.failed(now, p.task(), machine)) {
                     blame(now, m, p.task());
                 } else if (!known) {
-                    log.accept("job " + p.task().job() + " fails wherever it runs, at last " + p.task() + " on " + machine
-                        + ": it is tried rarely from now on");
+                    log.accept("job " + p.task().job() + " fails wherever it runs, at last " + p.task() + " on "
+                            + machine + ": it is tried rarely from now on");
                     machines.values().forEach(this::forgive);
                     suspectNews = true;
                 }
             }
             case NO_ROOM, BUSY, OTHER -> m.avoidUntil = Math.max(m.avoidUntil, now + params.reportMs());
-            default -> { }
+            default -> {}
         }
     }
 
@@ -675,7 +700,8 @@
     /** A holder that says so itself is believed at once, as long as another one may do better. */
     private boolean isDeaf(String node) {
         return deafNodes.contains(node)
-            && mirror.nodes().stream().anyMatch(n -> !deafNodes.contains(n.name()) && !suspects.containsKey(n.name()));
+                && mirror.nodes().stream()
+                        .anyMatch(n -> !deafNodes.contains(n.name()) && !suspects.containsKey(n.name()));
     }
 
     /**
@@ -692,14 +718,18 @@
                 silent++;
             }
         }
-        return silent > 1 && mirror.nodes().size() > 1
-            && now - movedAt.getOrDefault(block, actingSince) > 2 * params.nodeTtlMs() + 4 * params.reportMs();
+        return silent > 1
+                && mirror.nodes().size() > 1
+                && now - movedAt.getOrDefault(block, actingSince) > 2 * params.nodeTtlMs() + 4 * params.reportMs();
     }
 
     private String blockToMove(long now, Multiset<String> load) {
         for (NodeInfo n : mirror.nodes()) {
-            if (load.contains(n.name()) || suspects.containsKey(n.name()) || deafNodes.contains(n.name()) || now - nodeSince.get(key(n)) < 2 * params.nodeTtlMs()
-                || now - actingSince < 2 * params.nodeTtlMs()) {
+            if (load.contains(n.name())
+                    || suspects.containsKey(n.name())
+                    || deafNodes.contains(n.name())
+                    || now - nodeSince.get(key(n)) < 2 * params.nodeTtlMs()
+                    || now - actingSince < 2 * params.nodeTtlMs()) {
                 continue;
             }
             for (String block : blocks.all()) {
@@ -708,7 +738,8 @@
                     continue;
                 }
                 boolean crowded = load.count(lease.holder()) > 1;
-                if (Blocks.zoneOf(block).equals(n.zone()) && (crowded || !zone(lease.holder()).equals(n.zone()))) {
+                if (Blocks.zoneOf(block).equals(n.zone())
+                        && (crowded || !zone(lease.holder()).equals(n.zone()))) {
                     load.remove(lease.holder());
                     return block;
                 }
--- a/src/main/java/garnetscale/core/lead/Pipeline.java
+++ b/src/main/java/garnetscale/core/lead/Pipeline.java
@@ -53,7 +53,7 @@
         switch (result) {
             case OK, CONFLICT -> awaited = ledger;
             case MAYBE, NO_LEASE -> unknown = guardedBy;
-            case REFUSED -> { }
+            case REFUSED -> {}
         }
     }
 
--- a/src/main/java/garnetscale/core/lead/Preemption.java
+++ b/src/main/java/garnetscale/core/lead/Preemption.java
@@ -27,18 +27,16 @@
     private static final double YOUNG = 0.2;
     /** Stops in one transaction: this many, or more in a fleet of which they would be a smaller part than this. */
     private static final int MOST = 8;
+
     private static final int MOST_OF_FLEET = 16;
 
     /** A machine, with the room that what is to stay on it leaves, and what may be stopped on it, cheapest first. */
-    private record Candidate(MachineState machine, MachineType type, Room room, List<Victim> victims) {
-    }
+    private record Candidate(MachineState machine, MachineType type, Room room, List<Victim> victims) {}
 
-    private record Victim(Placement placement, JobView job, double lostS) {
-    }
+    private record Victim(Placement placement, JobView job, double lostS) {}
 
     /** What to stop on one machine so that a task more fits there, and the work that this loses. */
-    private record Stops(Candidate on, List<Victim> victims, int gain, double lostS) {
-    }
+    private record Stops(Candidate on, List<Victim> victims, int gain, double lostS) {}
 
     private final Mirror mirror;
     private final Estimator estimator;
@@ -48,8 +46,13 @@
     private final List<Candidate> candidates = new ArrayList<>();
 
     /** Looks at all machines, once for all the jobs that room is to be made for now. */
-    Preemption(Mirror mirror, Iterable<MachineState> machines, Estimator estimator, Set<TaskId> stoppedOnce,
-               Draft draft, long now) {
+    Preemption(
+            Mirror mirror,
+            Iterable<MachineState> machines,
+            Estimator estimator,
+            Set<TaskId> stoppedOnce,
+            Draft draft,
+            long now) {
         this.stoppedOnce = stoppedOnce;
         this.mirror = mirror;
         this.estimator = estimator;
@@ -83,7 +86,9 @@
 
     private boolean hasSaved(MachineState m, Placement p, JobView job) {
         Long since = m.runningSince.get(p.attempt());
-        return since != null && job.spec().savesProgress() && (now - since) / 1000.0 >= job.spec().checkpointS();
+        return since != null
+                && job.spec().savesProgress()
+                && (now - since) / 1000.0 >= job.spec().checkpointS();
     }
 
     /**
@@ -100,7 +105,7 @@
         }
         int stopped = 0;
         int most = Math.max(MOST, candidates.size() / MOST_OF_FLEET);
-        for (boolean again = true; again && missing > 0 && stopped < most;) {
+        for (boolean again = true; again && missing > 0 && stopped < most; ) {
             again = false;
             List<Stops> cheapest = new ArrayList<>();
             for (Candidate c : candidates) {
--- a/src/main/java/garnetscale/core/lead/Reserve.java
+++ b/src/main/java/garnetscale/core/lead/Reserve.java
@@ -29,6 +29,7 @@
     private Priority lowest = Priority.CRITICAL;
     /** What the tight classes ask for, and how long it takes to get back what others borrow: three reports. */
     private double cpusPerS;
+
     private final double aheadS;
     private long observedAt = Long.MIN_VALUE;
 
@@ -97,7 +98,9 @@
      */
     boolean binds(JobView job, boolean borrowed, long wallMs) {
         JobSpec s = job.spec();
-        return !tight.containsKey(s.jobClass()) && s.priority().compareTo(lowest) > 0
-            && (borrowed && job.placedCount() + job.finishedCount() > 0 || wallMs - job.job().submittedMs() < 1000 * patience.getOrDefault(s.jobClass(), 30.0));
+        return !tight.containsKey(s.jobClass())
+                && s.priority().compareTo(lowest) > 0
+                && (borrowed && job.placedCount() + job.finishedCount() > 0
+                        || wallMs - job.job().submittedMs() < 1000 * patience.getOrDefault(s.jobClass(), 30.0));
     }
 }
--- a/src/main/java/garnetscale/core/line/Line.java
+++ b/src/main/java/garnetscale/core/line/Line.java
@@ -13,13 +13,11 @@
  */
 public final class Line {
 
-    private Line() {
-    }
+    private Line() {}
 
     /** Puts live jobs with unstarted tasks into the order that all lines share. */
     public static List<JobView> sort(Iterable<JobView> all, LineOrder order, long nowMs) {
-        record Keyed(double key, JobView job) {
-        }
+        record Keyed(double key, JobView job) {}
         List<Keyed> keyed = new ArrayList<>();
         for (JobView j : all) {
             if (j.live() && j.unstarted() > 0) {
--- a/src/main/java/garnetscale/core/line/LineOrder.java
+++ b/src/main/java/garnetscale/core/line/LineOrder.java
@@ -20,6 +20,7 @@
 
     /** Work below this counts as this much, in seconds: tiny estimates must not put a guest at every head. */
     private static final double FLOOR_S = 10;
+
     private static final double PRIORITY = 1e9;
     private static final double MISSED = 1e8;
     private static final double MOST = 9e7;
--- a/src/main/java/garnetscale/core/line/Scarcity.java
+++ b/src/main/java/garnetscale/core/line/Scarcity.java
@@ -22,6 +22,7 @@
 
     /** The part of its waiting objective for which a job leaves scarce types to others. */
     private static final double PATIENCE = 0.5;
+
     private static final double DEFAULT_S = 10;
 
     private final Map<String, Double> patienceS = new HashMap<>();
@@ -64,8 +65,10 @@
         boolean begun = job.placedCount() + job.finishedCount() > 0;
         for (Map.Entry<Set<String>, Priority> e : bound.entrySet()) {
             Set<String> other = e.getKey();
-            if (other.size() < mine.size() && other.contains(type.name()) && mine.containsAll(other)
-                && (patient || begun && e.getValue().compareTo(spec.priority()) < 0)) {
+            if (other.size() < mine.size()
+                    && other.contains(type.name())
+                    && mine.containsAll(other)
+                    && (patient || begun && e.getValue().compareTo(spec.priority()) < 0)) {
                 return false;
             }
         }
--- a/src/main/java/garnetscale/core/machine/Address.java
+++ b/src/main/java/garnetscale/core/machine/Address.java
@@ -6,8 +6,10 @@
     /** Explicit because it is on the hot path; see the package documentation of {@code garnetscale.core}. */
     @Override
     public boolean equals(Object o) {
-        return o instanceof Address other && machine.equals(other.machine) && address.equals(other.address)
-            && zone.equals(other.zone);
+        return o instanceof Address other
+                && machine.equals(other.machine)
+                && address.equals(other.address)
+                && zone.equals(other.zone);
     }
 
     @Override
--- a/src/main/java/garnetscale/core/machine/MachineType.java
+++ b/src/main/java/garnetscale/core/machine/MachineType.java
@@ -4,15 +4,26 @@
 import java.util.List;
 
 /** A type of machine that the cloud rents. */
-public record MachineType(String name, double cpus, double gpus, double memoryGb, double cacheGb,
-                          double fetchGbPerS, double price, double spotPrice, double bootS, List<String> zones) {
+public record MachineType(
+        String name,
+        double cpus,
+        double gpus,
+        double memoryGb,
+        double cacheGb,
+        double fetchGbPerS,
+        double price,
+        double spotPrice,
+        double bootS,
+        List<String> zones) {
 
     /** Amounts are decimal numbers on the wire; sums of them are compared with this slack. */
     public static final double EPSILON = 1e-6;
 
     /** Whether an empty machine of this type could hold one task of the job. */
     public boolean fits(JobSpec job) {
-        return job.allowsType(name) && job.cpus() <= cpus + EPSILON && job.gpus() <= gpus + EPSILON
-            && job.memoryGb() <= memoryGb + EPSILON;
+        return job.allowsType(name)
+                && job.cpus() <= cpus + EPSILON
+                && job.gpus() <= gpus + EPSILON
+                && job.memoryGb() <= memoryGb + EPSILON;
     }
 }
--- a/src/main/java/garnetscale/core/machine/Order.java
+++ b/src/main/java/garnetscale/core/machine/Order.java
@@ -9,14 +9,11 @@
 
     long attempt();
 
-    record Start(TaskId task, long attempt) implements Order {
-    }
+    record Start(TaskId task, long attempt) implements Order {}
 
     /** Stops a task; it may save first if {@code graceS} covers the time its job names for that. */
-    record Stop(TaskId task, long attempt, double graceS) implements Order {
-    }
+    record Stop(TaskId task, long attempt, double graceS) implements Order {}
 
     /** Makes the worker forget an exited attempt. After it, a repeated start would start the attempt again. */
-    record Clear(TaskId task, long attempt) implements Order {
-    }
+    record Clear(TaskId task, long attempt) implements Order {}
 }
--- a/src/main/java/garnetscale/core/machine/Placement.java
+++ b/src/main/java/garnetscale/core/machine/Placement.java
@@ -12,7 +12,9 @@
 
     /** What the leader wants of a placed attempt. */
     public enum Stop {
-        KEEP, SAVE, NOW
+        KEEP,
+        SAVE,
+        NOW
     }
 
     public Placement withStop(Stop next) {
@@ -22,8 +24,11 @@
     /** Explicit because it is on the hot path; see the package documentation of {@code garnetscale.core}. */
     @Override
     public boolean equals(Object o) {
-        return o instanceof Placement other && attempt == other.attempt && shift == other.shift
-            && stop == other.stop && task.equals(other.task);
+        return o instanceof Placement other
+                && attempt == other.attempt
+                && shift == other.shift
+                && stop == other.stop
+                && task.equals(other.task);
     }
 
     @Override
--- a/src/main/java/garnetscale/core/machine/Report.java
+++ b/src/main/java/garnetscale/core/machine/Report.java
@@ -4,8 +4,17 @@
 import java.util.Objects;
 
 /** What a worker says of itself; {@code noticeS} is null unless the cloud is about to take the machine. */
-public record Report(String machine, String address, String type, String zone, boolean spot, long shift,
-                     long tick, long token, Double noticeS, List<ReportedTask> tasks) {
+public record Report(
+        String machine,
+        String address,
+        String type,
+        String zone,
+        boolean spot,
+        long shift,
+        long tick,
+        long token,
+        Double noticeS,
+        List<ReportedTask> tasks) {
 
     /** Messages overtake each other; the larger (shift, tick) is the newer one. */
     public boolean isNewerThan(Report other) {
@@ -14,8 +23,14 @@
 
     /** Whether nothing but the count of messages and the token differs. */
     public boolean saysTheSame(Report other) {
-        return shift == other.shift && spot == other.spot && machine.equals(other.machine) && address.equals(other.address)
-            && type.equals(other.type) && zone.equals(other.zone) && Objects.equals(noticeS, other.noticeS) && tasks.equals(other.tasks);
+        return shift == other.shift
+                && spot == other.spot
+                && machine.equals(other.machine)
+                && address.equals(other.address)
+                && type.equals(other.type)
+                && zone.equals(other.zone)
+                && Objects.equals(noticeS, other.noticeS)
+                && tasks.equals(other.tasks);
     }
 
     public ReportedTask find(long attempt) {
--- a/src/main/java/garnetscale/core/machine/ReportedTask.java
+++ b/src/main/java/garnetscale/core/machine/ReportedTask.java
@@ -12,8 +12,12 @@
     /** Explicit because it is on the hot path; see the package documentation of {@code garnetscale.core}. */
     @Override
     public boolean equals(Object o) {
-        return o instanceof ReportedTask other && attempt == other.attempt && state == other.state
-            && cause == other.cause && saved == other.saved && task.equals(other.task);
+        return o instanceof ReportedTask other
+                && attempt == other.attempt
+                && state == other.state
+                && cause == other.cause
+                && saved == other.saved
+                && task.equals(other.task);
     }
 
     @Override
--- a/src/main/java/garnetscale/core/machine/TaskState.java
+++ b/src/main/java/garnetscale/core/machine/TaskState.java
@@ -2,5 +2,9 @@
 
 /** State of a task on its machine. */
 public enum TaskState {
-    FETCHING, RUNNING, SAVING, EXITED, UNKNOWN
+    FETCHING,
+    RUNNING,
+    SAVING,
+    EXITED,
+    UNKNOWN
 }
--- a/src/main/java/garnetscale/core/quota/QuotaBook.java
+++ b/src/main/java/garnetscale/core/quota/QuotaBook.java
@@ -43,21 +43,23 @@
             return false;
         }
         return cpus(job.team()) + job.cpus() <= team.cpusMax() + MachineType.EPSILON
-            && gpus(job.team()) + job.gpus() <= team.gpusMax() + MachineType.EPSILON;
+                && gpus(job.team()) + job.gpus() <= team.gpusMax() + MachineType.EPSILON;
     }
 
     /** Whether the job's team uses more than its guarantee, so that it has to give back what others need. */
     public boolean borrows(JobSpec job) {
         Params.Team team = teams.get(job.team());
-        return team != null && (cpus(job.team()) > team.cpus() + MachineType.EPSILON
-            || gpus(job.team()) > team.gpus() + MachineType.EPSILON);
+        return team != null
+                && (cpus(job.team()) > team.cpus() + MachineType.EPSILON
+                        || gpus(job.team()) > team.gpus() + MachineType.EPSILON);
     }
 
     /** Whether one more task of the job is within what its team is guaranteed. */
     public boolean guarantees(JobSpec job) {
         Params.Team team = teams.get(job.team());
-        return team != null && cpus(job.team()) + job.cpus() <= team.cpus() + MachineType.EPSILON
-            && (job.gpus() == 0 || gpus(job.team()) + job.gpus() <= team.gpus() + MachineType.EPSILON);
+        return team != null
+                && cpus(job.team()) + job.cpus() <= team.cpus() + MachineType.EPSILON
+                && (job.gpus() == 0 || gpus(job.team()) + job.gpus() <= team.gpus() + MachineType.EPSILON);
     }
 
     public double cpus(String team) {
--- a/src/main/java/garnetscale/core/store/Delta.java
+++ b/src/main/java/garnetscale/core/store/Delta.java
@@ -18,8 +18,12 @@
  * @param stops  attempts that are to be stopped from now on, and how
  * @param images the machine's images if other ones than before, else null
  */
-record Delta(String zone, Set<Long> freed, Map<Long, Placement.Stop> stops, List<Placement> placed,
-             Map<String, Double> images) {
+record Delta(
+        String zone,
+        Set<Long> freed,
+        Map<Long, Placement.Stop> stops,
+        List<Placement> placed,
+        Map<String, Double> images) {
 
     static Delta between(MachineRecord before, MachineRecord after) {
         if (after.zone() == null) {
--- a/src/main/java/garnetscale/core/store/JobView.java
+++ b/src/main/java/garnetscale/core/store/JobView.java
@@ -18,6 +18,7 @@
         private final BitSet placed = new BitSet();
         /** Tasks that stand on more than one machine while a listing is only half caught up, and on how many more. */
         private final Map<Integer, Integer> more = new HashMap<>();
+
         private int finishedCount;
         private int placedCount;
 
--- a/src/main/java/garnetscale/core/store/Keys.java
+++ b/src/main/java/garnetscale/core/store/Keys.java
@@ -13,13 +13,13 @@
     static final String JOB = "g/j/";
     /** Entries of the work log. They come before the bases in key order, and so in a listing: see {@link WorkLog}. */
     static final String LOG = "g/l/";
+
     static final String BASE = "g/s/";
     static final String BLOCK = "g/b/";
     static final String NODE = "g/n/";
     private static final String ARCHIVE = "a/";
 
-    private Keys() {
-    }
+    private Keys() {}
 
     public static String job(String id) {
         return JOB + id;
--- a/src/main/java/garnetscale/core/store/LogWriter.java
+++ b/src/main/java/garnetscale/core/store/LogWriter.java
@@ -12,6 +12,7 @@
 
     /** What a transaction may hold in all, and what is left of it for guards and the ends of jobs. */
     private static final int TXN_BYTES = 64 * 1024;
+
     private static final int ASIDE = 14 * 1024;
     /** An attempt that is freed or stopped. */
     private static final int ATTEMPT = 28;
@@ -61,8 +62,9 @@
 
     /** A placement; with a new image all images of the machine are written. */
     public static int sizeOfPlacement(JobSpec job, Set<String> images) {
-        return job.id().length() + WorkLog.ROW
-            + (images.contains(job.image()) ? 0 : WorkLog.imagesSize(images) + WorkLog.imageSize(job.image()));
+        return job.id().length()
+                + WorkLog.ROW
+                + (images.contains(job.image()) ? 0 : WorkLog.imagesSize(images) + WorkLog.imageSize(job.image()));
     }
 
     public static int sizeOfPart(String part, int tasks) {
--- a/src/main/java/garnetscale/core/store/Mirror.java
+++ b/src/main/java/garnetscale/core/store/Mirror.java
@@ -33,15 +33,18 @@
     private Set<String> changed = new HashSet<>();
     /** The entry that each shard's base goes up to, and its pages. */
     private final long[] bases = new long[WorkLog.SHARDS];
+
     private final int[] pages = new int[WorkLog.SHARDS];
     /** The entry that each shard's base went up to when it was read: of what it holds no older entry is news. */
     private final long[] read = new long[WorkLog.SHARDS];
+
     private List<MachineType> types = List.of();
     private LeaderInfo leader;
     private long termCounter;
     private long ledger = -1;
     /** The last entry of the work log that is in here. */
     private long sequence;
+
     private boolean torn;
     private long jobsAdded;
 
--- a/src/main/java/garnetscale/core/store/Records.java
+++ b/src/main/java/garnetscale/core/store/Records.java
@@ -24,8 +24,7 @@
 
     private static final Placement.Stop[] STOPS = Placement.Stop.values();
 
-    private Records() {
-    }
+    private Records() {}
 
     public static Map<String, Object> job(JobRecord r) {
         JobSpec s = r.spec();
@@ -56,18 +55,34 @@
 
     public static JobRecord job(String id, Object value) {
         Map<?, ?> m = (Map<?, ?>) value;
-        List<String> types = m.get("types") instanceof List<?> l ? l.stream().map(String::valueOf).toList() : null;
-        JobSpec spec = new JobSpec(id, text(m, "class"), text(m, "team"), Priority.valueOf(text(m, "pri")),
-            (int) whole(m, "n"), number(m, "cpus"), number(m, "gpus"), number(m, "mem"), types, text(m, "zone"),
-            flag(m, "one"), flag(m, "spread"), flag(m, "spot"), text(m, "img"), number(m, "gb"),
-            number(m, "est"), number(m, "ckpt"), number(m, "save"),
-            m.get("due") instanceof Number n ? (Double) n.doubleValue() : null);
+        List<String> types = m.get("types") instanceof List<?> l
+                ? l.stream().map(String::valueOf).toList()
+                : null;
+        JobSpec spec = new JobSpec(
+                id,
+                text(m, "class"),
+                text(m, "team"),
+                Priority.valueOf(text(m, "pri")),
+                (int) whole(m, "n"),
+                number(m, "cpus"),
+                number(m, "gpus"),
+                number(m, "mem"),
+                types,
+                text(m, "zone"),
+                flag(m, "one"),
+                flag(m, "spread"),
+                flag(m, "spot"),
+                text(m, "img"),
+                number(m, "gb"),
+                number(m, "est"),
+                number(m, "ckpt"),
+                number(m, "save"),
+                m.get("due") instanceof Number n ? (Double) n.doubleValue() : null);
         return new JobRecord(spec, JobState.valueOf(text(m, "s")), whole(m, "at"));
     }
 
     /** What stays of a job that is over. */
-    public record Archived(JobState state, int tasks, int finished, String team) {
-    }
+    public record Archived(JobState state, int tasks, int finished, String team) {}
 
     public static Map<String, Object> archived(Archived a) {
         return Map.of("s", a.state().name(), "n", a.tasks(), "f", a.finished(), "team", a.team());
@@ -92,7 +107,8 @@
     }
 
     static MachineRecord machine(Map<?, ?> value) {
-        return new MachineRecord(text(value, "z"), placements((List<?>) value.get("p")), images((List<?>) value.get("i")));
+        return new MachineRecord(
+                text(value, "z"), placements((List<?>) value.get("p")), images((List<?>) value.get("i")));
     }
 
     /** An empty map where the record is removed; what hasn't changed is left out. */
@@ -122,10 +138,16 @@
         Set<Long> freed = new HashSet<>();
         list(value, "-").forEach(o -> freed.add(((Number) o).longValue()));
         Map<Long, Placement.Stop> stops = new LinkedHashMap<>();
-        list(value, "s").forEach(o -> stops.put(((Number) ((List<?>) o).get(0)).longValue(),
-            STOPS[((Number) ((List<?>) o).get(1)).intValue()]));
-        return new Delta(text(value, "z"), freed, stops, placements(list(value, "+")),
-            value.get("i") instanceof List<?> l ? images(l) : null);
+        list(value, "s")
+                .forEach(o -> stops.put(
+                        ((Number) ((List<?>) o).get(0)).longValue(),
+                        STOPS[((Number) ((List<?>) o).get(1)).intValue()]));
+        return new Delta(
+                text(value, "z"),
+                freed,
+                stops,
+                placements(list(value, "+")),
+                value.get("i") instanceof List<?> l ? images(l) : null);
     }
 
     private static List<?> list(Map<?, ?> m, String key) {
@@ -135,7 +157,8 @@
     private static List<Object> rows(List<Placement> placements) {
         List<Object> rows = new ArrayList<>(placements.size());
         for (Placement p : placements) {
-            rows.add(List.of(p.task().toString(), p.attempt(), p.shift(), p.stop().ordinal()));
+            rows.add(List.of(
+                    p.task().toString(), p.attempt(), p.shift(), p.stop().ordinal()));
         }
         return rows;
     }
@@ -150,8 +173,11 @@
         List<Placement> list = new ArrayList<>(rows.size());
         for (Object o : rows) {
             List<?> row = (List<?>) o;
-            list.add(new Placement(TaskId.parse((String) row.get(0)), ((Number) row.get(1)).longValue(),
-                ((Number) row.get(2)).longValue(), STOPS[((Number) row.get(3)).intValue()]));
+            list.add(new Placement(
+                    TaskId.parse((String) row.get(0)),
+                    ((Number) row.get(1)).longValue(),
+                    ((Number) row.get(2)).longValue(),
+                    STOPS[((Number) row.get(3)).intValue()]));
         }
         return List.copyOf(list);
     }
@@ -212,8 +238,17 @@
     public static Map<String, Object> types(List<MachineType> types) {
         List<Object> rows = new ArrayList<>();
         for (MachineType t : types) {
-            rows.add(List.of(t.name(), t.cpus(), t.gpus(), t.memoryGb(), t.cacheGb(), t.fetchGbPerS(), t.price(),
-                t.spotPrice(), t.bootS(), t.zones()));
+            rows.add(List.of(
+                    t.name(),
+                    t.cpus(),
+                    t.gpus(),
+                    t.memoryGb(),
+                    t.cacheGb(),
+                    t.fetchGbPerS(),
+                    t.price(),
+                    t.spotPrice(),
+                    t.bootS(),
+                    t.zones()));
         }
         return Map.of("types", rows);
     }
@@ -222,8 +257,17 @@
         List<MachineType> list = new ArrayList<>();
         for (Object o : (List<?>) ((Map<?, ?>) value).get("types")) {
             List<?> r = (List<?>) o;
-            list.add(new MachineType((String) r.get(0), num(r, 1), num(r, 2), num(r, 3), num(r, 4), num(r, 5),
-                num(r, 6), num(r, 7), num(r, 8), ((List<?>) r.get(9)).stream().map(String::valueOf).toList()));
+            list.add(new MachineType(
+                    (String) r.get(0),
+                    num(r, 1),
+                    num(r, 2),
+                    num(r, 3),
+                    num(r, 4),
+                    num(r, 5),
+                    num(r, 6),
+                    num(r, 7),
+                    num(r, 8),
+                    ((List<?>) r.get(9)).stream().map(String::valueOf).toList()));
         }
         return List.copyOf(list);
     }
--- a/src/main/java/garnetscale/core/store/Rooms.java
+++ b/src/main/java/garnetscale/core/store/Rooms.java
@@ -14,8 +14,7 @@
  */
 public final class Rooms {
 
-    private record Counted(List<Placement> placements, MachineType type, Room room) {
-    }
+    private record Counted(List<Placement> placements, MachineType type, Room room) {}
 
     private final Mirror mirror;
     private final Map<String, Counted> counted = new HashMap<>();
--- a/src/main/java/garnetscale/core/store/Txn.java
+++ b/src/main/java/garnetscale/core/store/Txn.java
@@ -9,8 +9,7 @@
 public final class Txn {
 
     /** One put (value not null) or delete; {@code lease} 0 attaches the key to no lease. */
-    public record Op(String key, Object value, long lease) {
-    }
+    public record Op(String key, Object value, long lease) {}
 
     private final Map<String, Long> guards = new LinkedHashMap<>();
     private final List<Op> ops = new ArrayList<>();
--- a/src/main/java/garnetscale/core/store/TxnResult.java
+++ b/src/main/java/garnetscale/core/store/TxnResult.java
@@ -2,5 +2,9 @@
 
 /** How a transaction ended. MAYBE: it may have been applied, or may still be. REFUSED: it surely never will be. */
 public enum TxnResult {
-    OK, CONFLICT, NO_LEASE, REFUSED, MAYBE
+    OK,
+    CONFLICT,
+    NO_LEASE,
+    REFUSED,
+    MAYBE
 }
--- a/src/main/java/garnetscale/core/store/WorkLog.java
+++ b/src/main/java/garnetscale/core/store/WorkLog.java
@@ -35,16 +35,13 @@
     /** Bytes of a placement's row beside its job's id. */
     static final int ROW = 52;
 
-    private WorkLog() {
-    }
+    private WorkLog() {}
 
     /** An entry: the changes of machines, and the new parts of finished sets. */
-    record Entry(long number, Map<String, Delta> machines, Map<String, BitSet> parts) {
-    }
+    record Entry(long number, Map<String, Delta> machines, Map<String, BitSet> parts) {}
 
     /** A page of a base: machines and parts of finished sets as they are after the entry of that number. */
-    record Contents(long number, Map<String, MachineRecord> machines, Map<String, BitSet> parts) {
-    }
+    record Contents(long number, Map<String, MachineRecord> machines, Map<String, BitSet> parts) {}
 
     static int shardOfMachine(String machine) {
         return Math.floorMod(Blocks.number(machine), SHARDS);
--- a/src/main/java/garnetscale/net/HttpClient.java
+++ b/src/main/java/garnetscale/net/HttpClient.java
@@ -50,6 +50,7 @@
     private final int idlePerHost;
     /** Where the connections are counted, or null for those that are set aside for. */
     private final Sockets sockets;
+
     private final long connectMs;
     private final Map<String, Deque<Channel>> idle = new HashMap<>();
 
@@ -89,10 +90,13 @@
     }
 
     /** Sends a request; {@code body} may be null. The callback runs on the event loop. */
-    public void call(String host, HttpMethod method, String path, byte[] body, long timeoutMs,
-                     Consumer<HttpResult> callback) {
-        FullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, method, path,
-            body == null ? Unpooled.EMPTY_BUFFER : Unpooled.wrappedBuffer(body));
+    public void call(
+            String host, HttpMethod method, String path, byte[] body, long timeoutMs, Consumer<HttpResult> callback) {
+        FullHttpRequest request = new DefaultFullHttpRequest(
+                HttpVersion.HTTP_1_1,
+                method,
+                path,
+                body == null ? Unpooled.EMPTY_BUFFER : Unpooled.wrappedBuffer(body));
         request.headers().set(HttpHeaderNames.HOST, host);
         request.headers().set(HttpHeaderNames.CONTENT_LENGTH, body == null ? 0 : body.length);
         if (body != null) {
@@ -109,22 +113,28 @@
             callback.accept(HttpResult.NOT_SENT);
             return;
         }
-        Bootstrap b = new Bootstrap().group(loop).channelFactory(NioSocketChannel::new)
-            .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.min(connectMs, timeoutMs))
-            .option(ChannelOption.TCP_NODELAY, true)
-            .handler(new ChannelInitializer<SocketChannel>() {
-                @Override
-                protected void initChannel(SocketChannel ch) {
-                    ch.pipeline().addLast(new HttpClientCodec(), new Handler());
-                }
-            });
+        Bootstrap b = new Bootstrap()
+                .group(loop)
+                .channelFactory(NioSocketChannel::new)
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.min(connectMs, timeoutMs))
+                .option(ChannelOption.TCP_NODELAY, true)
+                .handler(new ChannelInitializer<SocketChannel>() {
+                    @Override
+                    protected void initChannel(SocketChannel ch) {
+                        ch.pipeline().addLast(new HttpClientCodec(), new Handler());
+                    }
+                });
         Channel[] made = new Channel[1];
-        call.timer = loop.next().schedule(() -> {
-            if (made[0] != null) {
-                made[0].close();
-            }
-            call.end(call.sent ? HttpResult.NO_ANSWER : HttpResult.NOT_SENT);
-        }, timeoutMs, TimeUnit.MILLISECONDS);
+        call.timer = loop.next()
+                .schedule(
+                        () -> {
+                            if (made[0] != null) {
+                                made[0].close();
+                            }
+                            call.end(call.sent ? HttpResult.NO_ANSWER : HttpResult.NOT_SENT);
+                        },
+                        timeoutMs,
+                        TimeUnit.MILLISECONDS);
         b.connect(address(host)).addListener((ChannelFutureListener) f -> {
             if (sockets != null) {
                 if (f.isSuccess()) {
@@ -145,10 +155,14 @@
     }
 
     private void arm(Call call, Channel channel, long timeoutMs) {
-        call.timer = loop.next().schedule(() -> {
-            channel.close();
-            call.end(HttpResult.NO_ANSWER);
-        }, timeoutMs, TimeUnit.MILLISECONDS);
+        call.timer = loop.next()
+                .schedule(
+                        () -> {
+                            channel.close();
+                            call.end(HttpResult.NO_ANSWER);
+                        },
+                        timeoutMs,
+                        TimeUnit.MILLISECONDS);
     }
 
     private Channel takeIdle(String host) {
--- a/src/main/java/garnetscale/net/HttpResult.java
+++ b/src/main/java/garnetscale/net/HttpResult.java
@@ -7,7 +7,9 @@
 public record HttpResult(Outcome outcome, int status, byte[] body) {
 
     public enum Outcome {
-        ANSWERED, NOT_SENT, NO_ANSWER
+        ANSWERED,
+        NOT_SENT,
+        NO_ANSWER
     }
 
     public static HttpResult answered(int status, byte[] body) {
--- a/src/main/java/garnetscale/net/HttpServer.java
+++ b/src/main/java/garnetscale/net/HttpServer.java
@@ -78,16 +78,19 @@
     public ChannelFuture listen(String hostPort) {
         sweptAt = System.nanoTime();
         loop.next().scheduleWithFixedDelay(this::sweep, SWEEP_NANOS, SWEEP_NANOS, TimeUnit.NANOSECONDS);
-        return new ServerBootstrap().group(loop).channelFactory(NioServerSocketChannel::new)
-            .option(ChannelOption.SO_BACKLOG, backlog)
-            .option(ChannelOption.SO_REUSEADDR, true)
-            .childOption(ChannelOption.TCP_NODELAY, true)
-            .childHandler(new ChannelInitializer<SocketChannel>() {
-                @Override
-                protected void initChannel(SocketChannel channel) {
-                    channel.pipeline().addLast(new HttpServerCodec(), new Connection());
-                }
-            }).bind(HttpClient.address(hostPort));
+        return new ServerBootstrap()
+                .group(loop)
+                .channelFactory(NioServerSocketChannel::new)
+                .option(ChannelOption.SO_BACKLOG, backlog)
+                .option(ChannelOption.SO_REUSEADDR, true)
+                .childOption(ChannelOption.TCP_NODELAY, true)
+                .childHandler(new ChannelInitializer<SocketChannel>() {
+                    @Override
+                    protected void initChannel(SocketChannel channel) {
+                        channel.pipeline().addLast(new HttpServerCodec(), new Connection());
+                    }
+                })
+                .bind(HttpClient.address(hostPort));
     }
 
     /** Closes the connections that are idle or bring a request too slowly. */
@@ -105,8 +108,7 @@
     }
 
     /** A whole request that waits for its turn. */
-    private record Request(String method, String path, boolean keepAlive, byte[] body) {
-    }
+    private record Request(String method, String path, boolean keepAlive, byte[] body) {}
 
     /** One connection: collects its requests and has them answered one at a time, in order. */
     private final class Connection extends ChannelInboundHandlerAdapter {
@@ -116,6 +118,7 @@
         private ChannelHandlerContext context;
         /** The request that is arriving, or null. */
         private HttpRequest head;
+
         private boolean worker;
         private boolean counted;
         private boolean busy;
@@ -125,6 +128,7 @@
         private long waitingSince;
         /** When the first bytes of a request came that isn't whole yet, or 0. */
         private long arrivingSince;
+
         private boolean servedInThisRead;
 
         @Override
@@ -192,8 +196,8 @@
             if (HttpUtil.isContentLengthSet(request) && HttpUtil.getContentLength(request, 0L) > MAX_BODY) {
                 refuse(ctx, bodyTooLong());
             } else if (HttpUtil.is100ContinueExpected(request)) {
-                ctx.writeAndFlush(new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.CONTINUE,
-                    Unpooled.EMPTY_BUFFER));
+                ctx.writeAndFlush(new DefaultFullHttpResponse(
+                        HttpVersion.HTTP_1_1, HttpResponseStatus.CONTINUE, Unpooled.EMPTY_BUFFER));
             }
         }
 
@@ -266,8 +270,8 @@
     }
 
     private static FullHttpResponse response(Reply reply, boolean keepAlive) {
-        FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1,
-            HttpResponseStatus.valueOf(reply.status()), Unpooled.wrappedBuffer(reply.body()));
+        FullHttpResponse response = new DefaultFullHttpResponse(
+                HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(reply.status()), Unpooled.wrappedBuffer(reply.body()));
         response.headers().set(HttpHeaderNames.CONTENT_LENGTH, reply.body().length);
         if (reply.body().length > 0) {
             response.headers().set(HttpHeaderNames.CONTENT_TYPE, "application/cbor");
--- a/src/main/java/garnetscale/net/PeerLinks.java
+++ b/src/main/java/garnetscale/net/PeerLinks.java
@@ -39,6 +39,7 @@
     private static final int MAX_FRAME = 4 << 20;
     /** Bytes that may wait for a slow peer before its link is given up. */
     private static final int MAX_WAITING = 1 << 20;
+
     private static final int SILENT_S = 5;
     private static final int MOST_HELD = 256;
 
@@ -53,8 +54,8 @@
      * Calls {@code connected} with a node's name whenever a link to it is new, and {@code refused} when a link
      * broke and the node refuses the next at once, as it does while its process is down (and at times otherwise).
      */
-    public PeerLinks(EventLoopGroup loop, Consumer<PeerMessage> receiver, Consumer<String> connected,
-                     Consumer<String> refused) {
+    public PeerLinks(
+            EventLoopGroup loop, Consumer<PeerMessage> receiver, Consumer<String> connected, Consumer<String> refused) {
         this.loop = loop;
         this.receiver = receiver;
         this.connected = connected;
@@ -62,15 +63,21 @@
     }
 
     public ChannelFuture listen(String hostPort) {
-        return new ServerBootstrap().group(loop).channelFactory(NioServerSocketChannel::new)
-            .option(ChannelOption.SO_REUSEADDR, true)
-            .childHandler(new ChannelInitializer<SocketChannel>() {
-                @Override
-                protected void initChannel(SocketChannel ch) {
-                    ch.pipeline().addLast(new ReadTimeoutHandler(4 * SILENT_S),
-                        new LengthFieldBasedFrameDecoder(MAX_FRAME, 0, 4, 0, 4), new Incoming());
-                }
-            }).bind(HttpClient.address(hostPort));
+        return new ServerBootstrap()
+                .group(loop)
+                .channelFactory(NioServerSocketChannel::new)
+                .option(ChannelOption.SO_REUSEADDR, true)
+                .childHandler(new ChannelInitializer<SocketChannel>() {
+                    @Override
+                    protected void initChannel(SocketChannel ch) {
+                        ch.pipeline()
+                                .addLast(
+                                        new ReadTimeoutHandler(4 * SILENT_S),
+                                        new LengthFieldBasedFrameDecoder(MAX_FRAME, 0, 4, 0, 4),
+                                        new Incoming());
+                    }
+                })
+                .bind(HttpClient.address(hostPort));
     }
 
     private final class Incoming extends SimpleChannelInboundHandler<ByteBuf> {
@@ -92,36 +99,44 @@
     }
 
     private void connect(String node, String hostPort, boolean again) {
-        new Bootstrap().group(loop).channelFactory(NioSocketChannel::new)
-            .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, 1000)
-            .option(ChannelOption.TCP_NODELAY, true)
-            .handler(new ChannelInitializer<SocketChannel>() {
-                @Override
-                protected void initChannel(SocketChannel ch) {
-                    // What one turn says goes out with one write: each costs a system call.
-                    ch.pipeline().addLast(new FlushConsolidationHandler(MOST_HELD, true), new LengthFieldPrepender(4), new ChannelInboundHandlerAdapter() {
-                        @Override
-                        public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-                            ctx.close();
+        new Bootstrap()
+                .group(loop)
+                .channelFactory(NioSocketChannel::new)
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, 1000)
+                .option(ChannelOption.TCP_NODELAY, true)
+                .handler(new ChannelInitializer<SocketChannel>() {
+                    @Override
+                    protected void initChannel(SocketChannel ch) {
+                        // What one turn says goes out with one write: each costs a system call.
+                        ch.pipeline()
+                                .addLast(
+                                        new FlushConsolidationHandler(MOST_HELD, true),
+                                        new LengthFieldPrepender(4),
+                                        new ChannelInboundHandlerAdapter() {
+                                            @Override
+                                            public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
+                                                ctx.close();
+                                            }
+                                        });
+                    }
+                })
+                .connect(HttpClient.address(hostPort))
+                .addListener((ChannelFutureListener) f -> {
+                    if (!f.isSuccess()) {
+                        if (again && f.cause() instanceof ConnectException) {
+                            refused.accept(node);
                         }
-                    });
-                }
-            }).connect(HttpClient.address(hostPort)).addListener((ChannelFutureListener) f -> {
-                if (!f.isSuccess()) {
-                    if (again && f.cause() instanceof ConnectException) {
-                        refused.accept(node);
+                        later(node, hostPort, 700, false);
+                        return;
                     }
-                    later(node, hostPort, 700, false);
-                    return;
-                }
-                Channel c = f.channel();
-                links.put(node, c);
-                c.closeFuture().addListener(closed -> {
-                    links.remove(node, c);
-                    later(node, hostPort, 30, true);
+                    Channel c = f.channel();
+                    links.put(node, c);
+                    c.closeFuture().addListener(closed -> {
+                        links.remove(node, c);
+                        later(node, hostPort, 30, true);
+                    });
+                    connected.accept(node);
                 });
-                connected.accept(node);
-            });
     }
 
     private void later(String node, String hostPort, long ms, boolean again) {
--- a/src/main/java/garnetscale/net/Sockets.java
+++ b/src/main/java/garnetscale/net/Sockets.java
@@ -19,6 +19,7 @@
      * yet at the other end: a machine behind a cut says nothing for as long as it lasts.
      */
     private static final int ASIDE = 8;
+
     private static final int LEAST_ASIDE = 8;
     /** The part that may be connections to workers at rest. */
     private static final int IDLE = 8;
@@ -29,6 +30,7 @@
     private final Set<Channel> users = new LinkedHashSet<>();
     /** Closed here and already out of the count; Netty tells of their end only later. */
     private final Set<Channel> shed = new HashSet<>();
+
     private int open;
 
     public Sockets(int maxConnections) {
--- a/src/main/java/garnetscale/peer/PeerCodec.java
+++ b/src/main/java/garnetscale/peer/PeerCodec.java
@@ -33,6 +33,7 @@
 
     /** Places in the schema's union; what stands between them is part of other messages. */
     private static final int HEARTBEAT = 0;
+
     private static final int OBSERVATION = 2;
     private static final int BOOK = 4;
     private static final int CANCELLED = 5;
@@ -180,14 +181,21 @@
     private static PeerMessage read(Decoder in) throws IOException {
         int kind = in.readIndex();
         return switch (kind) {
-            case HEARTBEAT -> new PeerMessage.Heartbeat(in.readString(), in.readLong(), in.readLong(), in.readLong(),
-                in.readBoolean());
+            case HEARTBEAT ->
+                new PeerMessage.Heartbeat(
+                        in.readString(), in.readLong(), in.readLong(), in.readLong(), in.readBoolean());
             case OBSERVATION -> new PeerMessage.Seen(observation(in));
-            case BOOK -> new PeerMessage.Book(list(in, () -> new Address(in.readString(), in.readString(), in.readString())),
-                list(in, in::readString), list(in, in::readString));
+            case BOOK ->
+                new PeerMessage.Book(
+                        list(in, () -> new Address(in.readString(), in.readString(), in.readString())),
+                        list(in, in::readString),
+                        list(in, in::readString));
             case CANCELLED -> new PeerMessage.Cancelled(in.readString());
-            case OVER -> new PeerMessage.Over(in.readString(),
-                new Records.Archived(JobState.valueOf(in.readString()), in.readInt(), in.readInt(), in.readString()));
+            case OVER ->
+                new PeerMessage.Over(
+                        in.readString(),
+                        new Records.Archived(
+                                JobState.valueOf(in.readString()), in.readInt(), in.readInt(), in.readString()));
             case BID_SHEET -> new PeerMessage.Bids(sheet(in));
             default -> throw new IOException("not a message: " + kind);
         };
@@ -204,15 +212,27 @@
     }
 
     private static Observation observation(Decoder in) throws IOException {
-        return new Observation(in.readString(), in.readLong(), in.readString(), in.readLong(), in.readString(), in.readString(),
-            in.readString(), in.readString(), in.readBoolean(), in.readLong(), in.readIndex() == 0 ? null : in.readDouble(),
-            in.readBoolean(), list(in, () -> {
-                TaskId task = TaskId.parse(in.readString());
-                long attempt = in.readLong();
-                TaskState state = STATES[in.readInt()];
-                int cause = in.readInt();
-                return new ReportedTask(task, attempt, state, cause < 0 ? null : CAUSES[cause], in.readBoolean());
-            }), list(in, in::readLong));
+        return new Observation(
+                in.readString(),
+                in.readLong(),
+                in.readString(),
+                in.readLong(),
+                in.readString(),
+                in.readString(),
+                in.readString(),
+                in.readString(),
+                in.readBoolean(),
+                in.readLong(),
+                in.readIndex() == 0 ? null : in.readDouble(),
+                in.readBoolean(),
+                list(in, () -> {
+                    TaskId task = TaskId.parse(in.readString());
+                    long attempt = in.readLong();
+                    TaskState state = STATES[in.readInt()];
+                    int cause = in.readInt();
+                    return new ReportedTask(task, attempt, state, cause < 0 ? null : CAUSES[cause], in.readBoolean());
+                }),
+                list(in, in::readLong));
     }
 
     private static BidSheet sheet(Decoder in) throws IOException {
@@ -225,7 +245,13 @@
                 terms.put(in.readString(), in.readLong());
             }
         }
-        return new BidSheet(node, incarnation, ledger, terms, list(in, () ->
-            new Bid(in.readString(), in.readLong(), in.readString(), in.readInt(), in.readDouble())));
+        return new BidSheet(
+                node,
+                incarnation,
+                ledger,
+                terms,
+                list(
+                        in,
+                        () -> new Bid(in.readString(), in.readLong(), in.readString(), in.readInt(), in.readDouble())));
     }
 }
--- a/src/main/java/garnetscale/peer/PeerMessage.java
+++ b/src/main/java/garnetscale/peer/PeerMessage.java
@@ -16,8 +16,8 @@
      * @param stateAgeMs how long ago the sender sent its last request that the state service answered
      * @param deaf       whether no worker reaches the sender
      */
-    record Heartbeat(String node, long incarnation, long leaderTerm, long stateAgeMs, boolean deaf) implements PeerMessage {
-    }
+    record Heartbeat(String node, long incarnation, long leaderTerm, long stateAgeMs, boolean deaf)
+            implements PeerMessage {}
 
     /** The leader's list of machines, the started jobs that it takes late bids for, and those that fail wherever they run. */
     record Book(List<Address> machines, List<String> lateJobs, List<String> suspects) implements PeerMessage {
@@ -25,8 +25,10 @@
         /** Explicit because it is on the hot path; see the package documentation of {@code garnetscale.core}. */
         @Override
         public boolean equals(Object o) {
-            return o instanceof Book other && machines.equals(other.machines) && lateJobs.equals(other.lateJobs)
-                && suspects.equals(other.suspects);
+            return o instanceof Book other
+                    && machines.equals(other.machines)
+                    && lateJobs.equals(other.lateJobs)
+                    && suspects.equals(other.suspects);
         }
 
         @Override
@@ -36,16 +38,12 @@
     }
 
     /** A user's cancellation that the sender has stored. */
-    record Cancelled(String job) implements PeerMessage {
-    }
+    record Cancelled(String job) implements PeerMessage {}
 
     /** A job's end, which the leader knows to be stored; a fact that never changes again. */
-    record Over(String job, Records.Archived how) implements PeerMessage {
-    }
+    record Over(String job, Records.Archived how) implements PeerMessage {}
 
-    record Seen(Observation observation) implements PeerMessage {
-    }
+    record Seen(Observation observation) implements PeerMessage {}
 
-    record Bids(BidSheet sheet) implements PeerMessage {
-    }
+    record Bids(BidSheet sheet) implements PeerMessage {}
 }
--- a/src/main/java/garnetscale/standin/StandIns.java
+++ b/src/main/java/garnetscale/standin/StandIns.java
@@ -38,6 +38,7 @@
     private static final long KEPT = 10_000;
     /** A worker reports a token that it hasn't seen before once this has passed. */
     private static final long CHANGE_REPORTED_MS = 500;
+
     private static final MachineType TYPE = new MachineType("small-4", 4, 0, 16, 20, 10, 0.4, 0.1, 5, List.of("a"));
 
     private final EventLoopGroup loop;
@@ -65,10 +66,15 @@
 
     /** Starts to serve the state service; a port of 0 takes a free one. Returns the address. */
     public String startState(String hostPort) throws IOException {
-        loop.next().scheduleAtFixedRate(() -> {
-            state.expire(now());
-            service.wake();
-        }, 50, 50, TimeUnit.MILLISECONDS);
+        loop.next()
+                .scheduleAtFixedRate(
+                        () -> {
+                            state.expire(now());
+                            service.wake();
+                        },
+                        50,
+                        50,
+                        TimeUnit.MILLISECONDS);
         return listen(hostPort, service::handle);
     }
 
@@ -98,9 +104,11 @@
     }
 
     private String listen(String hostPort, HttpServer.Handler handler) throws IOException {
-        ChannelFuture f = new HttpServer(loop, new Sockets(MOST_CONNECTIONS), MOST_CONNECTIONS, handler).listen(hostPort);
+        ChannelFuture f =
+                new HttpServer(loop, new Sockets(MOST_CONNECTIONS), MOST_CONNECTIONS, handler).listen(hostPort);
         if (!f.awaitUninterruptibly().isSuccess()) {
-            throw new IOException("can't listen on " + hostPort + ": " + f.cause().getMessage());
+            throw new IOException(
+                    "can't listen on " + hostPort + ": " + f.cause().getMessage());
         }
         return "127.0.0.1:" + ((InetSocketAddress) f.channel().localAddress()).getPort();
     }
@@ -134,8 +142,21 @@
         } else if (path.equals("/machines") && method.equals("GET")) {
             List<Object> rows = new ArrayList<>();
             for (WorkerModel w : workers) {
-                rows.add(Map.of("id", w.id(), "address", "", "breed", TYPE.name(), "field", "a", "windfall", false,
-                    "mood", "running", "age_s", 10.0));
+                rows.add(Map.of(
+                        "id",
+                        w.id(),
+                        "address",
+                        "",
+                        "breed",
+                        TYPE.name(),
+                        "field",
+                        "a",
+                        "windfall",
+                        false,
+                        "mood",
+                        "running",
+                        "age_s",
+                        10.0));
             }
             answer.accept(ok(Map.of("hives", rows, "has_next", false)));
         } else if (path.equals("/machines")) {
@@ -181,8 +202,8 @@
         try {
             if (path.equals("/commands")) {
                 Map<?, ?> m = Cbor.readMap(body);
-                boolean done = w.command(now(), ((Number) m.get("baton")).longValue(),
-                    ((Number) m.get("shift")).longValue(), orders(m));
+                boolean done = w.command(
+                        now(), ((Number) m.get("baton")).longValue(), ((Number) m.get("shift")).longValue(), orders(m));
                 status = done ? 200 : 409;
             }
             answer.accept(Reply.of(status, Cbor.write(body(w.report()))));
@@ -197,11 +218,12 @@
             Map<?, ?> row = (Map<?, ?>) o;
             TaskId task = TaskId.parse((String) row.get("chore"));
             long attempt = ((Number) row.get("try")).longValue();
-            list.add(switch ((String) row.get("verb")) {
-                case "start" -> new Order.Start(task, attempt);
-                case "halt" -> new Order.Stop(task, attempt, ((Number) row.get("mercy_s")).doubleValue());
-                default -> new Order.Clear(task, attempt);
-            });
+            list.add(
+                    switch ((String) row.get("verb")) {
+                        case "start" -> new Order.Start(task, attempt);
+                        case "halt" -> new Order.Stop(task, attempt, ((Number) row.get("mercy_s")).doubleValue());
+                        default -> new Order.Clear(task, attempt);
+                    });
         }
         return list;
     }
@@ -214,14 +236,16 @@
             m.put("try", t.attempt());
             m.put("mood", t.state().name().toLowerCase(java.util.Locale.ROOT));
             if (t.cause() != null) {
-                m.put("cause", switch (t.cause()) {
-                    case DONE -> "done";
-                    case STOPPED -> "halted";
-                    case ERROR -> "error";
-                    case NO_ROOM -> "full";
-                    case BUSY -> "in_use";
-                    default -> "no_such";
-                });
+                m.put(
+                        "cause",
+                        switch (t.cause()) {
+                            case DONE -> "done";
+                            case STOPPED -> "halted";
+                            case ERROR -> "error";
+                            case NO_ROOM -> "full";
+                            case BUSY -> "in_use";
+                            default -> "no_such";
+                        });
             }
             tasks.add(m);
         }
--- a/src/main/java/garnetscale/standin/StateModel.java
+++ b/src/main/java/garnetscale/standin/StateModel.java
@@ -11,8 +11,7 @@
 public final class StateModel {
 
     /** A key's value, the revision of its last change, and the lease it hangs on (0: none). */
-    public record Entry(Object value, long stamp, long lease) {
-    }
+    public record Entry(Object value, long stamp, long lease) {}
 
     private static final class Lease {
         final long ttlMs;
@@ -70,8 +69,10 @@
         if (leases.remove(id) == null) {
             return false;
         }
-        List<String> attached = keys.entrySet().stream().filter(e -> e.getValue().lease() == id)
-            .map(Map.Entry::getKey).toList();
+        List<String> attached = keys.entrySet().stream()
+                .filter(e -> e.getValue().lease() == id)
+                .map(Map.Entry::getKey)
+                .toList();
         if (!attached.isEmpty()) {
             ledger++;
             attached.forEach(this::remove);
@@ -120,7 +121,8 @@
                 break;
             }
             if (since == null || e.getKey().compareTo(since) > 0) {
-                page.add(new Change(e.getKey(), e.getValue().value(), e.getValue().stamp()));
+                page.add(new Change(
+                        e.getKey(), e.getValue().value(), e.getValue().stamp()));
             }
         }
         return page;
@@ -132,6 +134,8 @@
         while (from > 0 && log.get(from - 1).stamp() > since) {
             from--;
         }
-        return log.subList(from, log.size()).stream().filter(c -> c.key().startsWith(prefix)).toList();
+        return log.subList(from, log.size()).stream()
+                .filter(c -> c.key().startsWith(prefix))
+                .toList();
     }
 }
--- a/src/main/java/garnetscale/standin/StateService.java
+++ b/src/main/java/garnetscale/standin/StateService.java
@@ -16,8 +16,7 @@
 /** The state service's requests by its published protocol, on a {@link StateModel}; without limits or failures of its own. */
 public final class StateService {
 
-    private record Waiting(String prefix, long since, long until, Consumer<Reply> answer) {
-    }
+    private record Waiting(String prefix, long since, long until, Consumer<Reply> answer) {}
 
     private final StateModel state;
     private final LongSupplier clock;
@@ -49,8 +48,11 @@
                 answer.accept(Reply.of(410));
             } else if (path.equals("/follow")) {
                 long wait = Long.parseLong(param(q, "wait_ms", "0"));
-                watches.add(new Waiting(param(q, "starts", ""), Long.parseLong(param(q, "since", "0")), clock.getAsLong() + wait,
-                    answer));
+                watches.add(new Waiting(
+                        param(q, "starts", ""),
+                        Long.parseLong(param(q, "since", "0")),
+                        clock.getAsLong() + wait,
+                        answer));
             } else if (path.equals("/keys")) {
                 int limit = Integer.parseInt(param(q, "limit", "1000"));
                 List<Change> page = state.list(param(q, "starts", ""), param(q, "since", null), limit + 1);
@@ -62,8 +64,10 @@
                 answer.accept(ok(Map.of("pairs", pairs, "has_next", more, "ledger", state.ledger())));
             } else if (path.startsWith("/keys/")) {
                 StateModel.Entry e = state.get(path.substring(6));
-                answer.accept(e == null ? Reply.of(404, Cbor.write(Map.of("ledger", state.ledger())))
-                    : ok(Map.of("key", path.substring(6), "v", e.value(), "stamp", e.stamp())));
+                answer.accept(
+                        e == null
+                                ? Reply.of(404, Cbor.write(Map.of("ledger", state.ledger())))
+                                : ok(Map.of("key", path.substring(6), "v", e.value(), "stamp", e.stamp())));
             } else {
                 answer.accept(Reply.of(404));
             }
@@ -98,11 +102,17 @@
                 txn.delete((String) op.get("remove"));
             }
         }
-        List<String> failed = txn.guards().entrySet().stream().filter(g -> stamp(g.getKey()) != g.getValue())
-            .map(Map.Entry::getKey).toList();
+        List<String> failed = txn.guards().entrySet().stream()
+                .filter(g -> stamp(g.getKey()) != g.getValue())
+                .map(Map.Entry::getKey)
+                .toList();
         int status = state.commit(txn);
-        return Reply.of(status, Cbor.write(status == 409 ? Map.of("failed", failed, "ledger", state.ledger())
-            : Map.of("ledger", state.ledger())));
+        return Reply.of(
+                status,
+                Cbor.write(
+                        status == 409
+                                ? Map.of("failed", failed, "ledger", state.ledger())
+                                : Map.of("ledger", state.ledger())));
     }
 
     private long stamp(String key) {
@@ -120,8 +130,10 @@
             watches.remove(w);
             List<Object> log = new ArrayList<>();
             for (Change c : changes) {
-                log.add(c.value() == null ? Map.of("remove", c.key(), "stamp", c.stamp())
-                    : Map.of("set", c.key(), "v", c.value(), "stamp", c.stamp()));
+                log.add(
+                        c.value() == null
+                                ? Map.of("remove", c.key(), "stamp", c.stamp())
+                                : Map.of("set", c.key(), "v", c.value(), "stamp", c.stamp()));
             }
             w.answer().accept(ok(Map.of("ledger", state.ledger(), "log", log)));
         }
--- a/src/main/java/garnetscale/standin/WorkerModel.java
+++ b/src/main/java/garnetscale/standin/WorkerModel.java
@@ -1,6 +1,7 @@
 package garnetscale.standin;
 
 import garnetscale.core.job.JobSpec;
+import garnetscale.core.job.TaskId;
 import garnetscale.core.machine.ExitCause;
 import garnetscale.core.machine.MachineType;
 import garnetscale.core.machine.Order;
@@ -8,7 +9,6 @@
 import garnetscale.core.machine.ReportedTask;
 import garnetscale.core.machine.Room;
 import garnetscale.core.machine.TaskState;
-import garnetscale.core.job.TaskId;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.LinkedHashMap;
@@ -60,8 +60,15 @@
     private double slowness = 1;
     private Predicate<TaskId> fails = t -> false;
 
-    public WorkerModel(String id, String address, MachineType type, String zone, long leaseMs, long now,
-                       Function<String, JobSpec> jobs, Watcher watcher) {
+    public WorkerModel(
+            String id,
+            String address,
+            MachineType type,
+            String zone,
+            long leaseMs,
+            long now,
+            Function<String, JobSpec> jobs,
+            Watcher watcher) {
         this.id = id;
         this.address = address;
         this.type = type;
@@ -187,7 +194,8 @@
         JobSpec job = jobs.apply(order.task().job());
         Running t = new Running(order.task(), order.attempt(), TaskState.FETCHING, now);
         tasks.put(order.attempt(), t);
-        boolean busy = tasks.values().stream().anyMatch(o -> o != t && o.id.equals(t.id) && o.state != TaskState.EXITED);
+        boolean busy =
+                tasks.values().stream().anyMatch(o -> o != t && o.id.equals(t.id) && o.state != TaskState.EXITED);
         if (job == null) {
             exit(t, ExitCause.UNKNOWN_TASK);
         } else if (busy) {
--- a/src/main/java/garnetscale/wire/Cbor.java
+++ b/src/main/java/garnetscale/wire/Cbor.java
@@ -16,10 +16,11 @@
 public final class Cbor {
 
     private static final CBORFactory FACTORY = CBORFactory.builder()
-        .streamReadConstraints(StreamReadConstraints.builder().maxNestingDepth(32).build()).build();
+            .streamReadConstraints(
+                    StreamReadConstraints.builder().maxNestingDepth(32).build())
+            .build();
 
-    private Cbor() {
-    }
+    private Cbor() {}
 
     /** Reads exactly one value; anything else is an IOException. */
     public static Object read(byte[] body) throws IOException {
--- a/src/main/java/garnetscale/wire/CloudCodec.java
+++ b/src/main/java/garnetscale/wire/CloudCodec.java
@@ -15,11 +15,9 @@
     public static final int PAGE = 500;
 
     /** A page of the machine list. */
-    public record Page(List<Listed> machines, boolean more) {
-    }
+    public record Page(List<Listed> machines, boolean more) {}
 
-    private CloudCodec() {
-    }
+    private CloudCodec() {}
 
     public static List<MachineType> types(byte[] body) throws IOException {
         List<MachineType> list = new ArrayList<>();
@@ -28,9 +26,17 @@
             double price = t.amount("rate");
             Double spot = t.amountOrNull("market_price");
             List<String> zones = t.textsOrNull("fields");
-            list.add(new MachineType(t.text("name"), t.amount("cpus"), t.amount("gpus"), t.amount("ram_gb"),
-                t.amount("cache_gb"), t.amount("fetch_gb_per_s"), price, spot == null ? price : spot,
-                t.amount("startup_s"), zones == null ? List.of() : zones));
+            list.add(new MachineType(
+                    t.text("name"),
+                    t.amount("cpus"),
+                    t.amount("gpus"),
+                    t.amount("ram_gb"),
+                    t.amount("cache_gb"),
+                    t.amount("fetch_gb_per_s"),
+                    price,
+                    spot == null ? price : spot,
+                    t.amount("startup_s"),
+                    zones == null ? List.of() : zones));
         }
         return List.copyOf(list);
     }
@@ -63,14 +69,21 @@
         List<Listed> list = new ArrayList<>();
         for (Object o : f.list("hives")) {
             Fields m = Fields.of(o, "machine");
-            Listed.State state = switch (m.text("mood")) {
-                case "failed" -> Listed.State.FAILED;
-                case "running" -> Listed.State.RUNNING;
-                default -> Listed.State.BOOTING;
-            };
+            Listed.State state =
+                    switch (m.text("mood")) {
+                        case "failed" -> Listed.State.FAILED;
+                        case "running" -> Listed.State.RUNNING;
+                        default -> Listed.State.BOOTING;
+                    };
             String address = m.textOrNull("address");
-            list.add(new Listed(m.text("id"), address == null ? "" : address, m.text("breed"), m.text("field"),
-                m.flagOrFalse("windfall"), state, m.amount("age_s")));
+            list.add(new Listed(
+                    m.text("id"),
+                    address == null ? "" : address,
+                    m.text("breed"),
+                    m.text("field"),
+                    m.flagOrFalse("windfall"),
+                    state,
+                    m.amount("age_s")));
         }
         return new Page(list, f.flagOrFalse("has_next"));
     }
--- a/src/main/java/garnetscale/wire/StateCodec.java
+++ b/src/main/java/garnetscale/wire/StateCodec.java
@@ -4,8 +4,8 @@
 import garnetscale.core.store.Txn;
 import java.io.IOException;
 import java.util.ArrayList;
-import java.util.LinkedHashMap;
 import java.util.HashSet;
+import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
@@ -14,11 +14,9 @@
 public final class StateCodec {
 
     /** Keys as of a revision: a page of a listing, or a watch's log. */
-    public record Batch(List<Change> changes, long ledger, boolean more) {
-    }
+    public record Batch(List<Change> changes, long ledger, boolean more) {}
 
-    private StateCodec() {
-    }
+    private StateCodec() {}
 
     public static byte[] txn(Txn txn) {
         List<Object> guards = new ArrayList<>();
@@ -83,8 +81,8 @@
         for (Object o : f.list("log")) {
             Map<?, ?> m = (Map<?, ?>) o;
             boolean set = m.containsKey("set");
-            list.add(new Change((String) m.get(set ? "set" : "remove"), set ? m.get("v") : null,
-                new Fields(m).whole("stamp")));
+            list.add(new Change(
+                    (String) m.get(set ? "set" : "remove"), set ? m.get("v") : null, new Fields(m).whole("stamp")));
         }
         return new Batch(list, f.whole("ledger"), false);
     }
--- a/src/main/java/garnetscale/wire/Trees.java
+++ b/src/main/java/garnetscale/wire/Trees.java
@@ -11,8 +11,7 @@
 /** What any of Jackson's streaming parsers brings, as plain maps, lists, texts and numbers. */
 public final class Trees {
 
-    private Trees() {
-    }
+    private Trees() {}
 
     /** Reads exactly one value; anything else is an IOException. */
     public static Object read(JsonParser p) throws IOException {
--- a/src/main/java/garnetscale/wire/UserCodec.java
+++ b/src/main/java/garnetscale/wire/UserCodec.java
@@ -15,11 +15,9 @@
     private static final Pattern ID = Pattern.compile("wk-[0-9]{1,18}");
 
     /** What a user is told of a job; {@code why} is null unless work waits, was stopped or is refused. */
-    public record Answer(String id, String state, int done, int running, String team, String why) {
-    }
+    public record Answer(String id, String state, int done, int running, String team, String why) {}
 
-    private UserCodec() {
-    }
+    private UserCodec() {}
 
     public static boolean isId(String id) {
         return ID.matcher(id).matches();
@@ -40,21 +38,38 @@
         if (!f.text("shape").equals("array")) {
             throw new IOException("shape is not array");
         }
-        Priority priority = switch (f.text("rank")) {
-            case "critical" -> Priority.CRITICAL;
-            case "high" -> Priority.HIGH;
-            case "standard" -> Priority.NORMAL;
-            case "low" -> Priority.LOW;
-            default -> throw new IOException("rank is not critical, high, standard or low");
-        };
+        Priority priority =
+                switch (f.text("rank")) {
+                    case "critical" -> Priority.CRITICAL;
+                    case "high" -> Priority.HIGH;
+                    case "standard" -> Priority.NORMAL;
+                    case "low" -> Priority.LOW;
+                    default -> throw new IOException("rank is not critical, high, standard or low");
+                };
         long tasks = f.whole("chores");
         if (tasks < 1 || tasks > MAX_TASKS) {
             throw new IOException("chores is not from 1 to " + MAX_TASKS);
         }
-        return new JobSpec(id, text(f, "herd"), text(f, "crew"), priority, (int) tasks, f.amount("cpus"),
-            f.amount("gpus"), f.amount("ram_gb"), f.textsOrNull("breeds"), f.textOrNull("field"),
-            f.flag("same_place"), f.flag("apart"), f.flag("windfall"), text(f, "seed"), f.amount("image_gb"),
-            f.amount("guess_s"), f.amount("pin_s"), f.amount("stash_s"), f.amountOrNull("due_s"));
+        return new JobSpec(
+                id,
+                text(f, "herd"),
+                text(f, "crew"),
+                priority,
+                (int) tasks,
+                f.amount("cpus"),
+                f.amount("gpus"),
+                f.amount("ram_gb"),
+                f.textsOrNull("breeds"),
+                f.textOrNull("field"),
+                f.flag("same_place"),
+                f.flag("apart"),
+                f.flag("windfall"),
+                text(f, "seed"),
+                f.amount("image_gb"),
+                f.amount("guess_s"),
+                f.amount("pin_s"),
+                f.amount("stash_s"),
+                f.amountOrNull("due_s"));
     }
 
     private static String text(Fields f, String name) throws IOException {
--- a/src/main/java/garnetscale/wire/WorkerCodec.java
+++ b/src/main/java/garnetscale/wire/WorkerCodec.java
@@ -15,8 +15,7 @@
 /** Reports and commands. */
 public final class WorkerCodec {
 
-    private WorkerCodec() {
-    }
+    private WorkerCodec() {}
 
     public static Report report(byte[] body) throws IOException {
         Fields f = new Fields(Cbor.readMap(body));
@@ -28,12 +27,24 @@
                 throw new IOException("chore is not job/number");
             }
             TaskState state = state(t.text("mood"));
-            tasks.add(new ReportedTask(id, t.whole("try"), state,
-                state == TaskState.EXITED ? cause(t.textOrNull("cause")) : null, t.flagOrFalse("saved")));
+            tasks.add(new ReportedTask(
+                    id,
+                    t.whole("try"),
+                    state,
+                    state == TaskState.EXITED ? cause(t.textOrNull("cause")) : null,
+                    t.flagOrFalse("saved")));
         }
-        return new Report(f.text("hive"), f.text("address"), f.text("breed"), f.text("field"),
-            f.flagOrFalse("windfall"), f.whole("shift"), f.whole("tick"), f.wholeOr("baton", 0),
-            f.amountOrNull("warning_s"), List.copyOf(tasks));
+        return new Report(
+                f.text("hive"),
+                f.text("address"),
+                f.text("breed"),
+                f.text("field"),
+                f.flagOrFalse("windfall"),
+                f.whole("shift"),
+                f.whole("tick"),
+                f.wholeOr("baton", 0),
+                f.amountOrNull("warning_s"),
+                List.copyOf(tasks));
     }
 
     private static TaskState state(String s) {
--- a/src/test/java/garnetscale/app/ArchiveTest.java
+++ b/src/test/java/garnetscale/app/ArchiveTest.java
@@ -46,7 +46,10 @@
         @Override
         public void present(List<String> keys, Consumer<Set<String>> done) {
             requests++;
-            done.accept(silent ? null : keys.stream().filter(values::containsKey).limit(1).collect(Collectors.toSet()));
+            done.accept(
+                    silent
+                            ? null
+                            : keys.stream().filter(values::containsKey).limit(1).collect(Collectors.toSet()));
         }
 
         void work() {
@@ -61,7 +64,11 @@
     private final Map<String, String> told = new TreeMap<>();
 
     private void ask(String id) {
-        archive.ask(id, (sure, how) -> told.put(id, !sure ? "unknown" : how == null ? "never" : how.state().name()));
+        archive.ask(
+                id,
+                (sure, how) -> told.put(
+                        id,
+                        !sure ? "unknown" : how == null ? "never" : how.state().name()));
     }
 
     /** Each question used to cost a read, of which a node may make eight a second. */
--- a/src/test/java/garnetscale/app/FrontTest.java
+++ b/src/test/java/garnetscale/app/FrontTest.java
@@ -23,7 +23,9 @@
             String id = "wk-" + (100 + i);
             boolean bad = i % 10 == 9;
             t.at(2000 + t.random.nextInt(20_000), () -> t.submit(id, bad && id.endsWith("9") ? "nobody" : "red", 1));
-            t.at(2000 + t.random.nextInt(20_000), () -> t.ask(t.any(), "GET", "/v2/runs/" + Town.NOBODYS, null, Town.NOBODYS, r -> { }));
+            t.at(
+                    2000 + t.random.nextInt(20_000),
+                    () -> t.ask(t.any(), "GET", "/v2/runs/" + Town.NOBODYS, null, Town.NOBODYS, r -> {}));
         }
         more.accept(t);
         t.run(45_000);
@@ -51,7 +53,7 @@
     /** Right after a job was accepted, ended or confirmed as cancelled, asked at all nodes. */
     @Test
     void closeLooksAreNeverAnsweredWithSomethingOlder() {
-        Map<String, Integer> met = days(0, 0, t -> { });
+        Map<String, Integer> met = days(0, 0, t -> {});
         least(met, 10_000, "close look");
         least(met, 2000, "asked where the mirror was behind");
         least(met, 100, "told done", "told withdrawn on cancelling");
@@ -61,7 +63,7 @@
     /** Only the answer is lost, while the other nodes read what was written. */
     @Test
     void aTransactionWhoseAnswerIsLostIsReadAgain() {
-        Map<String, Integer> met = days(0.3, 0, t -> { });
+        Map<String, Integer> met = days(0.3, 0, t -> {});
         least(met, 500, "carried out, answer lost");
         least(met, 50, "told withdrawn on cancelling", "told done on cancelling");
     }
@@ -69,7 +71,7 @@
     /** Carried out seconds later, after newer ones: an ended job isn't begun again, and a done one isn't cancelled. */
     @Test
     void aLateTransactionChangesNothingThatWasDecided() {
-        Map<String, Integer> met = days(0.1, 0.3, t -> { });
+        Map<String, Integer> met = days(0.1, 0.3, t -> {});
         least(met, 50, "carried out late", "late and overtaken", "told withdrawn on cancelling");
     }
 
--- a/src/test/java/garnetscale/app/SettingsTest.java
+++ b/src/test/java/garnetscale/app/SettingsTest.java
@@ -14,7 +14,8 @@
 /** The platform's file: what is needed, what is ignored, and how faults are named. */
 class SettingsTest {
 
-    private static final String GOOD = """
+    private static final String GOOD =
+            """
         node_name = "hive-0"
         site = "a"
         listen = "10.0.0.1:8080"
@@ -77,10 +78,13 @@
     void namesEachFaultWithItsKey() {
         assertEquals(List.of("facts.workers.lease_s is missing"), faults(GOOD.replace("lease_s = 10.0", "")));
         assertEquals(List.of("facts.state.rps must be above 0"), faults(GOOD.replace("\nrps = 150.0", "\nrps = -1.0")));
-        assertEquals(List.of("facts.workers.cancel_s must be longer than lease_s"),
-            faults(GOOD.replace("cancel_s = 35.0", "cancel_s = 9.0")));
-        assertEquals(List.of("listen is not an address like 10.0.0.1:8080", "members[0].endpoint is missing"),
-            faults(GOOD.replace("listen = \"10.0.0.1:8080\"", "listen = \"here\"").replace("endpoint =", "end =")));
+        assertEquals(
+                List.of("facts.workers.cancel_s must be longer than lease_s"),
+                faults(GOOD.replace("cancel_s = 35.0", "cancel_s = 9.0")));
+        assertEquals(
+                List.of("listen is not an address like 10.0.0.1:8080", "members[0].endpoint is missing"),
+                faults(GOOD.replace("listen = \"10.0.0.1:8080\"", "listen = \"here\"")
+                        .replace("endpoint =", "end =")));
         assertEquals(List.of("members: a node_name stands twice"), faults(GOOD.replace("hive-1", "hive-0")));
         assertTrue(faults("node_name = ").get(0).startsWith("not TOML"));
     }
--- a/src/test/java/garnetscale/app/StateLinkTest.java
+++ b/src/test/java/garnetscale/app/StateLinkTest.java
@@ -44,7 +44,14 @@
     private static void change(Town t, String key) {
         StateModel.Entry e = t.state.get(key);
         Txn txn = new Txn().guard(key, e == null ? 0 : e.stamp());
-        assertEquals(200, t.state.commit(e == null ? txn.put(key, Town.record(key.substring(Keys.job("").length()))) : txn.delete(key)));
+        assertEquals(
+                200,
+                t.state.commit(
+                        e == null
+                                ? txn.put(
+                                        key,
+                                        Town.record(key.substring(Keys.job("").length())))
+                                : txn.delete(key)));
     }
 
     @Test
--- a/src/test/java/garnetscale/app/Town.java
+++ b/src/test/java/garnetscale/app/Town.java
@@ -15,8 +15,8 @@
 import garnetscale.net.Reply;
 import garnetscale.standin.StateModel;
 import garnetscale.standin.StateService;
-import garnetscale.wire.Cbor;
 import garnetscale.timeline.Timeline;
+import garnetscale.wire.Cbor;
 import io.netty.handler.codec.http.HttpMethod;
 import java.io.IOException;
 import java.util.ArrayList;
@@ -40,11 +40,14 @@
     private static final int NODES = 3;
     /** Asked about, and never submitted. */
     static final String NOBODYS = "wk-7";
+
     private static final MachineType TYPE = new MachineType("t", 8, 0, 32, 20, 1, 1, 0.5, 20, List.of("a"));
 
     /** What users know: how far a job has come by the newest answer. */
     private enum Told {
-        NOTHING, ACCEPTED, OVER
+        NOTHING,
+        ACCEPTED,
+        OVER
     }
 
     final StateModel state = new StateModel();
@@ -59,6 +62,7 @@
     private final TreeMap<Long, Long> ledgers = new TreeMap<>();
     /** Shares of transactions of which only the answer is lost, and of those that are carried out late without one. */
     double answerLost;
+
     double late;
     long failingUntil;
     boolean ending = true;
@@ -99,7 +103,9 @@
             });
             at(2000, () -> done.accept(TxnResult.MAYBE, -1L));
         } else if (luck < answerLost + late) {
-            at(2000 + random.nextInt(10_000), () -> met(state.commit(txn) == 200 ? "carried out late" : "late and overtaken"));
+            at(
+                    2000 + random.nextInt(10_000),
+                    () -> met(state.commit(txn) == 200 ? "carried out late" : "late and overtaken"));
             at(2000, () -> done.accept(TxnResult.MAYBE, -1L));
         } else {
             at(hop(), () -> {
@@ -113,26 +119,53 @@
     /** The leader's part: now and then a job's last task ends, which is stored over its key; then all nodes are told. */
     private void end() {
         if (ending) {
-            List<String> live = state.list(Keys.job(""), null, 100).stream().map(c -> c.key().substring(Keys.job("").length())).toList();
+            List<String> live = state.list(Keys.job(""), null, 100).stream()
+                    .map(c -> c.key().substring(Keys.job("").length()))
+                    .toList();
             if (!live.isEmpty()) {
                 String id = live.get(random.nextInt(live.size()));
                 StateModel.Entry e = state.get(Keys.job(id));
                 JobState was = Records.job(id, e.value()).state();
                 Records.Archived how = new Records.Archived(was == JobState.LIVE ? JobState.DONE : was, 1, 1, "red");
-                commit(new Txn().guard(Keys.job(id), e.stamp()).delete(Keys.job(id)).put(Keys.archived(id), Records.archived(how)),
-                    (result, ledger) -> {
-                        if (result == TxnResult.OK) {
-                            desks.forEach(d -> at(hop(), () -> d.front.over(id, how)));
-                        }
-                    });
+                commit(
+                        new Txn()
+                                .guard(Keys.job(id), e.stamp())
+                                .delete(Keys.job(id))
+                                .put(Keys.archived(id), Records.archived(how)),
+                        (result, ledger) -> {
+                            if (result == TxnResult.OK) {
+                                desks.forEach(d -> at(hop(), () -> d.front.over(id, how)));
+                            }
+                        });
             }
         }
         at(100 + random.nextInt(200), this::end);
     }
 
     static Map<String, Object> record(String id) {
-        return Records.job(new JobRecord(new JobSpec(id, "c", "red", Priority.NORMAL, 1, 1, 0, 1, null, null, false, false, true, "img",
-            0.5, 10, 0, 0, null), JobState.LIVE, 0));
+        return Records.job(new JobRecord(
+                new JobSpec(
+                        id,
+                        "c",
+                        "red",
+                        Priority.NORMAL,
+                        1,
+                        1,
+                        0,
+                        1,
+                        null,
+                        null,
+                        false,
+                        false,
+                        true,
+                        "img",
+                        0.5,
+                        10,
+                        0,
+                        0,
+                        null),
+                JobState.LIVE,
+                0));
     }
 
     // ---- users
@@ -277,9 +310,9 @@
                 at(random.nextInt(12), () -> {
                     met("close look");
                     switch (random.nextInt(4)) {
-                        case 0 -> ask(d, "POST", "/v2/runs", body(id, "red", 2, true), id, r -> { });
-                        case 1 -> ask(d, "POST", "/v2/runs", body(id, "nobody", 99, random.nextBoolean()), id, r -> { });
-                        default -> ask(d, "GET", "/v2/runs/" + id, null, id, r -> { });
+                        case 0 -> ask(d, "POST", "/v2/runs", body(id, "red", 2, true), id, r -> {});
+                        case 1 -> ask(d, "POST", "/v2/runs", body(id, "nobody", 99, random.nextBoolean()), id, r -> {});
+                        default -> ask(d, "GET", "/v2/runs/" + id, null, id, r -> {});
                     }
                 });
             }
@@ -337,11 +370,25 @@
             for (int i = 0; i < NODES; i++) {
                 members.add(new Params.Member("n" + i, "a", ""));
             }
-            Params params = new Params(name, members, List.of("a"),
-                Params.byName(List.of(new Params.Team("red", 8, 64, 0, 0))), List.of(), 1000, 10_000, 35_000, 24, 450, 180,
-                16384, 1.5, 10_000, 600, 25);
+            Params params = new Params(
+                    name,
+                    members,
+                    List.of("a"),
+                    Params.byName(List.of(new Params.Team("red", 8, 64, 0, 0))),
+                    List.of(),
+                    1000,
+                    10_000,
+                    35_000,
+                    24,
+                    450,
+                    180,
+                    16384,
+                    1.5,
+                    10_000,
+                    600,
+                    25);
             state = new StateLink(params, this, random, mirror, this);
-            front = new Front(params, mirror, state, job -> null, job -> { });
+            front = new Front(params, mirror, state, job -> null, job -> {});
             state.start();
         }
 
@@ -372,15 +419,17 @@
             double luck = write ? random.nextDouble() : 1;
             boolean lost = luck < answerLost;
             boolean held = !lost && luck < answerLost + late;
-            at(held ? 2000 + random.nextInt(10_000) : hop(), () -> arrive(method, path, body, reply -> {
-                if (held) {
-                    met(reply.status() == 200 ? "carried out late" : "late and overtaken");
-                } else if (lost) {
-                    met(reply.status() == 200 ? "carried out, answer lost" : "refused, answer lost");
-                } else {
-                    at(hop(), () -> once.accept(HttpResult.answered(reply.status(), reply.body())));
-                }
-            }));
+            at(
+                    held ? 2000 + random.nextInt(10_000) : hop(),
+                    () -> arrive(method, path, body, reply -> {
+                        if (held) {
+                            met(reply.status() == 200 ? "carried out late" : "late and overtaken");
+                        } else if (lost) {
+                            met(reply.status() == 200 ? "carried out, answer lost" : "refused, answer lost");
+                        } else {
+                            at(hop(), () -> once.accept(HttpResult.answered(reply.status(), reply.body())));
+                        }
+                    }));
         }
 
         /** What hangs open in a refusal is answered when it is over, however old it is by then. */
@@ -410,8 +459,8 @@
         public void confirmed(long sentAt) {
             confirmedAt = Math.max(confirmedAt, sentAt);
             if (sentAt > now || mirror.ledger() < ledgerAt(sentAt)) {
-                broken.add(name + " at " + now + " takes itself for complete as of " + sentAt + ", revision " + ledgerAt(sentAt)
-                    + ", and has " + mirror.ledger());
+                broken.add(name + " at " + now + " takes itself for complete as of " + sentAt + ", revision "
+                        + ledgerAt(sentAt) + ", and has " + mirror.ledger());
             }
             if (refuses(this) && sentAt >= refusalBegan) {
                 broken.add(name + " is confirmed by a request that was sent while it was refused");
--- a/src/test/java/garnetscale/core/CorePurityTest.java
+++ b/src/test/java/garnetscale/core/CorePurityTest.java
@@ -13,9 +13,23 @@
 /** The core decides by message and time alone: no sockets, files, threads, clocks or codecs in it. */
 class CorePurityTest {
 
-    private static final List<String> FOREIGN = List.of("io.netty", "com.fasterxml", "org.apache.avro", "java.io.",
-        "java.nio", "java.net", "java.util.concurrent", "System.nanoTime", "System.currentTimeMillis", "Thread",
-        "java.time", "Random", "garnetscale.net", "garnetscale.wire", "garnetscale.peer", "garnetscale.app");
+    private static final List<String> FOREIGN = List.of(
+            "io.netty",
+            "com.fasterxml",
+            "org.apache.avro",
+            "java.io.",
+            "java.nio",
+            "java.net",
+            "java.util.concurrent",
+            "System.nanoTime",
+            "System.currentTimeMillis",
+            "Thread",
+            "java.time",
+            "Random",
+            "garnetscale.net",
+            "garnetscale.wire",
+            "garnetscale.peer",
+            "garnetscale.app");
 
     @Test
     void coreKnowsNothingOfTheOutside() throws IOException {
--- a/src/test/java/garnetscale/core/ExplicitEqualityTest.java
+++ b/src/test/java/garnetscale/core/ExplicitEqualityTest.java
@@ -27,16 +27,26 @@
 class ExplicitEqualityTest {
 
     @ParameterizedTest
-    @ValueSource(classes = {TaskId.class, Placement.class, ReportedTask.class, Address.class, Bid.class, LeaderInfo.class,
-        Observation.class, PeerMessage.Book.class})
+    @ValueSource(
+            classes = {
+                TaskId.class,
+                Placement.class,
+                ReportedTask.class,
+                Address.class,
+                Bid.class,
+                LeaderInfo.class,
+                Observation.class,
+                PeerMessage.Book.class
+            })
     void everyComponentCounts(Class<? extends Record> type) throws ReflectiveOperationException {
         RecordComponent[] components = type.getRecordComponents();
         Constructor<? extends Record> constructor = type.getDeclaredConstructor(
-            Arrays.stream(components).map(RecordComponent::getType).toArray(Class<?>[]::new));
+                Arrays.stream(components).map(RecordComponent::getType).toArray(Class<?>[]::new));
         constructor.setAccessible(true);
         Object[] values = Arrays.stream(components).map(c -> sample(c, 0)).toArray();
         Record original = constructor.newInstance(values);
-        Record copy = constructor.newInstance(Arrays.stream(components).map(c -> sample(c, 0)).toArray());
+        Record copy = constructor.newInstance(
+                Arrays.stream(components).map(c -> sample(c, 0)).toArray());
         assertEquals(original, copy);
         assertEquals(original.hashCode(), copy.hashCode());
         assertNotEquals(original, null);
--- a/src/test/java/garnetscale/core/bid/BiddingTest.java
+++ b/src/test/java/garnetscale/core/bid/BiddingTest.java
@@ -31,8 +31,26 @@
     private final List<Bidding.Bidder> bidders = new ArrayList<>();
 
     private void job(String id, int tasks, double cpus, String type) {
-        JobSpec s = new JobSpec(id, "c", "red", Priority.NORMAL, tasks, cpus, 0, 1, List.of(type), null, false, false, true,
-            "img", 1, 30, 0, 0, null);
+        JobSpec s = new JobSpec(
+                id,
+                "c",
+                "red",
+                Priority.NORMAL,
+                tasks,
+                cpus,
+                0,
+                1,
+                List.of(type),
+                null,
+                false,
+                false,
+                true,
+                "img",
+                1,
+                30,
+                0,
+                0,
+                null);
         jobs.add(new Change(Keys.job(id), Records.job(new JobRecord(s, JobState.LIVE, 0)), 1));
     }
 
@@ -44,9 +62,25 @@
 
     private List<Bid> bids() {
         mirror.reset(jobs, 1);
-        Scarcity scarcity = new Scarcity(new Params("n0", List.of(), List.of("a"), Params.byName(List.of()), List.of(), 1000,
-            10_000, 40_000, 24, 150, 60, 16384, 1.5, 10_000, 600, 25));
-        return new Bidding(mirror, new Estimator(1000), scarcity, 0, Set.of()).bids(List.copyOf(mirror.jobs()), bidders);
+        Scarcity scarcity = new Scarcity(new Params(
+                "n0",
+                List.of(),
+                List.of("a"),
+                Params.byName(List.of()),
+                List.of(),
+                1000,
+                10_000,
+                40_000,
+                24,
+                150,
+                60,
+                16384,
+                1.5,
+                10_000,
+                600,
+                25));
+        return new Bidding(mirror, new Estimator(1000), scarcity, 0, Set.of())
+                .bids(List.copyOf(mirror.jobs()), bidders);
     }
 
     /** Many jobs of which the small machines are full once ended the sheet before the large ones had bid at all. */
@@ -59,8 +93,13 @@
         }
         job("wk-99", 4, 16, "large");
         List<Bid> bids = bids();
-        assertEquals(List.of(new Bid("m-large0", 1, "wk-99", 2, 31)), bids.stream().filter(b -> b.job().equals("wk-99")).toList());
-        double offered = bids.stream().filter(b -> !b.job().equals("wk-99")).mapToDouble(b -> 4 * b.slots()).sum();
+        assertEquals(
+                List.of(new Bid("m-large0", 1, "wk-99", 2, 31)),
+                bids.stream().filter(b -> b.job().equals("wk-99")).toList());
+        double offered = bids.stream()
+                .filter(b -> !b.job().equals("wk-99"))
+                .mapToDouble(b -> 4 * b.slots())
+                .sum();
         assertTrue(offered <= 3 * 80, offered + " CPUs offered of 80");
     }
 }
--- a/src/test/java/garnetscale/core/block/HearingTest.java
+++ b/src/test/java/garnetscale/core/block/HearingTest.java
@@ -16,8 +16,23 @@
     private static final int MACHINES = 100;
     private static final List<String> ALL = List.of("m-0", "m-1", "m-2", "m-3", "m-4");
 
-    private final Hearing hearing = new Hearing(new Params("n0", List.of(), List.of("a"), Map.of(), List.of(), 5000, 22_000,
-        47_000, 32, 100, 40, 16384, 6, 3000, 2500, 25));
+    private final Hearing hearing = new Hearing(new Params(
+            "n0",
+            List.of(),
+            List.of("a"),
+            Map.of(),
+            List.of(),
+            5000,
+            22_000,
+            47_000,
+            32,
+            100,
+            40,
+            16384,
+            6,
+            3000,
+            2500,
+            25));
 
     /** Looks every quarter of a second until the given time; returns when it found itself deaf, or -1. */
     private long look(long from, long until, int due) {
--- a/src/test/java/garnetscale/core/block/OfferTest.java
+++ b/src/test/java/garnetscale/core/block/OfferTest.java
@@ -28,9 +28,23 @@
     private static final long TERM = Terms.blockTerm(1, 1);
     private static final long REPORT = 1000;
 
-    private final Params params = new Params("n0", List.of(new Params.Member("n0", "a", "")), List.of("a"),
-        Params.byName(List.of(new Params.Team("red", 8, 64, 0, 0))), List.of(), REPORT, 10_000, 35_000, 24, 150, 60, 16384, 1.5,
-        10_000, 600, 25);
+    private final Params params = new Params(
+            "n0",
+            List.of(new Params.Member("n0", "a", "")),
+            List.of("a"),
+            Params.byName(List.of(new Params.Team("red", 8, 64, 0, 0))),
+            List.of(),
+            REPORT,
+            10_000,
+            35_000,
+            24,
+            150,
+            60,
+            16384,
+            1.5,
+            10_000,
+            600,
+            25);
     private final Holder holder;
     private int sheets;
     private int bids;
@@ -38,12 +52,32 @@
 
     OfferTest() {
         StateModel state = new StateModel();
-        JobSpec job = new JobSpec("wk-1", "c", "red", Priority.NORMAL, 1, 1, 0, 1, null, null, false, false, true, "img", 0, 10, 0, 0,
-            null);
+        JobSpec job = new JobSpec(
+                "wk-1",
+                "c",
+                "red",
+                Priority.NORMAL,
+                1,
+                1,
+                0,
+                1,
+                null,
+                null,
+                false,
+                false,
+                true,
+                "img",
+                0,
+                10,
+                0,
+                0,
+                null);
         state.commit(new Txn()
-            .put(Keys.TYPES, Records.types(List.of(new MachineType("t", 8, 0, 32, 20, 1, 1, 0.5, 20, List.of("a")))))
-            .put(Keys.block("a/0"), Records.block(new BlockLease("n0", 1, TERM)))
-            .put(Keys.job("wk-1"), Records.job(new JobRecord(job, JobState.LIVE, 0))));
+                .put(
+                        Keys.TYPES,
+                        Records.types(List.of(new MachineType("t", 8, 0, 32, 20, 1, 1, 0.5, 20, List.of("a")))))
+                .put(Keys.block("a/0"), Records.block(new BlockLease("n0", 1, TERM)))
+                .put(Keys.job("wk-1"), Records.job(new JobRecord(job, JobState.LIVE, 0))));
         Mirror mirror = new Mirror();
         mirror.reset(state.list(Keys.MIRRORED, null, 100), state.ledger());
         holder = new Holder(params, mirror, new Blocks(params), new Estimator(REPORT));
@@ -52,7 +86,8 @@
 
     private void report(long now, List<ReportedTask> tasks) {
         holder.confirmed(now);
-        holder.onReport(now, new Report("m-000000", "h:1", "t", "a", false, 1, ++ticks, Terms.firstToken(TERM), null, tasks));
+        holder.onReport(
+                now, new Report("m-000000", "h:1", "t", "a", false, 1, ++ticks, Terms.firstToken(TERM), null, tasks));
         holder.tick(now);
         for (Holder.Effect e : holder.drain()) {
             if (e instanceof Holder.Effect.Offer o) {
--- a/src/test/java/garnetscale/core/fleet/FleetTest.java
+++ b/src/test/java/garnetscale/core/fleet/FleetTest.java
@@ -33,19 +33,42 @@
 
     private static final int MACHINES = 20;
     private static final long LAG = 3000;
-    private static final List<MachineType> TYPES = List.of(new MachineType("t", 32, 0, 128, 30, 1, 1, 0.5, 40, List.of("a")));
+    private static final List<MachineType> TYPES =
+            List.of(new MachineType("t", 32, 0, 128, 30, 1, 1, 0.5, 40, List.of("a")));
 
     private final Mirror mirror = new Mirror();
     private final StateModel state = new StateModel();
-    private final Fleet fleet = new Fleet(new Params("n0", List.of(), List.of("a"), Params.byName(List.of(
-            new Params.Team("red", 0, Double.POSITIVE_INFINITY, 0, Double.POSITIVE_INFINITY))), List.of(), 5000,
-        22_000, 47_000, 32, 100, 40, 16384, 6, LAG, 2500, 25), mirror, s -> { });
+    private final Fleet fleet = new Fleet(
+            new Params(
+                    "n0",
+                    List.of(),
+                    List.of("a"),
+                    Params.byName(
+                            List.of(new Params.Team("red", 0, Double.POSITIVE_INFINITY, 0, Double.POSITIVE_INFINITY))),
+                    List.of(),
+                    5000,
+                    22_000,
+                    47_000,
+                    32,
+                    100,
+                    40,
+                    16384,
+                    6,
+                    LAG,
+                    2500,
+                    25),
+            mirror,
+            s -> {});
 
     private FleetTest() {
         Map<String, MachineRecord> records = new LinkedHashMap<>();
         for (int i = 0; i < MACHINES; i++) {
-            records.put(id(i), new MachineRecord("a",
-                List.of(new Placement(new TaskId("wk-1", i), i + 1, 1, Placement.Stop.KEEP)), Map.of()));
+            records.put(
+                    id(i),
+                    new MachineRecord(
+                            "a",
+                            List.of(new Placement(new TaskId("wk-1", i), i + 1, 1, Placement.Stop.KEEP)),
+                            Map.of()));
         }
         mirror.reset(List.of(), 0);
         Txn txn = new Txn();
@@ -58,11 +81,30 @@
 
     /** A job that all that is rented couldn't hold. */
     private void demand() {
-        JobSpec job = new JobSpec("wk-2", "c", "red", Priority.NORMAL, 5000, 8, 0, 1, null, null, false, false, true, "img", 1, 60,
-            0, 0, null);
+        JobSpec job = new JobSpec(
+                "wk-2",
+                "c",
+                "red",
+                Priority.NORMAL,
+                5000,
+                8,
+                0,
+                1,
+                null,
+                null,
+                false,
+                false,
+                true,
+                "img",
+                1,
+                60,
+                0,
+                0,
+                null);
         long before = state.ledger();
-        state.commit(new Txn().put(Keys.TYPES, Records.types(TYPES))
-            .put(Keys.job("wk-2"), Records.job(new JobRecord(job, JobState.LIVE, 0))));
+        state.commit(new Txn()
+                .put(Keys.TYPES, Records.types(TYPES))
+                .put(Keys.job("wk-2"), Records.job(new JobRecord(job, JobState.LIVE, 0))));
         mirror.advance(state.changes("", before), state.ledger());
     }
 
@@ -72,7 +114,9 @@
 
     /** A whole list with the machines from {@code first} on. */
     private void list(long now, int first) {
-        for (int calls = 0; calls < 2 && !(fleet.next(now, List.of(), List.of(), Set.of()) instanceof CloudCall.Page); calls++) {
+        for (int calls = 0;
+                calls < 2 && !(fleet.next(now, List.of(), List.of(), Set.of()) instanceof CloudCall.Page);
+                calls++) {
             // The first call asks for the types.
         }
         List<Listed> page = new ArrayList<>();
@@ -86,7 +130,8 @@
     private List<String> deletes(long now) {
         List<Observation> silent = new ArrayList<>();
         for (int i = 0; i < MACHINES; i++) {
-            silent.add(new Observation("n0", 1, "a/0", 1, id(i), "", "t", "a", true, 1, null, true, List.of(), List.of()));
+            silent.add(
+                    new Observation("n0", 1, "a/0", 1, id(i), "", "t", "a", true, 1, null, true, List.of(), List.of()));
         }
         List<String> ids = new ArrayList<>();
         for (int calls = 0; calls < 4; calls++) {
@@ -152,6 +197,8 @@
     /** The next call that changes something. */
     private CloudCall change(long now) {
         CloudCall call = fleet.next(now, List.of(), List.of(), Set.of());
-        return call instanceof CloudCall.Page || call instanceof CloudCall.Types ? fleet.next(now, List.of(), List.of(), Set.of()) : call;
+        return call instanceof CloudCall.Page || call instanceof CloudCall.Types
+                ? fleet.next(now, List.of(), List.of(), Set.of())
+                : call;
     }
 }
--- a/src/test/java/garnetscale/core/lead/ElectionTest.java
+++ b/src/test/java/garnetscale/core/lead/ElectionTest.java
@@ -22,10 +22,25 @@
     private final Leader n1;
 
     ElectionTest() {
-        List<Params.Member> members = List.of(new Params.Member("n0", "a", ""), new Params.Member("n1", "a", ""),
-            new Params.Member("n2", "a", ""));
-        Params params = new Params("n1", members, List.of("a"), Map.of(), List.of(), 1000, 10_000, 35_000, 24, 150, 60, 16384,
-            1.5, 10_000, 600, 25);
+        List<Params.Member> members = List.of(
+                new Params.Member("n0", "a", ""), new Params.Member("n1", "a", ""), new Params.Member("n2", "a", ""));
+        Params params = new Params(
+                "n1",
+                members,
+                List.of("a"),
+                Map.of(),
+                List.of(),
+                1000,
+                10_000,
+                35_000,
+                24,
+                150,
+                60,
+                16384,
+                1.5,
+                10_000,
+                600,
+                25);
         StateModel state = new StateModel();
         Txn txn = new Txn().put(Keys.LEADER, Records.leader(new LeaderInfo("n0", 1, 1)));
         for (int i = 0; i < 3; i++) {
@@ -34,7 +49,7 @@
         state.commit(txn);
         Mirror mirror = new Mirror();
         mirror.reset(state.list(Keys.MIRRORED, null, 1000), state.ledger());
-        n1 = new Leader(params, mirror, new Blocks(params), s -> { });
+        n1 = new Leader(params, mirror, new Blocks(params), s -> {});
         n1.incarnate(2);
         assertNull(n1.election(0), "there is a leader");
     }
--- a/src/test/java/garnetscale/core/line/LineOrderTest.java
+++ b/src/test/java/garnetscale/core/line/LineOrderTest.java
@@ -23,18 +23,34 @@
     private final List<Change> jobs = new ArrayList<>();
 
     private void job(String id, Priority priority, int tasks, long submittedMs, Double dueS) {
-        JobSpec s = new JobSpec(id, "c", "red", priority, tasks, 2, 0, 1, null, null, false, false, true, "img", 1, 30, 0, 0,
-            dueS);
+        JobSpec s = new JobSpec(
+                id, "c", "red", priority, tasks, 2, 0, 1, null, null, false, false, true, "img", 1, 30, 0, 0, dueS);
         jobs.add(new Change(Keys.job(id), Records.job(new JobRecord(s, JobState.LIVE, submittedMs)), 1));
     }
 
     private List<String> line(long nowMs) {
         Mirror m = new Mirror();
         m.reset(jobs, 1);
-        LineOrder order = new LineOrder(new Params("n0", List.of(), List.of("a"), Params.byName(List.of()),
-            List.of(new Params.Objective("deadline", "c", 0, 0.9, 1)), 1000, 10_000, CANCEL_MS, 24, 150, 60, 16384, 1.5,
-            10_000, 600, 25));
-        return Line.sort(m.jobs(), order, nowMs).stream().map(j -> j.spec().id()).toList();
+        LineOrder order = new LineOrder(new Params(
+                "n0",
+                List.of(),
+                List.of("a"),
+                Params.byName(List.of()),
+                List.of(new Params.Objective("deadline", "c", 0, 0.9, 1)),
+                1000,
+                10_000,
+                CANCEL_MS,
+                24,
+                150,
+                60,
+                16384,
+                1.5,
+                10_000,
+                600,
+                25));
+        return Line.sort(m.jobs(), order, nowMs).stream()
+                .map(j -> j.spec().id())
+                .toList();
     }
 
     @Test
