--- a/src/test/java/garnetscale/core/sim/MeetingsTest.java
+++ b/src/test/java/garnetscale/core/sim/MeetingsTest.java
@@ -78,7 +78,9 @@
             String id = "wk-2" + i;
             int tasks = 1 + w.random.nextInt(5);
             int seconds = 1 + w.random.nextInt(8);
-            w.at(1000 + w.random.nextInt(overMs), () -> w.submit(id, w.random.nextBoolean() ? "red" : "blue", tasks, 1, seconds));
+            w.at(
+                    1000 + w.random.nextInt(overMs),
+                    () -> w.submit(id, w.random.nextBoolean() ? "red" : "blue", tasks, 1, seconds));
         }
     }
 
@@ -91,7 +93,8 @@
             }
         });
         for (String id : new java.util.TreeSet<>(jobs)) {
-            if (!w.rules.isCancelled(id) && w.nodes.stream().anyMatch(n -> !n.name.equals(notAt) && w.cancelAt(n.name, id))) {
+            if (!w.rules.isCancelled(id)
+                    && w.nodes.stream().anyMatch(n -> !n.name.equals(notAt) && w.cancelAt(n.name, id))) {
                 w.met(met);
             }
         }
@@ -110,7 +113,8 @@
                 w.cutFromPeers(leader, 60_000);
                 w.refuse(leader, 14_000);
                 w.at(800 + w.random.nextInt(1000), () -> {
-                    cancelRunning(w, leader, m -> w.holderOf(m).equals(leader), "cancelled while the holder is refused");
+                    cancelRunning(
+                            w, leader, m -> w.holderOf(m).equals(leader), "cancelled while the holder is refused");
                     w.outage(World.CANCEL + 12_000);
                 });
                 w.at(8000, () -> w.rules.running().keySet().forEach(t -> {
@@ -120,8 +124,12 @@
                 }));
             });
         });
-        least(met, 3 * SEEDS, "cancelled while the holder is refused", "a cancelled task is kept alive by the old leader",
-            "a watch hung open through a refusal");
+        least(
+                met,
+                3 * SEEDS,
+                "cancelled while the holder is refused",
+                "a cancelled task is kept alive by the old leader",
+                "a watch hung open through a refusal");
     }
 
     /** The same with a second outage right after the first, which gives every lease its full time again. */
@@ -134,7 +142,8 @@
                 w.cutFromPeers(leader, 80_000);
                 w.refuse(leader, 70_000);
                 w.at(1200, () -> {
-                    cancelRunning(w, leader, m -> w.holderOf(m).equals(leader), "cancelled while the holder is refused");
+                    cancelRunning(
+                            w, leader, m -> w.holderOf(m).equals(leader), "cancelled while the holder is refused");
                     w.outage(12_000);
                 });
                 w.at(14_500, () -> {
@@ -178,8 +187,10 @@
             w.at(20_000, () -> {
                 String old = w.leader();
                 w.cutFromAllButWorkers(old, 30_000);
-                w.at(2500 + w.random.nextInt(4000), () ->
-                    cancelRunning(w, old, m -> w.reportsTo(m).equals(old), "cancelled where the cut holder is heard"));
+                w.at(
+                        2500 + w.random.nextInt(4000),
+                        () -> cancelRunning(
+                                w, old, m -> w.reportsTo(m).equals(old), "cancelled where the cut holder is heard"));
             });
         });
         least(met, SEEDS, "cancelled where the cut holder is heard", "leader changed");
@@ -192,7 +203,8 @@
             w.workers.forEach(x -> x.model.slowDown(1 + w.random.nextInt(6)));
             Map<String, Set<String>> leaders = new HashMap<>();
             w.rules.onDone = t -> {
-                if (leaders.computeIfAbsent(t.job(), k -> new HashSet<>()).add(w.leaderTerm() + "") && leaders.get(t.job()).size() == 2) {
+                if (leaders.computeIfAbsent(t.job(), k -> new HashSet<>()).add(w.leaderTerm() + "")
+                        && leaders.get(t.job()).size() == 2) {
                     w.met("a job's tasks ended under different leaders");
                 }
             };
@@ -222,7 +234,9 @@
                         w.crash(w.leader(), w.random.nextBoolean() ? 200 : 4000);
                     }
                 });
-                w.at(i * 11_000L + 3000 + w.random.nextInt(4000), () -> cancelRunning(w, "", m -> w.random.nextInt(6) == 0, "cancelled meanwhile"));
+                w.at(
+                        i * 11_000L + 3000 + w.random.nextInt(4000),
+                        () -> cancelRunning(w, "", m -> w.random.nextInt(6) == 0, "cancelled meanwhile"));
             }
             w.at(48_000, () -> w.outage(13_000));
         });
@@ -244,7 +258,9 @@
                     }
                     w.met("all ended");
                     w.at(7000 + w.random.nextInt(2000), () -> w.crash("n" + first, 400));
-                    w.at(2500, () -> cancelRunning(w, "", m -> w.random.nextInt(4) == 0, "cancelled while one is back"));
+                    w.at(
+                            2500,
+                            () -> cancelRunning(w, "", m -> w.random.nextInt(4) == 0, "cancelled while one is back"));
                 });
             }
         });
@@ -284,8 +300,13 @@
                         default -> w.cutFromAllButWorkers(node, 8000);
                     }
                     for (int ms = 0; ms < 5000; ms += 250) {
-                        w.at(ms, () -> cancelRunning(w, node, m -> w.random.nextInt(25) == 0 && w.sinceMoved(m) < 3000,
-                            "cancelled while its block moves"));
+                        w.at(
+                                ms,
+                                () -> cancelRunning(
+                                        w,
+                                        node,
+                                        m -> w.random.nextInt(25) == 0 && w.sinceMoved(m) < 3000,
+                                        "cancelled while its block moves"));
                     }
                 });
             }
@@ -302,14 +323,19 @@
                 long at = 1000 + 250L * i;
                 w.at(at, () -> w.submit(id, w.random.nextBoolean() ? "red" : "blue", 1, 0.5, 2 + w.random.nextInt(6)));
                 if (w.random.nextInt(4) == 0) {
-                    w.at(at + w.random.nextInt(8000), () -> w.met(w.cancelAt("n1", id) ? "cancelled" : "over or refused"));
+                    w.at(
+                            at + w.random.nextInt(8000),
+                            () -> w.met(w.cancelAt("n1", id) ? "cancelled" : "over or refused"));
                 }
             }
             w.at(20_000, () -> w.late(20_000, 0.2, false));
             w.at(30_000, () -> w.crash(w.leader(), 3000));
             w.at(60_000, () -> w.crash(w.leader(), 300));
             for (long t = 5000; t < 90_000; t += 5000) {
-                w.at(t, () -> assertTrue(w.state.list("g/", null, 1000).size() < 300, "keys that are kept are bounded"));
+                w.at(
+                        t,
+                        () -> assertTrue(
+                                w.state.list("g/", null, 1000).size() < 300, "keys that are kept are bounded"));
             }
         });
         least(met, 3 * 25, "cancelled");
@@ -360,7 +386,11 @@
                 w.at(1000 + w.random.nextInt(60_000), () -> w.submit(id, "red", Priority.NORMAL, tasks, 2, 15, true));
             }
             for (long t = 15_000; t < 90_000; t += 12_000) {
-                w.at(t, () -> w.cut(w.workers.get(w.random.nextInt(w.workers.size())).id, 12_000 + w.random.nextInt(20_000)));
+                w.at(
+                        t,
+                        () -> w.cut(
+                                w.workers.get(w.random.nextInt(w.workers.size())).id,
+                                12_000 + w.random.nextInt(20_000)));
             }
             w.at(40_000, () -> {
                 if (!w.rules.running().isEmpty()) {
@@ -380,8 +410,10 @@
             w.at(20_000, () -> {
                 String zone = w.random.nextBoolean() ? "a" : "b";
                 w.cutZone(zone, World.LEASE + 15_000);
-                w.at(500 + w.random.nextInt(4000), () ->
-                    cancelRunning(w, "", m -> w.zoneOf(m).equals(zone), "cancelled in a zone that is cut off"));
+                w.at(
+                        500 + w.random.nextInt(4000),
+                        () -> cancelRunning(
+                                w, "", m -> w.zoneOf(m).equals(zone), "cancelled in a zone that is cut off"));
             });
         });
         least(met, SEEDS, "cancelled in a zone that is cut off");
@@ -432,7 +464,9 @@
             w.at(t, () -> {
                 w.keepUntil = w.now + 8000;
                 w.at(9000, () -> w.crash(w.leader(), 300 + w.random.nextInt(6000)));
-                w.at(9100 + w.random.nextInt(3000), () -> cancelRunning(w, "", m -> w.random.nextInt(5) == 0, "cancelled meanwhile"));
+                w.at(
+                        9100 + w.random.nextInt(3000),
+                        () -> cancelRunning(w, "", m -> w.random.nextInt(5) == 0, "cancelled meanwhile"));
                 w.at(9000, () -> w.cut(w.workers.get(w.random.nextInt(w.workers.size())).id, 14_000));
             });
         }
@@ -457,8 +491,12 @@
                     if (w.random.nextBoolean()) {
                         w.hang(machine, 500 + w.random.nextInt(7000));
                     }
-                    w.at(w.random.nextInt(300), () -> w.met(w.cancelAt("n" + w.random.nextInt(3), task.job())
-                        ? "cancelled while a start is on its way" : "over or refused"));
+                    w.at(
+                            w.random.nextInt(300),
+                            () -> w.met(
+                                    w.cancelAt("n" + w.random.nextInt(3), task.job())
+                                            ? "cancelled while a start is on its way"
+                                            : "over or refused"));
                 }
             };
             w.at(50_000, () -> w.crash(w.leader(), 2000));
@@ -528,7 +566,8 @@
                     String m = w.workers.get(w.random.nextInt(w.workers.size())).id;
                     w.hang(m, 1000 + w.random.nextInt(8000));
                     w.met("a machine hangs");
-                    cancelRunning(w, "", on -> on.equals(m) && w.random.nextInt(4) == 0, "cancelled on a hanging machine");
+                    cancelRunning(
+                            w, "", on -> on.equals(m) && w.random.nextInt(4) == 0, "cancelled on a hanging machine");
                 });
             }
             w.at(45_000, () -> w.crash(w.leader(), 1500));
@@ -595,7 +634,10 @@
             shortWork(w, 60, 90_000);
             w.rules.onDone = t -> {
                 if (w.rules.isComplete(t.job()) && w.random.nextBoolean()) {
-                    w.at(w.random.nextInt(400), () -> w.met(w.cancelAt("n0", t.job()) ? "cancelled before its end was stored" : "too late"));
+                    w.at(
+                            w.random.nextInt(400),
+                            () -> w.met(
+                                    w.cancelAt("n0", t.job()) ? "cancelled before its end was stored" : "too late"));
                 }
             };
         });
@@ -631,8 +673,16 @@
                 String id = "wk-1" + i;
                 Priority priority = Priority.values()[w.random.nextInt(Priority.values().length)];
                 int tasks = 1 + w.random.nextInt(6);
-                w.at(1000 + w.random.nextInt(50_000), () -> w.submit(id, w.random.nextBoolean() ? "red" : "blue", priority, tasks, 2, 8,
-                    w.random.nextInt(4) == 0));
+                w.at(
+                        1000 + w.random.nextInt(50_000),
+                        () -> w.submit(
+                                id,
+                                w.random.nextBoolean() ? "red" : "blue",
+                                priority,
+                                tasks,
+                                2,
+                                8,
+                                w.random.nextInt(4) == 0));
             }
             for (long t = 20_000; t < 60_000; t += 5000) {
                 w.at(t, () -> {
--- a/src/test/java/garnetscale/core/sim/Rules.java
+++ b/src/test/java/garnetscale/core/sim/Rules.java
@@ -30,7 +30,8 @@
     /** Whether a stored placement names an attempt on a machine: nothing may run without one. */
     BiPredicate<String, Long> placed = (machine, attempt) -> true;
     /** Told of each task that completed. */
-    Consumer<TaskId> onDone = task -> { };
+    Consumer<TaskId> onDone = task -> {};
+
     int starts;
     int startsAfterCancel;
     /** Starts by job. */
@@ -64,7 +65,9 @@
         for (TaskId t : running.keySet()) {
             JobSpec j = jobs.get(t.job());
             used += j.team().equals(job.team()) ? j.cpus() : 0;
-            if (job.oneZone() && t.job().equals(task.job()) && !zones.get(running.get(t)).equals(zones.get(machine))) {
+            if (job.oneZone()
+                    && t.job().equals(task.job())
+                    && !zones.get(running.get(t)).equals(zones.get(machine))) {
                 broke("wrong_place", task + " starts on " + machine + " while " + t + " is on " + running.get(t));
             }
         }
@@ -98,12 +101,17 @@
 
     /** Whether every task of the job has completed somewhere. */
     boolean isComplete(String job) {
-        return java.util.stream.IntStream.range(0, jobs.get(job).tasks()).allMatch(i -> completed.contains(new TaskId(job, i)));
+        return java.util.stream.IntStream.range(0, jobs.get(job).tasks())
+                .allMatch(i -> completed.contains(new TaskId(job, i)));
     }
 
     /** CPUs that a team's tasks use now. */
     double used(String team) {
-        return running.keySet().stream().map(t -> jobs.get(t.job())).filter(j -> j.team().equals(team)).mapToDouble(JobSpec::cpus).sum();
+        return running.keySet().stream()
+                .map(t -> jobs.get(t.job()))
+                .filter(j -> j.team().equals(team))
+                .mapToDouble(JobSpec::cpus)
+                .sum();
     }
 
     /** A user was told of a state; it may never be gone back on. */
--- a/src/test/java/garnetscale/core/sim/SimulationTest.java
+++ b/src/test/java/garnetscale/core/sim/SimulationTest.java
@@ -92,13 +92,16 @@
             // All end and are back at once, one of them again amid the election that follows.
             case 12 -> {
                 w.nodes.forEach(n -> n.crash(100 + w.random.nextInt(400)));
-                w.at(300 + w.random.nextInt(2000), () -> w.nodes.get(w.random.nextInt(w.shape.nodes())).crash(100));
+                w.at(
+                        300 + w.random.nextInt(2000),
+                        () -> w.nodes.get(w.random.nextInt(w.shape.nodes())).crash(100));
             }
             // A controller that reaches everything but the workers.
-            case 13 -> w.workers.forEach(x -> {
-                w.cut(x.id + ">" + node, ms);
-                w.cut(node + ">" + x.id, ms);
-            });
+            case 13 ->
+                w.workers.forEach(x -> {
+                    w.cut(x.id + ">" + node, ms);
+                    w.cut(node + ">" + x.id, ms);
+                });
             // The leader stands still, twice, and something else happens meanwhile.
             case 14 -> {
                 w.freeze(w.leader(), ms / 2);
@@ -108,7 +111,9 @@
             // The leader loses the state service one way, and a controller ends before it heals.
             case 15 -> {
                 w.cut(w.random.nextBoolean() ? w.leader() + ">state" : "state>" + w.leader(), ms);
-                w.at(ms / 2, () -> w.nodes.get(w.random.nextInt(w.shape.nodes())).crash(100 + w.random.nextInt(5000)));
+                w.at(
+                        ms / 2,
+                        () -> w.nodes.get(w.random.nextInt(w.shape.nodes())).crash(100 + w.random.nextInt(5000)));
             }
             default -> w.cut(node + ">" + worker, ms);
         }
@@ -169,7 +174,10 @@
 
     @Test
     void aFaultInAFleetIsCaught() {
-        assertFalse(day(7, World.Fault.FREE_UNSEEN, World.Shape.FIVE_NODES, 40, 120).rules.broken.isEmpty());
+        assertFalse(day(7, World.Fault.FREE_UNSEEN, World.Shape.FIVE_NODES, 40, 120)
+                .rules
+                .broken
+                .isEmpty());
     }
 
     @Test
--- a/src/test/java/garnetscale/core/sim/World.java
+++ b/src/test/java/garnetscale/core/sim/World.java
@@ -11,10 +11,10 @@
 import garnetscale.core.job.JobSpec;
 import garnetscale.core.job.JobState;
 import garnetscale.core.job.Priority;
+import garnetscale.core.job.TaskId;
 import garnetscale.core.lead.Leader;
 import garnetscale.core.lead.Pipeline;
 import garnetscale.core.machine.Address;
-import garnetscale.core.job.TaskId;
 import garnetscale.core.machine.MachineType;
 import garnetscale.core.machine.Order;
 import garnetscale.core.machine.Placement;
@@ -53,7 +53,8 @@
 
     /** A deliberate mistake, to show that the rules are watched. */
     enum Fault {
-        NONE, FREE_UNSEEN
+        NONE,
+        FREE_UNSEEN
     }
 
     /** How many controllers and workers there are, spread over the zones in turn. */
@@ -72,11 +73,25 @@
             for (int i = 0; i < nodes; i++) {
                 members.add(new Params.Member("n" + i, zone(i), ""));
             }
-            return new Params(self, members, zones,
-                Params.byName(List.of(new Params.Team("red", 8, red(), 0, Double.POSITIVE_INFINITY),
-                    new Params.Team("blue", 8, blue(), 0, Double.POSITIVE_INFINITY))),
-                List.of(new Params.Objective("wait", "c", 2, 0.9, 0)), REPORT, LEASE, CANCEL, 24, 150, 60, 16384, 1.5, 10_000,
-                600, 25);
+            return new Params(
+                    self,
+                    members,
+                    zones,
+                    Params.byName(List.of(
+                            new Params.Team("red", 8, red(), 0, Double.POSITIVE_INFINITY),
+                            new Params.Team("blue", 8, blue(), 0, Double.POSITIVE_INFINITY))),
+                    List.of(new Params.Objective("wait", "c", 2, 0.9, 0)),
+                    REPORT,
+                    LEASE,
+                    CANCEL,
+                    24,
+                    150,
+                    60,
+                    16384,
+                    1.5,
+                    10_000,
+                    600,
+                    25);
         }
 
         double red() {
@@ -94,6 +109,7 @@
     final List<Worker> workers = new ArrayList<>();
     /** Jobs that were submitted with a mistake: their tasks fail wherever they run. */
     final Set<String> broken = new HashSet<>();
+
     private final Map<String, Long> cutUntil = new HashMap<>();
     private final Map<String, Long> frozenUntil = new HashMap<>();
     private final Map<String, Worker> byId = new HashMap<>();
@@ -111,19 +127,22 @@
     /** Besides following by short requests, nodes watch by ones that hang open, also through a refusal. */
     boolean watches;
     /** Told of each start that a holder sends, with its machine. */
-    BiConsumer<String, TaskId> onStartSent = (machine, task) -> { };
+    BiConsumer<String, TaskId> onStartSent = (machine, task) -> {};
     /** Share of cancellations of which the peers aren't told: their links are down just then. */
     double wordLoss;
     /** Until then reports are kept, and so long after a new leader's beginning their copies reach every controller. */
     long keepUntil;
+
     long keptDelay;
     private long ledTerm;
     /** Until then this share of transactions gets no answer: carried out at once, or 2 to 12 s late. */
     long lateUntil;
+
     double lateShare;
     boolean lateAtOnce;
     /** Until then an answer of the state service takes so much longer. */
     long slowUntil;
+
     int slowMs;
     /** Until then these machines reach no controller, while direct requests reach them. */
     private final Map<String, Long> muteUntil = new HashMap<>();
@@ -135,7 +154,8 @@
         this.rules = new Rules(Map.of("red", shape.red(), "blue", shape.blue()), zones, CANCEL, () -> now);
         state.commit(new Txn().put(Keys.TYPES, Records.types(List.of(TYPE))));
         observer.reset(state.list(Keys.MIRRORED, null, 10), state.ledger());
-        rules.placed = (machine, attempt) -> stored().placements(machine).stream().anyMatch(p -> p.attempt() == attempt);
+        rules.placed =
+                (machine, attempt) -> stored().placements(machine).stream().anyMatch(p -> p.attempt() == attempt);
         for (int i = 0; i < shape.nodes(); i++) {
             nodes.add(new Node("n" + i));
         }
@@ -197,7 +217,7 @@
             for (Node n : nodes) {
                 at(keptDelay + random.nextInt(400), () -> {
                     met("old report at a new leader");
-                    n.onReport(r, reply -> { });
+                    n.onReport(r, reply -> {});
                 });
             }
         }
@@ -313,12 +333,18 @@
 
     /** How long ago a machine's block last got a new term. */
     long sinceMoved(String worker) {
-        return now - blockMovedAt.getOrDefault(new Blocks(shape.params("n0")).blockOf(worker, zones.get(worker)), Long.MIN_VALUE / 2);
+        return now
+                - blockMovedAt.getOrDefault(
+                        new Blocks(shape.params("n0")).blockOf(worker, zones.get(worker)), Long.MIN_VALUE / 2);
     }
 
     /** A node that believes that it leads, or any when none does. */
     String leader() {
-        return nodes.stream().filter(n -> n.up && n.leader.leadingTerm() >= 0).findFirst().orElse(nodes.get(0)).name;
+        return nodes.stream()
+                .filter(n -> n.up && n.leader.leadingTerm() >= 0)
+                .findFirst()
+                .orElse(nodes.get(0))
+                .name;
     }
 
     /** The node stands still while time goes on: what comes waits for it, and its timers fire afterwards. */
@@ -336,8 +362,9 @@
     }
 
     private boolean isCut(String a, String b) {
-        return now < cutUntil.getOrDefault(a, 0L) || now < cutUntil.getOrDefault(b, 0L)
-            || now < cutUntil.getOrDefault(a + ">" + b, 0L);
+        return now < cutUntil.getOrDefault(a, 0L)
+                || now < cutUntil.getOrDefault(b, 0L)
+                || now < cutUntil.getOrDefault(a + ">" + b, 0L);
     }
 
     /**
@@ -349,8 +376,9 @@
         long delay = 1 + random.nextInt(random.nextInt(20) == 0 ? 300 : 6);
         if (isCut(from, to)) {
             if (random.nextBoolean()) {
-                long end = Math.max(cutUntil.getOrDefault(from, 0L),
-                    Math.max(cutUntil.getOrDefault(to, 0L), cutUntil.getOrDefault(from + ">" + to, 0L)));
+                long end = Math.max(
+                        cutUntil.getOrDefault(from, 0L),
+                        Math.max(cutUntil.getOrDefault(to, 0L), cutUntil.getOrDefault(from + ">" + to, 0L)));
                 at(end - now + delay, deliver);
             }
             return;
@@ -371,11 +399,13 @@
     }
 
     void submit(String id, String team, Priority priority, int tasks, double cpus, double seconds, boolean oneZone) {
-        JobSpec job = new JobSpec(id, "c", team, priority, tasks, cpus, 0, 1, null, null, oneZone, false, true,
-            "img", 0.5, seconds, 0, 0, null);
+        JobSpec job = new JobSpec(
+                id, "c", team, priority, tasks, cpus, 0, 1, null, null, oneZone, false, true, "img", 0.5, seconds, 0, 0,
+                null);
         rules.jobs.put(id, job);
-        state.commit(new Txn().guard(Keys.job(id), 0)
-            .put(Keys.job(id), Records.job(new JobRecord(job, JobState.LIVE, now))));
+        state.commit(new Txn()
+                .guard(Keys.job(id), 0)
+                .put(Keys.job(id), Records.job(new JobRecord(job, JobState.LIVE, now))));
         rules.told(id, "LIVE");
     }
 
@@ -385,7 +415,9 @@
             return;
         }
         JobRecord r = Records.job(id, e.value());
-        state.commit(new Txn().guard(Keys.job(id), e.stamp()).put(Keys.job(id), Records.job(r.withState(JobState.CANCELLED))));
+        state.commit(new Txn()
+                .guard(Keys.job(id), e.stamp())
+                .put(Keys.job(id), Records.job(r.withState(JobState.CANCELLED))));
         rules.told(id, "CANCELLED");
     }
 
@@ -396,7 +428,9 @@
         }
         cancel(id);
         if (random.nextDouble() >= wordLoss) {
-            nodes.stream().filter(n -> n.name.equals(node) && n.up).forEach(n -> n.peers(p -> p.holder.onCancelled(id)));
+            nodes.stream()
+                    .filter(n -> n.name.equals(node) && n.up)
+                    .forEach(n -> n.peers(p -> p.holder.onCancelled(id)));
         }
         return true;
     }
@@ -447,7 +481,7 @@
             if (now < copiesUntil && random.nextInt(3) == 0) {
                 // A copy of the report comes late, to any node, and nobody reads its answer.
                 Node other = nodes.get(random.nextInt(nodes.size()));
-                at(1000 + random.nextInt(4 * (int) LEASE), () -> other.onReport(r, reply -> { }));
+                at(1000 + random.nextInt(4 * (int) LEASE), () -> other.onReport(r, reply -> {}));
             }
             if (now < keepUntil && kept.size() < 200) {
                 kept.add(r);
@@ -457,12 +491,17 @@
                 next(1000);
                 return;
             }
-            send(id, node.name, () -> node.onReport(r, reply -> send(node.name, id, () -> {
-                if (mine == generation && !isFrozen(id)) {
-                    generation++;
-                    answered(r, sentAt, reply);
-                }
-            })));
+            send(
+                    id,
+                    node.name,
+                    () -> node.onReport(
+                            r,
+                            reply -> send(node.name, id, () -> {
+                                if (mine == generation && !isFrozen(id)) {
+                                    generation++;
+                                    answered(r, sentAt, reply);
+                                }
+                            })));
             at(4000, () -> {
                 if (mine == generation) {
                     generation++;
@@ -503,6 +542,7 @@
         private long leadTerm;
         /** Of this process; what was meant for an earlier one is dropped. */
         private int life;
+
         private boolean up;
 
         Node(String name) {
@@ -517,7 +557,7 @@
             Params p = shape.params(name);
             Blocks blocks = new Blocks(p);
             holder = new Holder(p, mirror, blocks, new Estimator(REPORT));
-            leader = new Leader(p, mirror, blocks, s -> { });
+            leader = new Leader(p, mirror, blocks, s -> {});
             pipeline = new Pipeline(mirror, leader);
             lease = -1;
             leadTerm = -1;
@@ -531,7 +571,8 @@
             loop(mine, 1000, () -> {
                 if (leader.leadingTerm() >= 0) {
                     List<Address> book = workers.stream()
-                        .map(w -> new Address(w.id, w.id, w.model.report().zone())).toList();
+                            .map(w -> new Address(w.id, w.id, w.model.report().zone()))
+                            .toList();
                     peers(n -> n.holder.onBook(book, leader.lateJobs(), List.copyOf(leader.suspects())));
                 }
             });
@@ -606,14 +647,20 @@
             int mine = life;
             long sentAt = now;
             long since = mirror.ledger();
-            send(name, "state", () -> hangOpen(since, now + 3000, a -> send("state", name, () -> {
-                if (life == mine && !listing) {
-                    mirror.advance(a.changes(), a.ledger());
-                    if (!mirror.torn()) {
-                        holder.confirmed(sentAt);
-                    }
-                }
-            })));
+            send(
+                    name,
+                    "state",
+                    () -> hangOpen(
+                            since,
+                            now + 3000,
+                            a -> send("state", name, () -> {
+                                if (life == mine && !listing) {
+                                    mirror.advance(a.changes(), a.ledger());
+                                    if (!mirror.torn()) {
+                                        holder.confirmed(sentAt);
+                                    }
+                                }
+                            })));
         }
 
         private void hangOpen(long since, long until, Consumer<Answer> answer) {
@@ -630,25 +677,32 @@
 
         private void renew() {
             if (lease < 0) {
-                ask(() -> state.grant(now, 1500), -1L, id -> {
-                    if (lease < 0 && id >= 0) {
-                        lease = id;
-                    }
-                }, () -> { });
+                ask(
+                        () -> state.grant(now, 1500),
+                        -1L,
+                        id -> {
+                            if (lease < 0 && id >= 0) {
+                                lease = id;
+                            }
+                        },
+                        () -> {});
                 return;
             }
             long mine = lease;
-            ask(() -> state.touch(now, mine) ? 1 : 0, -1, ok -> {
-                if (ok == 0 && lease == mine) {
-                    lease = -1;
-                    holder.incarnate(-1);
-                    leader.incarnate(-1);
-                }
-            }, () -> { });
+            ask(
+                    () -> state.touch(now, mine) ? 1 : 0,
+                    -1,
+                    ok -> {
+                        if (ok == 0 && lease == mine) {
+                            lease = -1;
+                            holder.incarnate(-1);
+                            leader.incarnate(-1);
+                        }
+                    },
+                    () -> {});
         }
 
-        private record Answer(List<Change> changes, long ledger) {
-        }
+        private record Answer(List<Change> changes, long ledger) {}
 
         private void follow() {
             if (listing) {
@@ -661,43 +715,57 @@
             }
             long sentAt = now;
             long since = mirror.ledger();
-            ask(() -> new Answer(state.changes(Keys.MIRRORED, since), state.ledger()), new Answer(null, 0), a -> {
-                if (a.changes() != null && !listing) {
-                    mirror.advance(a.changes(), a.ledger());
-                    if (!mirror.torn()) {
-                        holder.confirmed(sentAt);
-                    }
-                }
-            }, () -> { });
+            ask(
+                    () -> new Answer(state.changes(Keys.MIRRORED, since), state.ledger()),
+                    new Answer(null, 0),
+                    a -> {
+                        if (a.changes() != null && !listing) {
+                            mirror.advance(a.changes(), a.ledger());
+                            if (!mirror.torn()) {
+                                holder.confirmed(sentAt);
+                            }
+                        }
+                    },
+                    () -> {});
         }
 
         /** Reads a page of a listing; the store goes on changing between pages. */
         private void page(long sentAt, String since, List<Change> sofar, long first) {
-            ask(() -> new Answer(state.list(Keys.MIRRORED, since, PAGE), state.ledger()), new Answer(null, 0), a -> {
-                if (a.changes() == null) {
-                    listing = false;
-                    return;
-                }
-                sofar.addAll(a.changes());
-                long ledger = first < 0 ? a.ledger() : first;
-                if (a.changes().size() == PAGE) {
-                    page(sentAt, sofar.get(sofar.size() - 1).key(), sofar, ledger);
-                    return;
-                }
-                listing = false;
-                mirror.reset(sofar, ledger);
-                if (mirror.loaded()) {
-                    holder.confirmed(sentAt);
-                }
-            }, () -> listing = false);
+            ask(
+                    () -> new Answer(state.list(Keys.MIRRORED, since, PAGE), state.ledger()),
+                    new Answer(null, 0),
+                    a -> {
+                        if (a.changes() == null) {
+                            listing = false;
+                            return;
+                        }
+                        sofar.addAll(a.changes());
+                        long ledger = first < 0 ? a.ledger() : first;
+                        if (a.changes().size() == PAGE) {
+                            page(sentAt, sofar.get(sofar.size() - 1).key(), sofar, ledger);
+                            return;
+                        }
+                        listing = false;
+                        mirror.reset(sofar, ledger);
+                        if (mirror.loaded()) {
+                            holder.confirmed(sentAt);
+                        }
+                    },
+                    () -> listing = false);
         }
 
         private void register() {
             NodeInfo me = mirror.node(name);
             if (lease >= 0 && (me == null || me.incarnation() != lease)) {
-                commit(new Txn().guard(Keys.node(name), mirror.stamp(Keys.node(name)))
-                    .put(Keys.node(name), Records.node(new NodeInfo(name, lease, shape.params(name).zoneOfNode(name))), lease),
-                    (r, l) -> { });
+                commit(
+                        new Txn()
+                                .guard(Keys.node(name), mirror.stamp(Keys.node(name)))
+                                .put(
+                                        Keys.node(name),
+                                        Records.node(new NodeInfo(
+                                                name, lease, shape.params(name).zoneOfNode(name))),
+                                        lease),
+                        (r, l) -> {});
             } else if (lease >= 0) {
                 holder.incarnate(lease);
                 leader.incarnate(lease);
@@ -707,8 +775,12 @@
         private void commit(Txn txn, BiConsumer<TxnResult, Long> done) {
             if (now < lateUntil && random.nextDouble() < lateShare) {
                 int mine = life;
-                at(lateAtOnce ? 1 + random.nextInt(5) : 2000 + random.nextInt(10_000), () ->
-                    met(now >= outageUntil && state.commit(txn) == 200 ? "carried out without an answer" : "late and overtaken"));
+                at(
+                        lateAtOnce ? 1 + random.nextInt(5) : 2000 + random.nextInt(10_000),
+                        () -> met(
+                                now >= outageUntil && state.commit(txn) == 200
+                                        ? "carried out without an answer"
+                                        : "late and overtaken"));
                 after(2000, () -> {
                     if (life == mine) {
                         done.accept(TxnResult.MAYBE, -1L);
@@ -716,12 +788,17 @@
                 });
                 return;
             }
-            ask(() -> {
-                int status = state.commit(txn);
-                return new Object[] {status == 200 ? TxnResult.OK : status == 409 ? TxnResult.CONFLICT
-                    : TxnResult.NO_LEASE, state.ledger()};
-            }, new Object[] {TxnResult.REFUSED, -1L}, r -> done.accept((TxnResult) r[0], (Long) r[1]),
-                () -> done.accept(TxnResult.MAYBE, -1L));
+            ask(
+                    () -> {
+                        int status = state.commit(txn);
+                        return new Object[] {
+                            status == 200 ? TxnResult.OK : status == 409 ? TxnResult.CONFLICT : TxnResult.NO_LEASE,
+                            state.ledger()
+                        };
+                    },
+                    new Object[] {TxnResult.REFUSED, -1L},
+                    r -> done.accept((TxnResult) r[0], (Long) r[1]),
+                    () -> done.accept(TxnResult.MAYBE, -1L));
         }
 
         private void work() {
@@ -738,7 +815,7 @@
                 leadTerm = -1;
                 Txn election = leader.election(now);
                 if (election != null && random.nextInt(4) == 0) {
-                    commit(election, (r, l) -> { });
+                    commit(election, (r, l) -> {});
                 }
                 return;
             }
@@ -763,9 +840,26 @@
         private void lie(List<Observation> seen) {
             for (int i = 0; i < seen.size(); i += 20) {
                 Observation o = seen.get(random.nextInt(seen.size()));
-                List<Long> all = mirror.placements(o.machine()).stream().map(Placement::attempt).toList();
-                leader.onObservation(now, new Observation(o.node(), o.incarnation(), o.block(), o.term(), o.machine(),
-                    o.address(), o.type(), o.zone(), o.spot(), o.shift(), o.noticeS(), o.silent(), o.tasks(), all));
+                List<Long> all = mirror.placements(o.machine()).stream()
+                        .map(Placement::attempt)
+                        .toList();
+                leader.onObservation(
+                        now,
+                        new Observation(
+                                o.node(),
+                                o.incarnation(),
+                                o.block(),
+                                o.term(),
+                                o.machine(),
+                                o.address(),
+                                o.type(),
+                                o.zone(),
+                                o.spot(),
+                                o.shift(),
+                                o.noticeS(),
+                                o.silent(),
+                                o.tasks(),
+                                all));
             }
         }
 
@@ -808,8 +902,8 @@
             } else if (l != null) {
                 Node to = nodes.get(Integer.parseInt(l.node().substring(1)));
                 Consumer<Node> message = e instanceof Holder.Effect.Tell t
-                    ? n -> n.leader.onObservation(now, t.observation())
-                    : n -> n.leader.onBids(now, ((Holder.Effect.Offer) e).sheet());
+                        ? n -> n.leader.onObservation(now, t.observation())
+                        : n -> n.leader.onBids(now, ((Holder.Effect.Offer) e).sheet());
                 if (to == this) {
                     message.accept(this);
                 } else {
--- a/src/test/java/garnetscale/core/store/WorkLogTest.java
+++ b/src/test/java/garnetscale/core/store/WorkLogTest.java
@@ -32,8 +32,26 @@
     private long attempts;
 
     private static JobSpec job(String id, int tasks) {
-        return new JobSpec(id, "c", "red", Priority.NORMAL, tasks, 1, 0, 1, null, null, false, false, true, "img", 1, 10,
-            0, 0, null);
+        return new JobSpec(
+                id,
+                "c",
+                "red",
+                Priority.NORMAL,
+                tasks,
+                1,
+                0,
+                1,
+                null,
+                null,
+                false,
+                false,
+                true,
+                "img",
+                1,
+                10,
+                0,
+                0,
+                null);
     }
 
     /** Replaces what is placed on a few machines and finishes a task here and there. */
@@ -47,7 +65,9 @@
                 attempts++;
                 placed.add(new Placement(new TaskId("wk-1", (int) attempts), attempts, 1, Placement.Stop.KEEP));
             }
-            machines.put(id, random.nextInt(9) == 0 ? MachineRecord.NONE : new MachineRecord("a", placed, Map.of("img", 1.0)));
+            machines.put(
+                    id,
+                    random.nextInt(9) == 0 ? MachineRecord.NONE : new MachineRecord("a", placed, Map.of("img", 1.0)));
         }
         Map<String, BitSet> parts = new LinkedHashMap<>();
         if (random.nextInt(3) == 0) {
@@ -132,8 +152,9 @@
     /** A follower that the answer brings only a slot's newest entry has to notice that it lost the others. */
     @Test
     void lostEntriesAreNoticed() {
-        state.commit(new Txn().put(Keys.job("wk-1"), Records.job(new JobRecord(job("wk-1", 10_000), JobState.LIVE, 0)))
-            .put(Keys.job("wk-2"), Records.job(new JobRecord(job("wk-2", 10_000), JobState.LIVE, 0))));
+        state.commit(new Txn()
+                .put(Keys.job("wk-1"), Records.job(new JobRecord(job("wk-1", 10_000), JobState.LIVE, 0)))
+                .put(Keys.job("wk-2"), Records.job(new JobRecord(job("wk-2", 10_000), JobState.LIVE, 0))));
         leader.reset(state.list(Keys.MIRRORED, null, 1000), state.ledger());
         Mirror follower = list();
         long from = follower.ledger();
@@ -151,9 +172,13 @@
         for (int m = 0; m < 40; m++) {
             List<Placement> placed = new ArrayList<>();
             for (int i = 0; i < 16; i++) {
-                placed.add(new Placement(new TaskId("wk-000412", 12_345), Long.MAX_VALUE >> 2, 123, Placement.Stop.KEEP));
+                placed.add(
+                        new Placement(new TaskId("wk-000412", 12_345), Long.MAX_VALUE >> 2, 123, Placement.Stop.KEEP));
             }
-            shard.machines().put("m-" + (100_000 + m), new MachineRecord("istanbul-kiralik", placed, Map.of("img-07", 3.4812345)));
+            shard.machines()
+                    .put(
+                            "m-" + (100_000 + m),
+                            new MachineRecord("istanbul-kiralik", placed, Map.of("img-07", 3.4812345)));
         }
         BitSet full = new BitSet();
         full.set(0, WorkLog.PART);
@@ -171,11 +196,16 @@
     /** Bytes of a value in JSON, as the protocol counts. */
     private static int json(Object value) {
         if (value instanceof Map<?, ?> m) {
-            return 2 + m.entrySet().stream().mapToInt(e -> json(e.getKey()) + 2 + json(e.getValue())).sum();
+            return 2
+                    + m.entrySet().stream()
+                            .mapToInt(e -> json(e.getKey()) + 2 + json(e.getValue()))
+                            .sum();
         }
         if (value instanceof List<?> l) {
             return 2 + l.stream().mapToInt(v -> json(v) + 1).sum();
         }
-        return value instanceof String s ? Records.textSize(s) : String.valueOf(value).length();
+        return value instanceof String s
+                ? Records.textSize(s)
+                : String.valueOf(value).length();
     }
 }
--- a/src/test/java/garnetscale/core/trace/TraceRunner.java
+++ b/src/test/java/garnetscale/core/trace/TraceRunner.java
@@ -38,8 +38,8 @@
  */
 final class TraceRunner {
 
-    private static final List<MachineType> TYPES = List.of(
-        new MachineType("big", 8, 1, 32, 20, 1, 1, 0.5, 20, List.of("a", "b")));
+    private static final List<MachineType> TYPES =
+            List.of(new MachineType("big", 8, 1, 32, 20, 1, 1, 0.5, 20, List.of("a", "b")));
 
     private final class Node {
         final String name;
@@ -69,6 +69,7 @@
     private final Set<String> deaf = new HashSet<>();
     /** The newest report of each worker, of which copies may come late. */
     private final Map<String, Report> copies = new HashMap<>();
+
     private final Map<String, Txn> held = new HashMap<>();
     private final StringBuilder out = new StringBuilder();
     private long now;
@@ -78,11 +79,25 @@
     }
 
     private static Params params(String self) {
-        return new Params(self, List.of(new Params.Member("n0", "a", ""), new Params.Member("n1", "b", "")),
-            List.of("a", "b"), Params.byName(List.of(new Params.Team("red", 8, 12, 0, Double.POSITIVE_INFINITY),
-                new Params.Team("blue", 8, Double.POSITIVE_INFINITY, 0, 1))),
-            List.of(new Params.Objective("wait", "c", 2, 0.9, 0)), 1000, 10_000, 35_000, 24, 150, 60, 16_384, 1.5,
-            10_000, 600, 25);
+        return new Params(
+                self,
+                List.of(new Params.Member("n0", "a", ""), new Params.Member("n1", "b", "")),
+                List.of("a", "b"),
+                Params.byName(List.of(
+                        new Params.Team("red", 8, 12, 0, Double.POSITIVE_INFINITY),
+                        new Params.Team("blue", 8, Double.POSITIVE_INFINITY, 0, 1))),
+                List.of(new Params.Objective("wait", "c", 2, 0.9, 0)),
+                1000,
+                10_000,
+                35_000,
+                24,
+                150,
+                60,
+                16_384,
+                1.5,
+                10_000,
+                600,
+                25);
     }
 
     /** Plays the inputs of a trace and returns it with what truly happened in place of the recorded effects. */
@@ -126,19 +141,32 @@
                     nodes.remove(w[1]);
                 }
             }
-            case "sync" -> nodes.values().stream().filter(n -> w.length == 1 || flag(w, n.name)).forEach(this::sync);
-            case "worker" -> workers.put(w[1], new WorkerModel(w[1], w[1], TYPES.get(0), option(w, "zone", "a"), 10_000,
-                now, jobs::get, new WorkerModel.Watcher() {
-                    @Override
-                    public void began(String machine, TaskId task, long attempt) {
-                        say(machine + " runs " + task);
-                    }
+            case "sync" ->
+                nodes.values().stream()
+                        .filter(n -> w.length == 1 || flag(w, n.name))
+                        .forEach(this::sync);
+            case "worker" ->
+                workers.put(
+                        w[1],
+                        new WorkerModel(
+                                w[1],
+                                w[1],
+                                TYPES.get(0),
+                                option(w, "zone", "a"),
+                                10_000,
+                                now,
+                                jobs::get,
+                                new WorkerModel.Watcher() {
+                                    @Override
+                                    public void began(String machine, TaskId task, long attempt) {
+                                        say(machine + " runs " + task);
+                                    }
 
-                    @Override
-                    public void ended(String machine, TaskId task, long attempt, boolean completed) {
-                        say(machine + (completed ? " completed " : " ended ") + task);
-                    }
-                }));
+                                    @Override
+                                    public void ended(String machine, TaskId task, long attempt, boolean completed) {
+                                        say(machine + (completed ? " completed " : " ended ") + task);
+                                    }
+                                }));
             case "job" -> job(w);
             case "cancel" -> cancel(w[1]);
             case "told" -> nodes.get(w[1]).holder.onCancelled(w[2]);
@@ -147,7 +175,13 @@
                 effects(nodes.get(w[1]), false);
             }
             case "slow" -> workers.get(w[1]).slowDown(Double.parseDouble(w[2]));
-            case "book" -> nodes.get(w[1]).holder.onBook(List.of(), nodes.get(w[1]).leader.lateJobs(), List.copyOf(nodes.get(w[1]).leader.suspects()));
+            case "book" ->
+                nodes.get(w[1])
+                        .holder
+                        .onBook(
+                                List.of(),
+                                nodes.get(w[1]).leader.lateJobs(),
+                                List.copyOf(nodes.get(w[1]).leader.suspects()));
             case "deaf" -> deaf.add(w[1]);
             case "hears" -> deaf.remove(w[1]);
             case "copy" -> copy(copies.get(w[1]), nodes.get(w[2]));
@@ -156,10 +190,20 @@
             case "lead" -> lead(nodes.get(w[1]), w.length > 2 ? w[2] : "ok");
             case "arrives" -> say(commit(held.remove(w[1])) + " for the held transaction");
             case "command" -> command(w[1]);
-            case "placed" -> say(w[1] + " has " + text(stored().placements(w[1]).stream()
-                .map(p -> List.of(p.task().toString(), p.attempt(), p.stop().toString())).toList()));
+            case "placed" ->
+                say(w[1] + " has "
+                        + text(stored().placements(w[1]).stream()
+                                .map(p -> List.of(
+                                        p.task().toString(),
+                                        p.attempt(),
+                                        p.stop().toString()))
+                                .toList()));
             case "finished" -> say(stored().job(w[1]).finishedCount() + " tasks of " + w[1] + " are finished");
-            case "store" -> say(w[1] + " = " + (state.get(w[1]) == null ? "nothing" : text(state.get(w[1]).value())));
+            case "store" ->
+                say(w[1] + " = "
+                        + (state.get(w[1]) == null
+                                ? "nothing"
+                                : text(state.get(w[1]).value())));
             default -> throw new IllegalArgumentException("not a word of traces: " + w[0]);
         }
     }
@@ -192,11 +236,30 @@
     }
 
     private void job(String[] w) {
-        JobSpec s = new JobSpec(w[1], "c", option(w, "team", "red"), Priority.valueOf(option(w, "rank", "NORMAL")),
-            Integer.parseInt(option(w, "n", "1")), Double.parseDouble(option(w, "cpus", "2")), 0, 1, null, null,
-            flag(w, "one-zone"), flag(w, "spread"), true, "img", 2, Double.parseDouble(option(w, "est", "30")), 0, 0, null);
+        JobSpec s = new JobSpec(
+                w[1],
+                "c",
+                option(w, "team", "red"),
+                Priority.valueOf(option(w, "rank", "NORMAL")),
+                Integer.parseInt(option(w, "n", "1")),
+                Double.parseDouble(option(w, "cpus", "2")),
+                0,
+                1,
+                null,
+                null,
+                flag(w, "one-zone"),
+                flag(w, "spread"),
+                true,
+                "img",
+                2,
+                Double.parseDouble(option(w, "est", "30")),
+                0,
+                0,
+                null);
         jobs.put(w[1], s);
-        state.commit(new Txn().guard(Keys.job(w[1]), 0).put(Keys.job(w[1]), Records.job(new JobRecord(s, JobState.LIVE, now))));
+        state.commit(new Txn()
+                .guard(Keys.job(w[1]), 0)
+                .put(Keys.job(w[1]), Records.job(new JobRecord(s, JobState.LIVE, now))));
     }
 
     private void cancel(String id) {
@@ -206,7 +269,9 @@
             return;
         }
         JobRecord r = Records.job(id, e.value());
-        state.commit(new Txn().guard(Keys.job(id), e.stamp()).put(Keys.job(id), Records.job(r.withState(JobState.CANCELLED))));
+        state.commit(new Txn()
+                .guard(Keys.job(id), e.stamp())
+                .put(Keys.job(id), Records.job(r.withState(JobState.CANCELLED))));
     }
 
     private void report(WorkerModel m, Node n, boolean lost) {
@@ -215,7 +280,8 @@
         copies.put(m.id(), r);
         Holder.Reply reply = n.holder.onReport(now, r);
         if (reply instanceof Holder.Reply.Answer a) {
-            say(n.name + " answers " + m.id() + " " + token(a.token()) + " " + orders(a.orders()) + (lost ? ", lost" : ""));
+            say(n.name + " answers " + m.id() + " " + token(a.token()) + " " + orders(a.orders())
+                    + (lost ? ", lost" : ""));
             if (!lost && !deaf.contains(m.id())) {
                 m.answered(now, now, r.shift(), a.token(), a.orders());
             }
@@ -230,8 +296,10 @@
     /** A copy of a report that came before; the answer goes nowhere. */
     private void copy(Report r, Node n) {
         Holder.Reply reply = n.holder.onReport(now, r);
-        say(n.name + (reply instanceof Holder.Reply.Answer a ? " answers a copy " + token(a.token()) + " " + orders(a.orders())
-            : reply instanceof Holder.Reply.Redirect ? " sends a copy elsewhere" : " refuses a copy"));
+        say(n.name
+                + (reply instanceof Holder.Reply.Answer a
+                        ? " answers a copy " + token(a.token()) + " " + orders(a.orders())
+                        : reply instanceof Holder.Reply.Redirect ? " sends a copy elsewhere" : " refuses a copy"));
         effects(n, false);
     }
 
@@ -253,8 +321,12 @@
                     n.holder.onProbeAnswer(now, m.report());
                 }
             } else if (e instanceof Holder.Effect.Tell t) {
-                say(n.name + " tells: " + t.observation().machine() + (t.observation().silent() ? " silent" : "") + " "
-                    + tasks(t.observation().tasks()) + (t.observation().gone().isEmpty() ? "" : " gone " + t.observation().gone().size()));
+                say(n.name + " tells: " + t.observation().machine()
+                        + (t.observation().silent() ? " silent" : "") + " "
+                        + tasks(t.observation().tasks())
+                        + (t.observation().gone().isEmpty()
+                                ? ""
+                                : " gone " + t.observation().gone().size()));
                 nodes.values().forEach(o -> o.leader.onObservation(now, t.observation()));
             } else if (e instanceof Holder.Effect.Offer o) {
                 List<String> bids = new ArrayList<>();
@@ -271,7 +343,10 @@
     private void lead(Node n, String end) {
         if (!n.leader.leads(now)) {
             Txn election = n.leader.election(now);
-            say(n.name + (election == null ? " doesn't stand: there is a leader" : " stands for leader: " + commit(election)));
+            say(n.name
+                    + (election == null
+                            ? " doesn't stand: there is a leader"
+                            : " stands for leader: " + commit(election)));
             sync(n);
             n.leader.leads(now);
             return;
@@ -283,15 +358,20 @@
         }
         StringBuilder ops = new StringBuilder();
         for (Txn.Op op : txn.ops()) {
-            ops.append(ops.isEmpty() ? "" : "; ").append(op.key()).append(op.value() == null ? " removed" : " = " + text(op.value()));
+            ops.append(ops.isEmpty() ? "" : "; ")
+                    .append(op.key())
+                    .append(op.value() == null ? " removed" : " = " + text(op.value()));
         }
-        String result = end.equals("lost") || end.equals("held") ? "no answer" : commit(txn) + (end.equals("applied") ? ", no answer" : "");
+        String result = end.equals("lost") || end.equals("held")
+                ? "no answer"
+                : commit(txn) + (end.equals("applied") ? ", no answer" : "");
         if (end.equals("held")) {
             held.put(n.name, txn);
         }
         say(n.name + " writes " + ops + " -> " + result);
         boolean ok = end.equals("ok");
-        n.pipeline.ended(!ok ? TxnResult.MAYBE : result.equals("200") ? TxnResult.OK : TxnResult.CONFLICT, state.ledger());
+        n.pipeline.ended(
+                !ok ? TxnResult.MAYBE : result.equals("200") ? TxnResult.OK : TxnResult.CONFLICT, state.ledger());
         n.pipeline.ready();
     }
 
@@ -310,7 +390,10 @@
         }
         Holder.Effect.Command c = commands.get(0);
         WorkerModel m = workers.get(c.machine());
-        Node n = nodes.values().stream().filter(x -> x.holder.machineNames().contains(c.machine())).findFirst().orElse(null);
+        Node n = nodes.values().stream()
+                .filter(x -> x.holder.machineNames().contains(c.machine()))
+                .findFirst()
+                .orElse(null);
         if (how.equals("lost")) {
             n.holder.onCommandLost(now, c.machine(), c.token());
             return;
@@ -334,7 +417,8 @@
     private static String orders(List<Order> orders) {
         List<String> list = new ArrayList<>();
         for (Order o : orders) {
-            list.add(o.getClass().getSimpleName().toLowerCase(java.util.Locale.ROOT) + " " + o.task() + "#" + (o.attempt() & 0xffffff));
+            list.add(o.getClass().getSimpleName().toLowerCase(java.util.Locale.ROOT) + " " + o.task() + "#"
+                    + (o.attempt() & 0xffffff));
         }
         return list.toString();
     }
--- a/src/test/java/garnetscale/net/HttpServerTest.java
+++ b/src/test/java/garnetscale/net/HttpServerTest.java
@@ -29,8 +29,13 @@
     @BeforeEach
     void start() {
         loop = new NioEventLoopGroup(1);
-        ChannelFuture f = new HttpServer(loop, new Sockets(12), 16, (method, path, body, answer) ->
-            answer.accept(new Reply(200, body, 2))).listen("127.0.0.1:0").awaitUninterruptibly();
+        ChannelFuture f = new HttpServer(
+                        loop,
+                        new Sockets(12),
+                        16,
+                        (method, path, body, answer) -> answer.accept(new Reply(200, body, 2)))
+                .listen("127.0.0.1:0")
+                .awaitUninterruptibly();
         port = ((InetSocketAddress) f.channel().localAddress()).getPort();
     }
 
@@ -54,7 +59,8 @@
     void aRequestMayComeByteByByte() throws IOException {
         try (Socket s = connect()) {
             OutputStream out = s.getOutputStream();
-            for (byte b : "POST /v2/runs HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\n\r\nabc".getBytes(StandardCharsets.US_ASCII)) {
+            for (byte b : "POST /v2/runs HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\n\r\nabc"
+                    .getBytes(StandardCharsets.US_ASCII)) {
                 out.write(b);
                 out.flush();
             }
@@ -65,8 +71,9 @@
     @Test
     void aBodyOver64KiBIsMalformed() throws IOException {
         try (Socket s = connect()) {
-            s.getOutputStream().write(
-                "POST /v2/runs HTTP/1.1\r\nHost: x\r\nContent-Length: 65537\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
+            s.getOutputStream()
+                    .write("POST /v2/runs HTTP/1.1\r\nHost: x\r\nContent-Length: 65537\r\n\r\n"
+                            .getBytes(StandardCharsets.US_ASCII));
             assertEquals("HTTP/1.1 400 Bad Request", firstLine(s));
         }
     }
@@ -75,9 +82,12 @@
     @Test
     void chunksAndSeveralRequestsInOnePacketAreKeptApart() throws IOException {
         try (Socket s = connect()) {
-            s.getOutputStream().write(("POST /a HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n1\r\nc\r\n0\r\n\r\n"
-                + "POST /b HTTP/1.1\r\nHost: x\r\nContent-Length: 2\r\n\r\nde"
-                + "POST /c HTTP/1.1\r\nHost: x\r\nConnection: close\r\nContent-Length: 0\r\n\r\n").getBytes(StandardCharsets.US_ASCII));
+            s.getOutputStream()
+                    .write(
+                            ("POST /a HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n1\r\nc\r\n0\r\n\r\n"
+                                            + "POST /b HTTP/1.1\r\nHost: x\r\nContent-Length: 2\r\n\r\nde"
+                                            + "POST /c HTTP/1.1\r\nHost: x\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")
+                                    .getBytes(StandardCharsets.US_ASCII));
             String all = new String(s.getInputStream().readAllBytes(), StandardCharsets.US_ASCII);
             List<String> bodies = new ArrayList<>();
             for (String part : all.split("HTTP/1.1 200 OK")) {
@@ -93,8 +103,10 @@
     void chunksOver64KiBAreMalformed() throws IOException {
         try (Socket s = connect()) {
             String chunk = "8000\r\n" + "x".repeat(0x8000) + "\r\n";
-            s.getOutputStream().write(("POST /v2/runs HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk.repeat(2) + "1\r\nx\r\n")
-                .getBytes(StandardCharsets.US_ASCII));
+            s.getOutputStream()
+                    .write(("POST /v2/runs HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk.repeat(2)
+                                    + "1\r\nx\r\n")
+                            .getBytes(StandardCharsets.US_ASCII));
             assertEquals("HTTP/1.1 400 Bad Request", firstLine(s));
         }
     }
@@ -102,8 +114,9 @@
     @Test
     void whoExpectsToContinueIsToldSo() throws IOException {
         try (Socket s = connect()) {
-            s.getOutputStream().write(("POST /v2/runs HTTP/1.1\r\nHost: x\r\nExpect: 100-continue\r\nContent-Length: 3\r\n\r\n")
-                .getBytes(StandardCharsets.US_ASCII));
+            s.getOutputStream()
+                    .write(("POST /v2/runs HTTP/1.1\r\nHost: x\r\nExpect: 100-continue\r\nContent-Length: 3\r\n\r\n")
+                            .getBytes(StandardCharsets.US_ASCII));
             assertEquals("HTTP/1.1 100 Continue", firstLine(s));
         }
     }
@@ -111,7 +124,8 @@
     /** More users than there is room for push out those that rest; a worker's connection stays. */
     @Test
     void excessUsersDoNotPushOutWorkers() throws IOException {
-        byte[] hello = "POST /hello HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
+        byte[] hello =
+                "POST /hello HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
         List<Socket> users = new ArrayList<>();
         try (Socket worker = connect()) {
             worker.getOutputStream().write(hello);
--- a/src/test/java/garnetscale/peer/PeerCodecTest.java
+++ b/src/test/java/garnetscale/peer/PeerCodecTest.java
@@ -8,13 +8,13 @@
 import garnetscale.core.bid.Bid;
 import garnetscale.core.bid.BidSheet;
 import garnetscale.core.block.Observation;
-import garnetscale.core.job.TaskId;
 import garnetscale.core.job.JobState;
+import garnetscale.core.job.TaskId;
 import garnetscale.core.machine.Address;
-import garnetscale.core.store.Records;
 import garnetscale.core.machine.ExitCause;
 import garnetscale.core.machine.ReportedTask;
 import garnetscale.core.machine.TaskState;
+import garnetscale.core.store.Records;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.io.InputStream;
@@ -35,16 +35,33 @@
 class PeerCodecTest {
 
     private static final List<PeerMessage> MESSAGES = List.of(
-        new PeerMessage.Heartbeat("hive-0", 4, -1, 250, true),
-        new PeerMessage.Over("wk-000412", new Records.Archived(JobState.DONE, 16, 16, "red")),
-        new PeerMessage.Cancelled("wk-000412"),
-        new PeerMessage.Book(List.of(new Address("m-000231", "10.1.0.232:9000", "a")), List.of("wk-000412"), List.of("wk-000413")),
-        new PeerMessage.Seen(new Observation("hive-0", 4, "a/0", 1048577, "m-000231", "10.1.0.232:9000", "g8", "a", true,
-            2, 17.5, false, List.of(new ReportedTask(new TaskId("wk-000412", 3), 16777217, TaskState.RUNNING, null, false),
-                new ReportedTask(new TaskId("wk-000398", 0), 16777218, TaskState.EXITED, ExitCause.STOPPED, true)),
-            List.of(16777219L))),
-        new PeerMessage.Bids(new BidSheet("hive-0", 4, 431, Map.of("a/0", 1048577L),
-            List.of(new Bid("m-000231", 2, "wk-000412", 3, 41.5)))));
+            new PeerMessage.Heartbeat("hive-0", 4, -1, 250, true),
+            new PeerMessage.Over("wk-000412", new Records.Archived(JobState.DONE, 16, 16, "red")),
+            new PeerMessage.Cancelled("wk-000412"),
+            new PeerMessage.Book(
+                    List.of(new Address("m-000231", "10.1.0.232:9000", "a")),
+                    List.of("wk-000412"),
+                    List.of("wk-000413")),
+            new PeerMessage.Seen(new Observation(
+                    "hive-0",
+                    4,
+                    "a/0",
+                    1048577,
+                    "m-000231",
+                    "10.1.0.232:9000",
+                    "g8",
+                    "a",
+                    true,
+                    2,
+                    17.5,
+                    false,
+                    List.of(
+                            new ReportedTask(new TaskId("wk-000412", 3), 16777217, TaskState.RUNNING, null, false),
+                            new ReportedTask(
+                                    new TaskId("wk-000398", 0), 16777218, TaskState.EXITED, ExitCause.STOPPED, true)),
+                    List.of(16777219L))),
+            new PeerMessage.Bids(new BidSheet(
+                    "hive-0", 4, 431, Map.of("a/0", 1048577L), List.of(new Bid("m-000231", 2, "wk-000412", 3, 41.5)))));
 
     @Test
     void everyMessageComesOutAsItWentIn() throws IOException {
@@ -72,8 +89,9 @@
             new GenericDatumWriter<GenericRecord>(schema).write(read, encoder);
             encoder.flush();
             assertArrayEquals(ours, out.toByteArray(), m.toString());
-            String name = m instanceof PeerMessage.Seen ? "Observation" : m instanceof PeerMessage.Bids ? "BidSheet"
-                : m.getClass().getSimpleName();
+            String name = m instanceof PeerMessage.Seen
+                    ? "Observation"
+                    : m instanceof PeerMessage.Bids ? "BidSheet" : m.getClass().getSimpleName();
             assertEquals(name, read.getSchema().getName());
             for (Schema.Field f : read.getSchema().getFields()) {
                 assertTrue(read.get(f.pos()) != null || f.name().equals("notice"), name + "." + f.name());
@@ -89,13 +107,17 @@
             schema = new Schema.Parser().parse(in);
         }
         byte[] bytes = new PeerCodec().encode(MESSAGES.get(4));
-        GenericRecord r = new GenericDatumReader<GenericRecord>(schema).read(null, DecoderFactory.get().binaryDecoder(bytes, null));
-        assertEquals("{\"node\": \"hive-0\", \"incarnation\": 4, \"block\": \"a/0\", \"term\": 1048577, \"machine\": \"m-000231\", "
-            + "\"address\": \"10.1.0.232:9000\", \"type\": \"g8\", \"zone\": \"a\", \"spot\": true, \"shift\": 2, \"notice\": 17.5, "
-            + "\"silent\": false, \"tasks\": [{\"task\": \"wk-000412/3\", \"attempt\": 16777217, \"state\": " + TaskState.RUNNING.ordinal()
-            + ", \"cause\": -1, \"saved\": false}, {\"task\": \"wk-000398/0\", \"attempt\": 16777218, \"state\": "
-            + TaskState.EXITED.ordinal() + ", \"cause\": " + ExitCause.STOPPED.ordinal() + ", \"saved\": true}], \"gone\": [16777219]}",
-            r.toString());
+        GenericRecord r = new GenericDatumReader<GenericRecord>(schema)
+                .read(null, DecoderFactory.get().binaryDecoder(bytes, null));
+        assertEquals(
+                "{\"node\": \"hive-0\", \"incarnation\": 4, \"block\": \"a/0\", \"term\": 1048577, \"machine\": \"m-000231\", "
+                        + "\"address\": \"10.1.0.232:9000\", \"type\": \"g8\", \"zone\": \"a\", \"spot\": true, \"shift\": 2, \"notice\": 17.5, "
+                        + "\"silent\": false, \"tasks\": [{\"task\": \"wk-000412/3\", \"attempt\": 16777217, \"state\": "
+                        + TaskState.RUNNING.ordinal()
+                        + ", \"cause\": -1, \"saved\": false}, {\"task\": \"wk-000398/0\", \"attempt\": 16777218, \"state\": "
+                        + TaskState.EXITED.ordinal() + ", \"cause\": " + ExitCause.STOPPED.ordinal()
+                        + ", \"saved\": true}], \"gone\": [16777219]}",
+                r.toString());
     }
 
     @Test
--- a/src/test/java/garnetscale/timeline/Timeline.java
+++ b/src/test/java/garnetscale/timeline/Timeline.java
@@ -17,9 +17,11 @@
 
     /** All that happens by chance comes of this, and so of the seed. */
     public final Random random;
+
     public long now;
     /** How often what a day is steered into came about. */
     public final Map<String, Integer> met = new TreeMap<>();
+
     private final PriorityQueue<Event> events = new PriorityQueue<>();
     private long order;
 
--- a/src/test/java/garnetscale/wire/CodecExamplesTest.java
+++ b/src/test/java/garnetscale/wire/CodecExamplesTest.java
@@ -32,18 +32,49 @@
     }
 
     private static Map<String, Object> hello() {
-        return map("hive", "m-000231", "address", "10.1.0.232:9000", "breed", "g8", "field", "a", "windfall", true,
-            "shift", 1, "tick", 88, "baton", 41, "warning_s", null, "chores", List.of(
-                map("chore", "wk-000412/3", "try", 2, "mood", "running"),
-                map("chore", "wk-000398/0", "try", 1, "mood", "exited", "cause", "done")));
+        return map(
+                "hive",
+                "m-000231",
+                "address",
+                "10.1.0.232:9000",
+                "breed",
+                "g8",
+                "field",
+                "a",
+                "windfall",
+                true,
+                "shift",
+                1,
+                "tick",
+                88,
+                "baton",
+                41,
+                "warning_s",
+                null,
+                "chores",
+                List.of(
+                        map("chore", "wk-000412/3", "try", 2, "mood", "running"),
+                        map("chore", "wk-000398/0", "try", 1, "mood", "exited", "cause", "done")));
     }
 
     @Test
     void report() throws IOException {
-        assertEquals(new Report("m-000231", "10.1.0.232:9000", "g8", "a", true, 1, 88, 41, null, List.of(
-            new ReportedTask(new TaskId("wk-000412", 3), 2, TaskState.RUNNING, null, false),
-            new ReportedTask(new TaskId("wk-000398", 0), 1, TaskState.EXITED, ExitCause.DONE, false))),
-            WorkerCodec.report(Cbor.write(hello())));
+        assertEquals(
+                new Report(
+                        "m-000231",
+                        "10.1.0.232:9000",
+                        "g8",
+                        "a",
+                        true,
+                        1,
+                        88,
+                        41,
+                        null,
+                        List.of(
+                                new ReportedTask(new TaskId("wk-000412", 3), 2, TaskState.RUNNING, null, false),
+                                new ReportedTask(
+                                        new TaskId("wk-000398", 0), 1, TaskState.EXITED, ExitCause.DONE, false))),
+                WorkerCodec.report(Cbor.write(hello())));
     }
 
     @Test
@@ -60,43 +91,100 @@
 
     @Test
     void answerToAReport() throws IOException {
-        byte[] body = WorkerCodec.answer(41, List.of(new Order.Start(new TaskId("wk-000412", 4), 2),
-            new Order.Stop(new TaskId("wk-000377", 1), 1, 10), new Order.Clear(new TaskId("wk-000398", 0), 1)));
-        assertEquals(map("baton", 41, "orders", List.of(map("verb", "start", "chore", "wk-000412/4", "try", 2),
-            map("verb", "halt", "chore", "wk-000377/1", "try", 1, "mercy_s", 10.0),
-            map("verb", "clear", "chore", "wk-000398/0", "try", 1))), Cbor.readMap(body));
+        byte[] body = WorkerCodec.answer(
+                41,
+                List.of(
+                        new Order.Start(new TaskId("wk-000412", 4), 2),
+                        new Order.Stop(new TaskId("wk-000377", 1), 1, 10),
+                        new Order.Clear(new TaskId("wk-000398", 0), 1)));
+        assertEquals(
+                map(
+                        "baton",
+                        41,
+                        "orders",
+                        List.of(
+                                map("verb", "start", "chore", "wk-000412/4", "try", 2),
+                                map("verb", "halt", "chore", "wk-000377/1", "try", 1, "mercy_s", 10.0),
+                                map("verb", "clear", "chore", "wk-000398/0", "try", 1))),
+                Cbor.readMap(body));
         assertEquals(map("steward", "hive-2"), Cbor.readMap(WorkerCodec.redirect("hive-2")));
         assertEquals(Map.of(), Cbor.readMap(WorkerCodec.redirect(null)));
     }
 
     @Test
     void cloud() throws IOException {
-        assertEquals(List.of(new MachineType("g8", 96, 8, 768, 200, 1, 12, 4.5, 45, List.of("a", "b"))),
-            CloudCodec.types(Cbor.write(map("breeds", List.of(map("name", "g8", "cpus", 96, "gpus", 8, "ram_gb", 768,
-                "cache_gb", 200, "fetch_gb_per_s", 1.0, "rate", 12.0, "market_price", 4.5, "startup_s", 45, "fields",
-                List.of("a", "b")))))));
-        assertEquals(map("ask", "r-17", "breed", "g8", "field", "a", "windfall", true, "how_many", 12),
-            Cbor.readMap(CloudCodec.rent(new CloudCall.Rent("r-17", "g8", "a", true, 12))));
+        assertEquals(
+                List.of(new MachineType("g8", 96, 8, 768, 200, 1, 12, 4.5, 45, List.of("a", "b"))),
+                CloudCodec.types(Cbor.write(map(
+                        "breeds",
+                        List.of(map(
+                                "name",
+                                "g8",
+                                "cpus",
+                                96,
+                                "gpus",
+                                8,
+                                "ram_gb",
+                                768,
+                                "cache_gb",
+                                200,
+                                "fetch_gb_per_s",
+                                1.0,
+                                "rate",
+                                12.0,
+                                "market_price",
+                                4.5,
+                                "startup_s",
+                                45,
+                                "fields",
+                                List.of("a", "b")))))));
+        assertEquals(
+                map("ask", "r-17", "breed", "g8", "field", "a", "windfall", true, "how_many", 12),
+                Cbor.readMap(CloudCodec.rent(new CloudCall.Rent("r-17", "g8", "a", true, 12))));
         assertEquals(List.of("m-000231"), CloudCodec.rented(Cbor.write(map("hives", List.of("m-000231")))));
-        CloudCodec.Page page = CloudCodec.page(Cbor.write(map("hives", List.of(map("id", "m-000231", "address",
-            "10.1.0.232:9000", "breed", "g8", "field", "a", "windfall", true, "mood", "running", "age_s", 61.5)),
-            "has_next", false)));
-        assertEquals(List.of(new Listed("m-000231", "10.1.0.232:9000", "g8", "a", true, Listed.State.RUNNING, 61.5)),
-            page.machines());
+        CloudCodec.Page page = CloudCodec.page(Cbor.write(map(
+                "hives",
+                List.of(map(
+                        "id",
+                        "m-000231",
+                        "address",
+                        "10.1.0.232:9000",
+                        "breed",
+                        "g8",
+                        "field",
+                        "a",
+                        "windfall",
+                        true,
+                        "mood",
+                        "running",
+                        "age_s",
+                        61.5)),
+                "has_next",
+                false)));
+        assertEquals(
+                List.of(new Listed("m-000231", "10.1.0.232:9000", "g8", "a", true, Listed.State.RUNNING, 61.5)),
+                page.machines());
     }
 
     @Test
     void stateService() throws IOException {
         Txn txn = new Txn().guard("a/b", 0).put("a/b", Map.of("x", 1), 7).delete("c/d");
-        assertEquals(map("guards", List.of(map("key", "a/b", "stamp", 0)), "then",
-            List.of(map("set", "a/b", "v", map("x", 1), "tenure", 7), map("remove", "c/d"))),
-            Cbor.readMap(StateCodec.txn(txn)));
-        StateCodec.Batch log = StateCodec.log(Cbor.write(map("ledger", 433, "log", List.of(
-            map("set", "c/9", "v", map("x", 1), "stamp", 433), map("remove", "c/d", "stamp", 432)))));
+        assertEquals(
+                map(
+                        "guards",
+                        List.of(map("key", "a/b", "stamp", 0)),
+                        "then",
+                        List.of(map("set", "a/b", "v", map("x", 1), "tenure", 7), map("remove", "c/d"))),
+                Cbor.readMap(StateCodec.txn(txn)));
+        StateCodec.Batch log = StateCodec.log(Cbor.write(map(
+                "ledger",
+                433,
+                "log",
+                List.of(map("set", "c/9", "v", map("x", 1), "stamp", 433), map("remove", "c/d", "stamp", 432)))));
         assertEquals(List.of(new Change("c/9", Map.of("x", 1), 433), new Change("c/d", null, 432)), log.changes());
         assertEquals(433, log.ledger());
-        StateCodec.Batch page = StateCodec.listing(Cbor.write(map("pairs",
-            List.of(map("key", "c/9", "v", map("x", 1), "stamp", 5)), "has_next", true, "ledger", 431)));
+        StateCodec.Batch page = StateCodec.listing(Cbor.write(map(
+                "pairs", List.of(map("key", "c/9", "v", map("x", 1), "stamp", 5)), "has_next", true, "ledger", 431)));
         assertEquals(List.of(new Change("c/9", Map.of("x", 1), 5)), page.changes());
         assertEquals(true, page.more());
     }
--- a/src/test/java/garnetscale/wire/UserCodecTest.java
+++ b/src/test/java/garnetscale/wire/UserCodecTest.java
@@ -49,8 +49,28 @@
 
     @Test
     void readsTheProtocolsExample() throws IOException {
-        assertEquals(new JobSpec("wk-000412", "train", "vision", Priority.HIGH, 16, 8, 1, 64, List.of("g8"), null, true,
-            false, true, "img-07", 6.2, 240, 30, 4, 900.0), read(example()));
+        assertEquals(
+                new JobSpec(
+                        "wk-000412",
+                        "train",
+                        "vision",
+                        Priority.HIGH,
+                        16,
+                        8,
+                        1,
+                        64,
+                        List.of("g8"),
+                        null,
+                        true,
+                        false,
+                        true,
+                        "img-07",
+                        6.2,
+                        240,
+                        30,
+                        4,
+                        900.0),
+                read(example()));
     }
 
     @Test
@@ -65,8 +85,25 @@
     }
 
     @ParameterizedTest
-    @CsvSource({"id,job-1", "id,wk-", "id,wk-12x", "shape,group", "rank,urgent", "chores,0", "chores,100001", "chores,many",
-        "cpus,-1.0", "cpus,NaN", "cpus,Infinity", "cpus,lots", "same_place,yes", "breeds,g8", "guess_s,", "herd,", "pin_s,-0.1"})
+    @CsvSource({
+        "id,job-1",
+        "id,wk-",
+        "id,wk-12x",
+        "shape,group",
+        "rank,urgent",
+        "chores,0",
+        "chores,100001",
+        "chores,many",
+        "cpus,-1.0",
+        "cpus,NaN",
+        "cpus,Infinity",
+        "cpus,lots",
+        "same_place,yes",
+        "breeds,g8",
+        "guess_s,",
+        "herd,",
+        "pin_s,-0.1"
+    })
     void namesTheFieldThatIsAtFault(String field, String value) {
         Map<String, Object> m = example();
         m.put(field, typed(value));
