--- a/src/main/java/garnetscale/app/Archive.java
+++ b/src/main/java/garnetscale/app/Archive.java
@@ -14,7 +14,7 @@
 import java.util.function.Consumer;
 
 /**
- * What is known of jobs that are over, and the questions about those that the mirror doesn't hold. Users ask about jobs that
+ * What is known of jobs that are over, and the questions about those that the replica doesn't hold. Users ask about jobs that
  * nobody has submitted, too, and each such question would cost a request: so many questions are put as one, by comparing
  * all their keys with "isn't there" in a transaction that changes nothing. Only what is there is read by itself.
  */
--- a/src/main/java/garnetscale/app/Turns.java
+++ b/src/main/java/garnetscale/app/EventLoopProfile.java
@@ -7,7 +7,7 @@
  * What the event loop's turns are spent on, by role: always on, and logged now and then. What Netty, the collector and the
  * compiler take is the rest of the process's time and not in here.
  */
-final class Turns {
+final class EventLoopProfile {
 
     /** Whose turn it is; a turn inside another counts for the inner one alone. */
     enum Role {
--- a/src/main/java/garnetscale/app/Front.java
+++ b/src/main/java/garnetscale/app/JobApi.java
@@ -7,8 +7,8 @@
 import garnetscale.core.machine.MachineType;
 import garnetscale.core.store.JobView;
 import garnetscale.core.store.Keys;
-import garnetscale.core.store.Mirror;
 import garnetscale.core.store.Records;
+import garnetscale.core.store.StateReplica;
 import garnetscale.core.store.Txn;
 import garnetscale.core.store.TxnResult;
 import garnetscale.net.Reply;
@@ -24,11 +24,11 @@
 
 /**
  * Serves users. No answer is older than one that any node has given: what is not final is answered only from a
- * mirror that was brought up to date after the request came, and what can't be is refused at once with 503.
+ * replica that was brought up to date after the request came, and what can't be is refused at once with 503.
  */
-final class Front {
+final class JobApi {
 
-    private static final Logger LOG = LoggerFactory.getLogger(Front.class);
+    private static final Logger LOG = LoggerFactory.getLogger(JobApi.class);
     /** The part of its sockets that may be users' who wait for the state service; more would only be answered late. */
     private static final int WAITING = 8;
 
@@ -39,7 +39,7 @@
         /** Whether it refuses or doesn't answer, by the last requests. */
         boolean failing();
 
-        /** Calls back once the mirror is as new as a request sent after this call; false when it can't be. */
+        /** Calls back once the replica is as new as a request sent after this call; false when it can't be. */
         void sync(Consumer<Boolean> done);
 
         /** Sends a transaction, or refuses it at once when the limits are used up. */
@@ -47,16 +47,21 @@
     }
 
     private final Params params;
-    private final Mirror mirror;
+    private final StateReplica replica;
     private final Store state;
     private final Function<JobView, String> why;
     private final Consumer<String> cancelled;
     private int waiting;
     private final Archive archive;
 
-    Front(Params params, Mirror mirror, Store state, Function<JobView, String> why, Consumer<String> cancelled) {
+    JobApi(
+            Params params,
+            StateReplica replica,
+            Store state,
+            Function<JobView, String> why,
+            Consumer<String> cancelled) {
         this.params = params;
-        this.mirror = mirror;
+        this.replica = replica;
         this.state = state;
         this.archive = new Archive(params.txnOps(), state);
         this.why = why;
@@ -113,11 +118,11 @@
             answer.accept(error(400, reason(e)));
             return;
         }
-        if (!mirror.loaded() || state.failing() || crowded(1)) {
+        if (!replica.loaded() || state.failing() || crowded(1)) {
             answer.accept(later("the state service can't be asked"));
             return;
         }
-        if (archive.known(id) != null || mirror.job(id) != null) {
+        if (archive.known(id) != null || replica.job(id) != null) {
             poll(id, true, answer);
             return;
         }
@@ -185,11 +190,11 @@
         if (team == null) {
             return error(422, "unknown team " + spec.team());
         }
-        if (mirror.types().isEmpty()) {
+        if (replica.types().isEmpty()) {
             return later("machine types not known yet");
         }
         boolean fits = false;
-        for (MachineType t : mirror.types()) {
+        for (MachineType t : replica.types()) {
             fits |= t.fits(spec) && (spec.zone() == null || t.zones().contains(spec.zone()));
         }
         if (!fits) {
@@ -210,14 +215,14 @@
                                 : known && found.status() == 404 ? later("state unknown") : found));
     }
 
-    /** The job's state from a mirror newer than this call, or from the archive; null when it can't be known. */
+    /** The job's state from a replica newer than this call, or from the archive; null when it can't be known. */
     private void lookUp(String id, Consumer<Reply> found) {
         Records.Archived known = archive.known(id);
         if (known != null) {
             found.accept(Reply.of(200, answer(id, known)));
             return;
         }
-        if (!mirror.loaded() || state.failing() || crowded(QUESTIONS)) {
+        if (!replica.loaded() || state.failing() || crowded(QUESTIONS)) {
             found.accept(null);
             return;
         }
@@ -228,12 +233,12 @@
                 found.accept(null);
                 return;
             }
-            JobView job = mirror.job(id);
+            JobView job = replica.job(id);
             if (job != null) {
                 found.accept(Reply.of(200, answer(job)));
                 return;
             }
-            // The mirror didn't hold it as of a moment after the request: it is over, or was never accepted.
+            // The replica didn't hold it as of a moment after the request: it is over, or was never accepted.
             archived(id, found);
         });
     }
@@ -279,14 +284,14 @@
             answer.accept(Reply.of(200, answer(id, known)));
             return;
         }
-        if (!mirror.loaded() || state.failing() || crowded(1) || tries > 3) {
+        if (!replica.loaded() || state.failing() || crowded(1) || tries > 3) {
             answer.accept(later("the state service can't be asked"));
             return;
         }
         waiting++;
         state.sync(ok -> {
             waiting--;
-            JobView job = ok ? mirror.job(id) : null;
+            JobView job = ok ? replica.job(id) : null;
             if (!ok) {
                 answer.accept(later("state unknown"));
             } else if (job == null) {
--- a/src/main/java/garnetscale/app/Main.java
+++ b/src/main/java/garnetscale/app/Main.java
@@ -76,6 +76,7 @@
             level = "info";
         }
         // Named, so that no start has to look for providers in every file of the jar.
+        System.setProperty("slf4j.internal.verbosity", "WARN");
         System.setProperty("slf4j.provider", "org.slf4j.simple.SimpleServiceProvider");
         System.setProperty("org.slf4j.simpleLogger.defaultLogLevel", level);
         System.setProperty("org.slf4j.simpleLogger.log.io.netty", level.equals("debug") ? "info" : level);
--- a/src/main/java/garnetscale/app/Node.java
+++ b/src/main/java/garnetscale/app/Node.java
@@ -2,8 +2,8 @@
 
 import garnetscale.core.Params;
 import garnetscale.core.bid.Estimator;
+import garnetscale.core.block.BlockHolder;
 import garnetscale.core.block.Blocks;
-import garnetscale.core.block.Holder;
 import garnetscale.core.block.LeaderInfo;
 import garnetscale.core.fleet.CloudCall;
 import garnetscale.core.fleet.Fleet;
@@ -13,8 +13,8 @@
 import garnetscale.core.machine.Report;
 import garnetscale.core.store.JobView;
 import garnetscale.core.store.Keys;
-import garnetscale.core.store.Mirror;
 import garnetscale.core.store.Records;
+import garnetscale.core.store.StateReplica;
 import garnetscale.core.store.Txn;
 import garnetscale.core.store.TxnResult;
 import garnetscale.net.HttpClient;
@@ -63,7 +63,7 @@
     private static final long FLEET_MS = 2 * TICK_MS;
     /** Drafts in a window; each goes through all that waits. */
     private static final int PLANS_IN_WINDOW = 10;
-    /** After a draft that held nothing the next one waits this many times as long: sheets rarely come alone. */
+    /** After a draft that held nothing the next one waits this many times as long: batches rarely come alone. */
     private static final long FRUITLESS = 3;
     /** The pause after a turn, in multiples of what it took. */
     private static final long REST = 3;
@@ -73,18 +73,18 @@
     private record Peer(PeerMessage.Heartbeat last, long at) {}
 
     private final Params params;
-    private final Turns turns = new Turns();
+    private final EventLoopProfile profile = new EventLoopProfile();
     private final long turnMs;
     private final Settings settings;
     private final EventLoopGroup loop;
-    private final Mirror mirror = new Mirror();
-    private final Holder holder;
+    private final StateReplica replica = new StateReplica();
+    private final BlockHolder holder;
     private final Leader leader;
     private final Pipeline pipeline;
     private final Fleet fleet;
     private final StateLink state;
     private final CloudLink cloud;
-    private final Front front;
+    private final JobApi front;
     private final PeerLinks peers;
     private final HttpClient workers;
     private final HttpServer server;
@@ -109,11 +109,11 @@
         this.turnMs = Math.max(LEAST_TURN_MS, params.reportMs() / TURNS_IN_REPORT);
         this.loop = new NioEventLoopGroup(1, new DefaultThreadFactory("loop"));
         Blocks blocks = new Blocks(params);
-        this.holder = new Holder(params, mirror, blocks, new Estimator(params.reportMs()));
-        this.leader = new Leader(params, mirror, blocks, LOG::info);
-        this.pipeline = new Pipeline(mirror, leader);
-        this.fleet = new Fleet(params, mirror, LOG::info);
-        this.state = new StateLink(params, stateIo(), new SplittableRandom(), mirror, this);
+        this.holder = new BlockHolder(params, replica, blocks, new Estimator(params.reportMs()));
+        this.leader = new Leader(params, replica, blocks, LOG::info);
+        this.pipeline = new Pipeline(replica, leader);
+        this.fleet = new Fleet(params, replica, LOG::info);
+        this.state = new StateLink(params, stateIo(), new SplittableRandom(), replica, this);
         this.cloud = new CloudLink(
                 params,
                 new HttpClient(loop, 1, 1000),
@@ -122,7 +122,7 @@
                 this::onTypes,
                 this::onDead,
                 this::onListed);
-        this.front = new Front(params, mirror, state, this::why, this::onCancelled);
+        this.front = new JobApi(params, replica, state, this::why, this::onCancelled);
         this.peers = new PeerLinks(loop, this::onPeer, this::onLink, this::onRefused);
         Sockets sockets = new Sockets(params.maxConnections());
         this.workers = new HttpClient(loop, 1, sockets, 1000);
@@ -154,7 +154,7 @@
                         path,
                         body,
                         timeoutMs,
-                        r -> turns.run(Turns.Role.STATE, () -> done.accept(r)));
+                        r -> profile.run(EventLoopProfile.Role.STATE, () -> done.accept(r)));
             }
         };
     }
@@ -176,7 +176,7 @@
             loop.next().scheduleWithFixedDelay(this::beat, HEARTBEAT_MS, HEARTBEAT_MS, TimeUnit.MILLISECONDS);
             loop.next()
                     .scheduleWithFixedDelay(
-                            () -> LOG.info("turns: {}", turns.take()), TURNS_MS, TURNS_MS, TimeUnit.MILLISECONDS);
+                            () -> LOG.info("turns: {}", profile.take()), TURNS_MS, TURNS_MS, TimeUnit.MILLISECONDS);
         });
     }
 
@@ -196,8 +196,9 @@
     // ---- requests
 
     private void onRequest(String method, String path, byte[] body, Consumer<Reply> answer) {
-        turns.run(
-                path.equals("/hello") ? Turns.Role.REPORTS : Turns.Role.USERS, () -> serve(method, path, body, answer));
+        profile.run(
+                path.equals("/hello") ? EventLoopProfile.Role.REPORTS : EventLoopProfile.Role.USERS,
+                () -> serve(method, path, body, answer));
     }
 
     private void serve(String method, String path, byte[] body, Consumer<Reply> answer) {
@@ -222,7 +223,7 @@
      * out of service would only delay the return, so it stays in unless a peer does better.
      */
     private boolean ready() {
-        if (!mirror.loaded() || mirror.types().isEmpty()) {
+        if (!replica.loaded() || replica.types().isEmpty()) {
             return false;
         }
         return state.ageMs() < 3 * StateLink.CONFIRM_MS || !peerReachesState();
@@ -245,21 +246,21 @@
             LOG.info("malformed report: {}", e.getMessage());
             return Reply.of(400);
         }
-        if (!mirror.loaded()) {
+        if (!replica.loaded()) {
             return Reply.of(503);
         }
-        Holder.Reply r = holder.onReport(now(), report);
+        BlockHolder.Reply r = holder.onReport(now(), report);
         queueWork();
-        if (r instanceof Holder.Reply.Answer a) {
+        if (r instanceof BlockHolder.Reply.Answer a) {
             if (!a.orders().isEmpty()) {
                 LOG.debug("machine {} told {} under token {}", report.machine(), a.orders(), a.token());
             }
             return Reply.of(200, WorkerCodec.answer(a.token(), a.orders()));
         }
-        if (r instanceof Holder.Reply.Redirect to) {
+        if (r instanceof BlockHolder.Reply.Redirect to) {
             return Reply.of(421, WorkerCodec.redirect(to.node()));
         }
-        LOG.debug("report of {} refused: {}", report.machine(), ((Holder.Reply.Refuse) r).why());
+        LOG.debug("report of {} refused: {}", report.machine(), ((BlockHolder.Reply.Refuse) r).why());
         return Reply.of(503);
     }
 
@@ -296,9 +297,9 @@
             peers.send(node, book());
         }
         peers.send(node, heartbeat());
-        LeaderInfo l = mirror.leader();
+        LeaderInfo l = replica.leader();
         if (l != null && l.node().equals(node)) {
-            holder.retell(now());
+            holder.resynchronize(now());
             queueWork();
         }
     }
@@ -324,7 +325,7 @@
     }
 
     private void onPeer(PeerMessage m) {
-        turns.run(Turns.Role.PEERS, () -> hear(m));
+        profile.run(EventLoopProfile.Role.PEERS, () -> hear(m));
     }
 
     private void hear(PeerMessage m) {
@@ -335,7 +336,7 @@
             }
             leader.hears(h.node(), h.deaf());
             if (h.leaderTerm() >= 0 && (before == null || before.last().leaderTerm() != h.leaderTerm())) {
-                holder.retell(now());
+                holder.resynchronize(now());
                 queueWork();
             }
         } else if (m instanceof PeerMessage.Cancelled c) {
@@ -350,7 +351,7 @@
             leader.onObservation(now(), s.observation());
             queueWork();
         } else if (m instanceof PeerMessage.Bids b) {
-            leader.onBids(now(), b.sheet());
+            leader.onBids(now(), b.batch());
             queueWork();
         }
     }
@@ -380,7 +381,7 @@
     }
 
     private void work() {
-        if (!mirror.loaded()) {
+        if (!replica.loaded()) {
             return;
         }
         long now = now();
@@ -388,7 +389,7 @@
             holder.wallClock(System.currentTimeMillis() - now);
             fleet.wallClock(System.currentTimeMillis() - now);
             leader.wallClock(System.currentTimeMillis() - now);
-            turns.run(Turns.Role.HOLDER, () -> {
+            profile.run(EventLoopProfile.Role.HOLDER, () -> {
                 holder.tick(now);
                 holder.drain().forEach(this::carryOut);
             });
@@ -399,7 +400,7 @@
                 leader.hears(params.self(), deaf);
                 peers.sendAll(heartbeat());
             }
-            turns.run(Turns.Role.LEADER, () -> lead(now));
+            profile.run(EventLoopProfile.Role.LEADER, () -> lead(now));
         } catch (RuntimeException e) {
             LOG.error("work failed", e);
         }
@@ -411,8 +412,8 @@
         }
     }
 
-    private void carryOut(Holder.Effect effect) {
-        if (effect instanceof Holder.Effect.Command c) {
+    private void carryOut(BlockHolder.Effect effect) {
+        if (effect instanceof BlockHolder.Effect.Command c) {
             LOG.debug("machine {} told {} directly under token {}", c.machine(), c.orders(), c.token());
             workers.call(
                     c.address(),
@@ -420,35 +421,35 @@
                     "/commands",
                     WorkerCodec.commands(c.token(), c.shift(), c.orders()),
                     4000,
-                    r -> turns.run(Turns.Role.WORKERS, () -> onCommanded(c, r)));
+                    r -> profile.run(EventLoopProfile.Role.WORKERS, () -> onCommanded(c, r)));
             return;
         }
-        if (effect instanceof Holder.Effect.Probe p) {
+        if (effect instanceof BlockHolder.Effect.Probe p) {
             workers.call(
                     p.address(),
                     HttpMethod.GET,
                     "/show",
                     null,
                     2000,
-                    r -> turns.run(Turns.Role.WORKERS, () -> onProbed(r)));
+                    r -> profile.run(EventLoopProfile.Role.WORKERS, () -> onProbed(r)));
             return;
         }
-        LeaderInfo l = mirror.leader();
+        LeaderInfo l = replica.leader();
         if (l == null) {
             return;
         }
         boolean here = l.node().equals(params.self());
-        if (effect instanceof Holder.Effect.Tell t) {
+        if (effect instanceof BlockHolder.Effect.Tell t) {
             if (here) {
                 leader.onObservation(now(), t.observation());
             } else {
                 peers.send(l.node(), new PeerMessage.Seen(t.observation()));
             }
-        } else if (effect instanceof Holder.Effect.Offer o) {
+        } else if (effect instanceof BlockHolder.Effect.Offer o) {
             if (here) {
-                leader.onBids(now(), o.sheet());
+                leader.onBids(now(), o.batch());
             } else {
-                peers.send(l.node(), new PeerMessage.Bids(o.sheet()));
+                peers.send(l.node(), new PeerMessage.Bids(o.batch()));
             }
         }
     }
@@ -465,7 +466,7 @@
         queueWork();
     }
 
-    private void onCommanded(Holder.Effect.Command c, HttpResult r) {
+    private void onCommanded(BlockHolder.Effect.Command c, HttpResult r) {
         try {
             if (r.is(200) || r.is(409)) {
                 holder.onCommandAnswer(now(), c.machine(), c.token(), WorkerCodec.report(r.body()));
@@ -497,14 +498,14 @@
             fleet.start(now, ledTerm);
             lastBook = null;
             beat();
-            holder.retell(now);
+            holder.resynchronize(now);
             holder.drain().forEach(this::carryOut);
         }
         if (state.ageMs() < 3000 && cloud.ready(now) && now - fleetAt >= FLEET_MS) {
             fleetAt = now;
             CloudCall[] next = new CloudCall[1];
-            turns.run(
-                    Turns.Role.FLEET,
+            profile.run(
+                    EventLoopProfile.Role.FLEET,
                     () -> next[0] = fleet.next(now, leader.machines(), leader.condemned(), leader.suspects()));
             CloudCall call = next[0];
             fleetAt += Math.min(FLEET_MS, FLEET_REST * (now() - now));
@@ -548,7 +549,8 @@
 
     private void transact(long now) {
         if (state.failing()) {
-            // Nothing would be stored; what is drafted from a mirror that stands still only says things that aren't so.
+            // Nothing would be stored; what is drafted from a replica that stands still only says things that aren't
+            // so.
             return;
         }
         long gap = Math.max(params.windowMs() / PLANS_IN_WINDOW, params.reportMs() / DRAFTS_IN_REPORT)
@@ -598,8 +600,8 @@
 
     private Txn nextChange(long now) {
         plannedAt = now;
-        if (!types.isEmpty() && mirror.types().isEmpty()) {
-            return new Txn().guard(Keys.LEADER, mirror.stamp(Keys.LEADER)).put(Keys.TYPES, Records.types(types));
+        if (!types.isEmpty() && replica.types().isEmpty()) {
+            return new Txn().guard(Keys.LEADER, replica.stamp(Keys.LEADER)).put(Keys.TYPES, Records.types(types));
         }
         Txn resignation = leader.leads(now) ? leader.resignation(now) : null;
         Txn txn = resignation != null ? resignation : leader.plan(now);
--- a/src/main/java/garnetscale/app/StateLink.java
+++ b/src/main/java/garnetscale/app/StateLink.java
@@ -4,8 +4,8 @@
 import garnetscale.core.block.NodeInfo;
 import garnetscale.core.store.Change;
 import garnetscale.core.store.Keys;
-import garnetscale.core.store.Mirror;
 import garnetscale.core.store.Records;
+import garnetscale.core.store.StateReplica;
 import garnetscale.core.store.Txn;
 import garnetscale.core.store.TxnResult;
 import garnetscale.net.Budget;
@@ -23,10 +23,10 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The one way to the state service: keeps the process's lease and the mirror, and sends everything else within
+ * The one way to the state service: keeps the process's lease and the replica, and sends everything else within
  * this node's part of the limits. Renewals go first; what can't be sent soon is refused at once.
  */
-final class StateLink implements Front.Store {
+final class StateLink implements JobApi.Store {
 
     /** What the link tells the node. */
     interface Listener {
@@ -51,7 +51,7 @@
     private static final Logger LOG = LoggerFactory.getLogger(StateLink.class);
     private static final long TIMEOUT_MS = 2000;
     private static final long WATCH_MS = 5000;
-    /** How often the mirror is confirmed when nobody asks. */
+    /** How often the replica is confirmed when nobody asks. */
     static final long CONFIRM_MS = 500;
 
     private static final int PAGE = 500;
@@ -67,7 +67,7 @@
     private final Params params;
     private final Io io;
     private final RandomGenerator random;
-    private final Mirror mirror;
+    private final StateReplica replica;
     private final Listener listener;
     private final Budget watches;
     private final Budget reads;
@@ -83,11 +83,11 @@
     private long confirmedAt;
     private long failingSince = -1;
 
-    StateLink(Params params, Io io, RandomGenerator random, Mirror mirror, Listener listener) {
+    StateLink(Params params, Io io, RandomGenerator random, StateReplica replica, Listener listener) {
         this.params = params;
         this.io = io;
         this.random = random;
-        this.mirror = mirror;
+        this.replica = replica;
         this.listener = listener;
         long now = now();
         double node = params.stateRps() / params.members().size();
@@ -166,14 +166,14 @@
 
     /** Enters this process among the live ones; a late entry of an earlier process is overwritten. */
     private void register() {
-        if (lease < 0 || registering || !mirror.loaded() || registered()) {
+        if (lease < 0 || registering || !replica.loaded() || registered()) {
             return;
         }
         registering = true;
         long mine = lease;
         String key = Keys.node(params.self());
         NodeInfo info = new NodeInfo(params.self(), mine, params.zoneOfNode(params.self()));
-        send(new Txn().guard(key, mirror.stamp(key)).put(key, Records.node(info), mine), (result, ledger) -> {
+        send(new Txn().guard(key, replica.stamp(key)).put(key, Records.node(info), mine), (result, ledger) -> {
             registering = false;
             if (result == TxnResult.NO_LEASE && lease == mine) {
                 lost();
@@ -185,7 +185,7 @@
     }
 
     private boolean registered() {
-        NodeInfo n = mirror.node(params.self());
+        NodeInfo n = replica.node(params.self());
         return n != null && n.incarnation() == lease;
     }
 
@@ -215,7 +215,7 @@
         });
     }
 
-    // ---- mirror
+    // ---- replica
 
     private void list() {
         listing = true;
@@ -240,8 +240,8 @@
                     return;
                 }
                 worked();
-                mirror.reset(sofar, first);
-                if (mirror.torn()) {
+                replica.reset(sofar, first);
+                if (replica.torn()) {
                     LOG.info("the listing is of several moments, it is read again");
                     after(300, this::list);
                     return;
@@ -302,7 +302,7 @@
 
     private void follow(long waitMs, long timeoutMs, Consumer<Boolean> done) {
         long sentAt = now();
-        String path = "/follow?starts=" + Keys.MIRRORED + "&since=" + mirror.ledger() + "&wait_ms=" + waitMs;
+        String path = "/follow?starts=" + Keys.MIRRORED + "&since=" + replica.ledger() + "&wait_ms=" + waitMs;
         io.call(HttpMethod.GET, path, null, timeoutMs, r -> {
             if (r.is(410)) {
                 if (!listing) {
@@ -320,13 +320,13 @@
                 StateCodec.Batch b = StateCodec.log(r.body());
                 worked();
                 boolean news = !listing
-                        && mirror.advance(b.changes(), b.ledger())
+                        && replica.advance(b.changes(), b.ledger())
                         && !b.changes().isEmpty();
-                if (!listing && mirror.torn()) {
+                if (!listing && replica.torn()) {
                     LOG.info("the watch has lost entries, the mirror is read anew");
                     list();
                 }
-                // A mirror that is being listed anew isn't complete as of this answer.
+                // A replica that is being listed anew isn't complete as of this answer.
                 if (!listing) {
                     confirm(sentAt);
                     if (news || listenerLease != lease) {
@@ -427,7 +427,7 @@
 
     /** A leader's transaction; waits for its turn within the limits. */
     void lead(Txn txn, BiConsumer<TxnResult, Long> done) {
-        if (shares.observe(now(), mirror.jobsAdded())) {
+        if (shares.observe(now(), replica.jobsAdded())) {
             writes.resize(shares.leaderPerS(), SAVED_S * shares.leaderPerS());
         }
         long wait = writes.waitMs(now(), txn.ops().size());
@@ -441,7 +441,7 @@
 
     @Override
     public void submit(Txn txn, BiConsumer<TxnResult, Long> done) {
-        double mine = shares.submissionsPerS(mirror.nodes().size());
+        double mine = shares.submissionsPerS(replica.nodes().size());
         submissions.resize(mine, SUBMISSIONS_SAVED_S * mine);
         if (!submissions.take(now(), txn.ops().size())) {
             done.accept(TxnResult.REFUSED, -1L);
--- a/src/main/java/garnetscale/app/WriteShares.java
+++ b/src/main/java/garnetscale/app/WriteShares.java
@@ -3,7 +3,7 @@
 /**
  * How the state service's changes are shared between the leader and submissions. The leader makes room: what it writes
  * less often goes into larger transactions, while a submission that is refused comes a second late. It knows how many are
- * wanted from its mirror, which shows every job that a node has accepted.
+ * wanted from its replica, which shows every job that a node has accepted.
  */
 final class WriteShares {
 
--- a/src/main/java/garnetscale/core/bid/Auction.java
+++ b/src/main/java/garnetscale/core/bid/Auction.java
@@ -4,7 +4,7 @@
 import com.google.common.collect.ListMultimap;
 import garnetscale.core.block.BlockLease;
 import garnetscale.core.store.JobView;
-import garnetscale.core.store.Mirror;
+import garnetscale.core.store.StateReplica;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
@@ -16,34 +16,34 @@
  */
 public final class Auction {
 
-    private final Mirror mirror;
+    private final StateReplica replica;
     private final long windowMs;
-    private final Map<String, BidSheet> sheets = new HashMap<>();
+    private final Map<String, BidBatch> batches = new HashMap<>();
     private final Map<String, Long> openSince = new HashMap<>();
     private final ListMultimap<String, Bid> byJob = ArrayListMultimap.create();
-    /** A sheet came since the bids were last put together: that is done when somebody asks, not for each sheet. */
+    /** A batch came since the bids were last put together: that is done when somebody asks, not for each batch. */
     private boolean stale;
 
-    public Auction(Mirror mirror, long windowMs) {
-        this.mirror = mirror;
+    public Auction(StateReplica replica, long windowMs) {
+        this.replica = replica;
         this.windowMs = windowMs;
     }
 
     public void clear() {
-        sheets.clear();
+        batches.clear();
         openSince.clear();
         stale = true;
     }
 
-    public void onSheet(long now, BidSheet sheet) {
-        BidSheet before = sheets.get(sheet.node());
-        if (before != null && before.incarnation() == sheet.incarnation() && before.ledger() > sheet.ledger()) {
+    public void onBatch(long now, BidBatch batch) {
+        BidBatch before = batches.get(batch.node());
+        if (before != null && before.incarnation() == batch.incarnation() && before.ledger() > batch.ledger()) {
             return;
         }
-        sheets.put(sheet.node(), sheet);
+        batches.put(batch.node(), batch);
         stale = true;
         String job = "";
-        for (Bid b : sheet.bids()) {
+        for (Bid b : batch.bids()) {
             if (!b.job().equals(job)) {
                 job = b.job();
                 openSince.putIfAbsent(job, now);
@@ -55,11 +55,11 @@
         if (stale) {
             stale = false;
             byJob.clear();
-            for (BidSheet s : sheets.values()) {
+            for (BidBatch s : batches.values()) {
                 String job = "";
                 List<Bid> of = List.of();
                 for (Bid b : s.bids()) {
-                    // A job's bids stand together in a sheet.
+                    // A job's bids stand together in a batch.
                     if (!b.job().equals(job)) {
                         job = b.job();
                         of = byJob.get(job);
@@ -81,25 +81,25 @@
 
     private boolean allHaveBid(JobView job) {
         int speaking = 0;
-        for (BidSheet s : sheets.values()) {
+        for (BidBatch s : batches.values()) {
             if (s.ledger() >= job.stamp()) {
                 for (Map.Entry<String, Long> e : s.terms().entrySet()) {
                     speaking += isCurrent(s, e.getKey(), e.getValue()) ? 1 : 0;
                 }
             }
         }
-        return speaking == mirror.blockCount();
+        return speaking == replica.blockCount();
     }
 
-    private boolean isCurrent(BidSheet sheet, String block, long term) {
-        BlockLease lease = mirror.block(block);
-        return lease != null && lease.term() == term && lease.incarnation() == sheet.incarnation();
+    private boolean isCurrent(BidBatch batch, String block, long term) {
+        BlockLease lease = replica.block(block);
+        return lease != null && lease.term() == term && lease.incarnation() == batch.incarnation();
     }
 
     /** Whether the node that speaks for the block has bid under its present term. */
     public boolean speaksFor(String block) {
-        BlockLease lease = mirror.block(block);
-        BidSheet s = lease == null ? null : sheets.get(lease.holder());
+        BlockLease lease = replica.block(block);
+        BidBatch s = lease == null ? null : batches.get(lease.holder());
         Long term = s == null ? null : s.terms().get(block);
         return term != null && isCurrent(s, block, term);
     }
--- a/src/main/java/garnetscale/core/bid/BidSheet.java
+++ b/src/main/java/garnetscale/core/bid/BidBatch.java
@@ -4,8 +4,8 @@
 import java.util.Map;
 
 /**
- * All bids of one holder's machines as of one revision; it replaces the holder's earlier sheet.
+ * All bids of one holder's machines as of one revision; it replaces the holder's earlier batch.
  *
  * @param terms the blocks that the holder speaks for, with their terms
  */
-public record BidSheet(String node, long incarnation, long ledger, Map<String, Long> terms, List<Bid> bids) {}
+public record BidBatch(String node, long incarnation, long ledger, Map<String, Long> terms, List<Bid> bids) {}
--- a/src/main/java/garnetscale/core/bid/Bidding.java
+++ b/src/main/java/garnetscale/core/bid/Bidding.java
@@ -1,12 +1,12 @@
 package garnetscale.core.bid;
 
 import garnetscale.core.job.JobSpec;
-import garnetscale.core.line.Line;
+import garnetscale.core.line.JobQueue;
 import garnetscale.core.line.Scarcity;
+import garnetscale.core.machine.FreeCapacity;
 import garnetscale.core.machine.MachineType;
-import garnetscale.core.machine.Room;
 import garnetscale.core.store.JobView;
-import garnetscale.core.store.Mirror;
+import garnetscale.core.store.StateReplica;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.HashMap;
@@ -29,15 +29,15 @@
         private final MachineType type;
         private final String zone;
         private final boolean spot;
-        private final Room whole;
-        private final Room left;
+        private final FreeCapacity whole;
+        private final FreeCapacity left;
         private Kind kind;
         private Map<String, Double> images;
         private double factor;
         private int heads;
         private JobView last;
 
-        public Bidder(String machine, long shift, MachineType type, String zone, boolean spot, Room room) {
+        public Bidder(String machine, long shift, MachineType type, String zone, boolean spot, FreeCapacity room) {
             this.machine = machine;
             this.shift = shift;
             this.type = type;
@@ -54,7 +54,7 @@
         double fetchS;
     }
 
-    /** Jobs of a line that a machine bids for at a time; more than enough to fill it between two sheets. */
+    /** Jobs of a line that a machine bids for at a time; more than enough to fill it between two batches. */
     private static final int HEADS = 8;
 
     /**
@@ -68,7 +68,7 @@
     private static final int PLACE_BITS = 24;
 
     private double overbooked;
-    private final Mirror mirror;
+    private final StateReplica replica;
     private final Estimator estimator;
     private final Scarcity scarcity;
     private final long wallMs;
@@ -78,9 +78,9 @@
     private final List<Bidder> samples = new ArrayList<>();
 
     /** {@code suspects}: jobs that fail wherever they run, of which a task at a time is tried. */
-    public Bidding(Mirror mirror, Estimator estimator, Scarcity scarcity, long wallMs, Set<String> suspects) {
+    public Bidding(StateReplica replica, Estimator estimator, Scarcity scarcity, long wallMs, Set<String> suspects) {
         this.suspects = suspects;
-        this.mirror = mirror;
+        this.replica = replica;
         this.estimator = estimator;
         this.scarcity = scarcity;
         this.wallMs = wallMs;
@@ -98,7 +98,7 @@
                 samples.add(b);
                 return new Kind();
             });
-            b.images = mirror.images(b.machine);
+            b.images = replica.images(b.machine);
             b.factor = estimator.machineFactor(b.machine);
         }
         long[] offers = new long[count];
@@ -131,14 +131,15 @@
     /** Goes through the lines of all kinds of machines, once each. */
     private void lookAt(JobView job) {
         for (Bidder b : samples) {
-            b.kind.inLine = Line.allows(b.type, b.zone, b.spot, job.spec()) && scarcity.mayTake(job, b.type, wallMs);
+            b.kind.inLine =
+                    JobQueue.allows(b.type, b.zone, b.spot, job.spec()) && scarcity.mayTake(job, b.type, wallMs);
             b.kind.fetchS = Estimator.fetchS(job.spec(), b.type);
         }
     }
 
     /**
      * Bids with what is left behind the jobs before, or with what they may not get after all; {@code offers} is scratch
-     * room. An offer is its finish in tenths of a second, so that a sheet changes only when something has, and the
+     * room. An offer is its finish in tenths of a second, so that a batch changes only when something has, and the
      * bidder's place: as one number each they are sorted without an object for every one.
      */
     private int bid(
@@ -154,7 +155,7 @@
         int found = 0;
         for (int i = 0; i < count; i++) {
             Bidder b = open[i];
-            Room room = taken ? b.whole : b.left;
+            FreeCapacity room = taken ? b.whole : b.left;
             if (b.kind.inLine && b.last != job && room.cpus() + MachineType.EPSILON >= spec.cpus() && room.fits(spec)) {
                 double run = estimator.runS(spec, b.factor);
                 double finish = (b.images.containsKey(spec.image()) ? 0 : b.kind.fetchS)
--- a/src/main/java/garnetscale/core/block/Holder.java
+++ b/src/main/java/garnetscale/core/block/BlockHolder.java
@@ -2,25 +2,25 @@
 
 import garnetscale.core.Params;
 import garnetscale.core.bid.Bid;
-import garnetscale.core.bid.BidSheet;
+import garnetscale.core.bid.BidBatch;
 import garnetscale.core.bid.Bidding;
 import garnetscale.core.bid.Estimator;
-import garnetscale.core.line.Line;
-import garnetscale.core.line.LineOrder;
+import garnetscale.core.line.JobOrder;
+import garnetscale.core.line.JobQueue;
 import garnetscale.core.line.Scarcity;
 import garnetscale.core.machine.Address;
 import garnetscale.core.machine.ExitCause;
+import garnetscale.core.machine.FreeCapacity;
 import garnetscale.core.machine.MachineType;
-import garnetscale.core.machine.Order;
 import garnetscale.core.machine.Placement;
 import garnetscale.core.machine.Report;
 import garnetscale.core.machine.ReportedTask;
-import garnetscale.core.machine.Room;
 import garnetscale.core.machine.TaskState;
+import garnetscale.core.machine.WorkerCommand;
 import garnetscale.core.quota.QuotaBook;
+import garnetscale.core.store.FreeCapacityCache;
 import garnetscale.core.store.JobView;
-import garnetscale.core.store.Mirror;
-import garnetscale.core.store.Rooms;
+import garnetscale.core.store.StateReplica;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.HashMap;
@@ -41,11 +41,12 @@
  * lead to the same orders. An attempt that the store doesn't place is stopped and cleared, one that it places is
  * started, and one that must not run any more is called gone only on proof (see {@link #proveGone}).
  */
-public final class Holder {
+public final class BlockHolder {
 
     /** How the holder answers a report. */
     public sealed interface Reply {
-        record Answer(long token, List<Order> orders) implements Reply {}
+        /** Accepted: the token and the commands that the worker gets. */
+        record Answer(long token, List<WorkerCommand> orders) implements Reply {}
 
         /** Another node is responsible; null when nobody is known to be. */
         record Redirect(String node) implements Reply {}
@@ -56,14 +57,18 @@
 
     /** What the holder wants done outside. */
     public sealed interface Effect {
-        record Command(String machine, String address, long token, long shift, List<Order> orders) implements Effect {}
+        /** Send commands to a worker directly. */
+        record Command(String machine, String address, long token, long shift, List<WorkerCommand> orders)
+                implements Effect {}
 
         /** Ask the worker for its report: it would only come here by itself when its next one is due. */
         record Probe(String machine, String address) implements Effect {}
 
+        /** Notify the leader of what was observed of a machine. */
         record Tell(Observation observation) implements Effect {}
 
-        record Offer(BidSheet sheet) implements Effect {}
+        /** Send the bids of this holder's machines to the leader. */
+        record Offer(BidBatch batch) implements Effect {}
     }
 
     private record Held(long term, long since) {}
@@ -76,16 +81,16 @@
     private static final long ASK_AGAIN_MS = 2000;
 
     private final Params params;
-    private final Mirror mirror;
+    private final StateReplica replica;
     private final Blocks blocks;
     private final Estimator estimator;
-    private final LineOrder order;
+    private final JobOrder order;
     private final Scarcity scarcity;
     private final Map<String, Held> held = new TreeMap<>();
     private final Map<String, MachineView> machines = new TreeMap<>();
     private final List<Effect> effects = new ArrayList<>();
     private final Map<String, Address> book = new TreeMap<>();
-    /** Jobs that a peer says are cancelled; news that the mirror may not bring while this node is cut off. */
+    /** Jobs that a peer says are cancelled; news that the replica may not bring while this node is cut off. */
     private final Set<String> cancelledByPeers = new LinkedHashSet<>();
     /** Started jobs that the leader takes late bids for. */
     private final Set<String> late = new HashSet<>();
@@ -94,26 +99,26 @@
 
     private long incarnation = -1;
     private long confirmedAt = Long.MIN_VALUE / 2;
-    private BidSheet lastSheet;
-    private final Rooms rooms;
+    private BidBatch lastBatch;
+    private final FreeCapacityCache capacities;
     private final Outbound outbound;
-    private final Hearing hearing;
+    private final Reachability reachability;
     private long sweptAt = Long.MIN_VALUE / 2;
     private long offeredAt = Long.MIN_VALUE / 2;
     private boolean offerDue = true;
     private long offeredLedger = -1;
-    private LeaderInfo toldTo;
+    private LeaderInfo notifiedLeader;
 
-    public Holder(Params params, Mirror mirror, Blocks blocks, Estimator estimator) {
+    public BlockHolder(Params params, StateReplica replica, Blocks blocks, Estimator estimator) {
         this.params = params;
-        this.mirror = mirror;
+        this.replica = replica;
         this.blocks = blocks;
         this.estimator = estimator;
-        this.order = new LineOrder(params);
+        this.order = new JobOrder(params);
         this.scarcity = new Scarcity(params);
-        this.rooms = new Rooms(mirror);
+        this.capacities = new FreeCapacityCache(replica);
         this.outbound = new Outbound(params.directAtOnce());
-        this.hearing = new Hearing(params);
+        this.reachability = new Reachability(params);
     }
 
     public List<Effect> drain() {
@@ -127,7 +132,7 @@
         incarnation = lease;
     }
 
-    /** The mirror is complete as of a request that was sent at this time. */
+    /** The replica is complete as of a request that was sent at this time. */
     public void confirmed(long sentAt) {
         confirmedAt = Math.max(confirmedAt, sentAt);
     }
@@ -148,7 +153,7 @@
     /** Follows the block leases; a new term means new tokens and nothing known of what an older one sent. */
     private void refreshBlocks(long now) {
         for (String block : blocks.all()) {
-            BlockLease lease = mirror.block(block);
+            BlockLease lease = replica.block(block);
             Held mine = held.get(block);
             boolean ours = lease != null && lease.holder().equals(params.self()) && lease.incarnation() == incarnation;
             if (!ours && mine != null || ours && mine != null && mine.term() != lease.term()) {
@@ -165,12 +170,12 @@
     }
 
     public Reply onReport(long now, Report r) {
-        hearing.heard(now);
+        reachability.heard(now);
         refreshBlocks(now);
         String block = blocks.blockOf(r.machine(), r.zone());
         Held mine = held.get(block);
         if (mine == null) {
-            BlockLease lease = mirror.block(block);
+            BlockLease lease = replica.block(block);
             return new Reply.Redirect(lease == null || lease.holder().equals(params.self()) ? null : lease.holder());
         }
         if (!entitled(now)) {
@@ -193,10 +198,10 @@
         accept(now, m, r);
         m.lastReportAt = now;
         proveGone(m, mine);
-        List<Order> orders = orders(now, m, mine, true);
+        List<WorkerCommand> orders = orders(now, m, mine, true);
         m.answeredAt = now;
-        for (Order o : orders) {
-            if (o instanceof Order.Start s) {
+        for (WorkerCommand o : orders) {
+            if (o instanceof WorkerCommand.Start s) {
                 m.startsInAnswer.add(s.attempt());
             }
         }
@@ -214,7 +219,7 @@
 
     /** A direct command was answered, with 200 or 409, by the worker's report. */
     public void onCommandAnswer(long now, String machine, long token, Report r) {
-        hearing.heard(now);
+        reachability.heard(now);
         outbound.commandEnded();
         MachineView m = machines.get(machine);
         if (m == null || !m.commandInFlight) {
@@ -307,7 +312,7 @@
 
     /** A worker answered the question for its report; this doesn't renew its lease. */
     public void onProbeAnswer(long now, Report r) {
-        hearing.heard(now);
+        reachability.heard(now);
         String block = blocks.blockOf(r.machine(), r.zone());
         Held mine = held.get(block);
         if (mine == null || Terms.blockTermOf(r.token()) > mine.term()) {
@@ -379,7 +384,7 @@
         Set<Long> seen = new HashSet<>();
         for (ReportedTask t : r.tasks()) {
             seen.add(t.attempt());
-            JobView job = mirror.job(t.task().job());
+            JobView job = replica.job(t.task().job());
             if (t.state() == TaskState.RUNNING) {
                 m.runningSince.putIfAbsent(t.attempt(), now);
             } else if (t.cause() == ExitCause.ERROR) {
@@ -418,7 +423,7 @@
      * unwanted ones that the newest report lacks while nothing that could still start them is under way.
      */
     private void proveGone(MachineView m, Held mine) {
-        List<Placement> placed = mirror.placements(m.id);
+        List<Placement> placed = replica.placements(m.id);
         Set<Long> attempts = new HashSet<>();
         for (Placement p : placed) {
             attempts.add(p.attempt());
@@ -439,7 +444,7 @@
     /** A peer has cancelled a job for its user. A cancelled job stays cancelled, so its word is enough. */
     public void onCancelled(String job) {
         for (MachineView m : machines.values()) {
-            for (Placement p : mirror.placements(m.id)) {
+            for (Placement p : replica.placements(m.id)) {
                 m.dirty |= p.task().job().equals(job);
             }
         }
@@ -452,7 +457,7 @@
     }
 
     private boolean wanted(Placement p) {
-        JobView job = mirror.job(p.task().job());
+        JobView job = replica.job(p.task().job());
         return job != null
                 && job.live()
                 && !cancelledByPeers.contains(p.task().job())
@@ -461,22 +466,22 @@
     }
 
     /** What brings the machine from its newest report to what is stored. */
-    private List<Order> orders(long now, MachineView m, Held mine, boolean answering) {
-        List<Order> orders = new ArrayList<>();
+    private List<WorkerCommand> orders(long now, MachineView m, Held mine, boolean answering) {
+        List<WorkerCommand> orders = new ArrayList<>();
         Map<Long, Placement> placed = new HashMap<>();
-        for (Placement p : mirror.placements(m.id)) {
+        for (Placement p : replica.placements(m.id)) {
             placed.put(p.attempt(), p);
         }
         for (ReportedTask t : m.last.tasks()) {
             Placement p = placed.get(t.attempt());
             if (t.exited()) {
                 if (p == null && answering && settled(m, mine, t.attempt())) {
-                    orders.add(new Order.Clear(t.task(), t.attempt()));
+                    orders.add(new WorkerCommand.Clear(t.task(), t.attempt()));
                 }
             } else if (p == null || !wanted(p)) {
                 double grace = p != null && p.stop() == Placement.Stop.SAVE ? saveGrace(t) : 0;
                 if (t.state() != TaskState.SAVING || grace == 0) {
-                    orders.add(new Order.Stop(t.task(), t.attempt(), grace));
+                    orders.add(new WorkerCommand.Stop(t.task(), t.attempt(), grace));
                 }
             }
         }
@@ -486,14 +491,14 @@
                     && m.last.find(p.attempt()) == null
                     && !m.gone.contains(p.attempt())
                     && !m.startsInAnswer.contains(p.attempt())) {
-                orders.add(new Order.Start(p.task(), p.attempt()));
+                orders.add(new WorkerCommand.Start(p.task(), p.attempt()));
             }
         }
         return orders;
     }
 
     private double saveGrace(ReportedTask t) {
-        JobView job = mirror.job(t.task().job());
+        JobView job = replica.job(t.task().job());
         return job == null || !job.live() || !job.spec().savesProgress()
                 ? 0
                 : job.spec().saveS() * 1.5 + 1;
@@ -513,14 +518,14 @@
         if (!entitled(now)) {
             return;
         }
-        // By the mirror, as whoever carries out the effects goes: a peer's word of a new leader may come before it.
+        // By the replica, as whoever carries out the effects goes: a peer's word of a new leader may come before it.
         // What was
         // told then went to the old one, and the new one took machines at rest for silent and gave them back.
-        if (!Objects.equals(toldTo, mirror.leader())) {
-            toldTo = mirror.leader();
-            untold();
+        if (!Objects.equals(notifiedLeader, replica.leader())) {
+            notifiedLeader = replica.leader();
+            forgetNotified();
         }
-        for (String id : mirror.takeChanged()) {
+        for (String id : replica.takeChanged()) {
             MachineView m = machines.get(id);
             if (m != null) {
                 m.dirty = true;
@@ -548,15 +553,15 @@
 
     /** Finds out whether the workers are out of reach, and when they are back. */
     private void listen(long now) {
-        if (!hearing.due(now)) {
+        if (!reachability.due(now)) {
             return;
         }
         int due = 0;
         for (MachineView m : machines.values()) {
             due += m.last != null && m.oursAt >= 0 && !silent(now, m) ? 1 : 0;
         }
-        hearing.lookAt(now, due, held.keySet());
-        for (String id : hearing.toAsk(
+        reachability.lookAt(now, due, held.keySet());
+        for (String id : reachability.toAsk(
                 now, book.keySet(), id -> blocks.blockOf(id, book.get(id).zone()))) {
             effects.add(new Effect.Probe(id, book.get(id).address()));
             outbound.askAside();
@@ -565,7 +570,7 @@
 
     /** Whether no worker can reach this node, as far as it can tell; its blocks are better off elsewhere. */
     public boolean deaf() {
-        return hearing.deaf();
+        return reachability.deaf();
     }
 
     private void goOver(long now, MachineView m, Held mine) {
@@ -585,7 +590,7 @@
         List<Estimator.UnderWay> running = new ArrayList<>();
         for (Map.Entry<Long, Long> e : m.runningSince.entrySet()) {
             ReportedTask t = m.last.find(e.getKey());
-            JobView job = t == null ? null : mirror.job(t.task().job());
+            JobView job = t == null ? null : replica.job(t.task().job());
             if (job != null && !t.exited()) {
                 running.add(new Estimator.UnderWay(job.spec(), (now - e.getValue()) / 1000.0));
             }
@@ -598,15 +603,15 @@
         // Machines that were returned would be told of as silent for ever, and their holder be taken for deaf.
         machines.values()
                 .removeIf(m -> (m.last == null || m.last.shift() <= m.lapsedShift)
-                        && mirror.placements(m.id).isEmpty()
+                        && replica.placements(m.id).isEmpty()
                         && !book.containsKey(m.id));
-        mirror.placedMachines().forEach(this::adopt);
-        rooms.retain(machines.keySet());
+        replica.placedMachines().forEach(this::adopt);
+        capacities.retain(machines.keySet());
     }
 
     private void adopt(String id) {
-        if (!machines.containsKey(id) && !mirror.placements(id).isEmpty()) {
-            String block = blocks.blockOf(id, mirror.placedZone(id));
+        if (!machines.containsKey(id) && !replica.placements(id).isEmpty()) {
+            String block = blocks.blockOf(id, replica.placedZone(id));
             Held mine = held.get(block);
             if (mine != null) {
                 machines.put(id, new MachineView(id, block, Terms.firstToken(mine.term())));
@@ -631,7 +636,7 @@
         long shift = m.last == null ? Long.MAX_VALUE : m.last.shift();
         if (m.last == null) {
             // Never heard of in this term: whatever its session is, the stored placements are of it or older.
-            for (Placement p : mirror.placements(m.id)) {
+            for (Placement p : replica.placements(m.id)) {
                 m.gone.add(p.attempt());
             }
         } else if (m.lapsedShift < shift) {
@@ -647,10 +652,10 @@
                 || !Terms.sameTerm(m.token + 1, m.token)) {
             return;
         }
-        List<Order> orders = orders(now, m, mine, false);
+        List<WorkerCommand> orders = orders(now, m, mine, false);
         m.restless |= !orders.isEmpty();
-        orders.removeIf(o ->
-                o instanceof Order.Stop && m.stopsSent.getOrDefault(o.attempt(), 0L) > now - 2 * params.reportMs());
+        orders.removeIf(o -> o instanceof WorkerCommand.Stop
+                && m.stopsSent.getOrDefault(o.attempt(), 0L) > now - 2 * params.reportMs());
         if (orders.isEmpty()) {
             return;
         }
@@ -658,8 +663,8 @@
             m.dirty = true;
             return;
         }
-        for (Order o : orders) {
-            if (o instanceof Order.Start) {
+        for (WorkerCommand o : orders) {
+            if (o instanceof WorkerCommand.Start) {
                 m.directStarts.put(o.attempt(), m.token);
             } else {
                 m.stopsSent.put(o.attempt(), now);
@@ -678,7 +683,7 @@
         List<Long> gone = List.copyOf(m.gone);
         boolean news = !gone.isEmpty();
         if (r != null) {
-            for (Placement p : mirror.placements(m.id)) {
+            for (Placement p : replica.placements(m.id)) {
                 ReportedTask t = r.find(p.attempt());
                 news |= t != null && t.exited();
             }
@@ -724,17 +729,17 @@
     }
 
     /** Tells everything again, for a leader that is new or whose connection is. */
-    public void retell(long now) {
-        untold();
+    public void resynchronize(long now) {
+        forgetNotified();
         tick(now);
     }
 
-    private void untold() {
+    private void forgetNotified() {
         machines.values().forEach(m -> {
             m.observed = null;
             m.dirty = true;
         });
-        lastSheet = null;
+        lastBatch = null;
         sweptAt = Long.MIN_VALUE / 2;
         offeredAt = Long.MIN_VALUE / 2;
         offerDue = true;
@@ -755,10 +760,10 @@
         }
         offeredAt = now;
         offerDue = false;
-        offeredLedger = mirror.ledger();
-        List<JobView> waiting = Line.sort(mirror.jobs(), order, wallMs(now));
+        offeredLedger = replica.ledger();
+        List<JobView> waiting = JobQueue.sort(replica.jobs(), order, wallMs(now));
         for (String id : late) {
-            JobView job = mirror.job(id);
+            JobView job = replica.job(id);
             if (job != null && job.live() && job.unstarted() == 0) {
                 // Behind all that waits: a late bid is only for room that nobody else has a use for.
                 waiting.add(job);
@@ -766,23 +771,24 @@
         }
         List<Bid> bids = List.of();
         if (!waiting.isEmpty()) {
-            QuotaBook quota = QuotaBook.of(params, mirror);
+            QuotaBook quota = QuotaBook.of(params, replica);
             waiting.removeIf(j -> !quota.allows(j.spec()));
-            scarcity.refresh(mirror.types(), waiting);
-            bids = new Bidding(mirror, estimator, scarcity, wallMs(now), suspects).bids(waiting, bidders(now, waiting));
+            scarcity.refresh(replica.types(), waiting);
+            bids = new Bidding(replica, estimator, scarcity, wallMs(now), suspects)
+                    .bids(waiting, bidders(now, waiting));
         }
-        BidSheet sheet = new BidSheet(params.self(), incarnation, mirror.ledger(), terms, bids);
-        if (lastSheet == null
-                || !lastSheet.bids().equals(bids)
-                || !lastSheet.terms().equals(terms)
-                || !waiting.isEmpty() && lastSheet.ledger() != sheet.ledger()) {
-            lastSheet = sheet;
-            effects.add(new Effect.Offer(sheet));
+        BidBatch batch = new BidBatch(params.self(), incarnation, replica.ledger(), terms, bids);
+        if (lastBatch == null
+                || !lastBatch.bids().equals(bids)
+                || !lastBatch.terms().equals(terms)
+                || !waiting.isEmpty() && lastBatch.ledger() != batch.ledger()) {
+            lastBatch = batch;
+            effects.add(new Effect.Offer(batch));
         }
     }
 
     private boolean offerPending() {
-        return offerDue || offeredLedger != mirror.ledger();
+        return offerDue || offeredLedger != replica.ledger();
     }
 
     private long offerGapMs() {
@@ -803,18 +809,18 @@
         List<Bidding.Bidder> list = new ArrayList<>();
         for (MachineView m : machines.values()) {
             Report r = m.last;
-            MachineType type = r == null ? null : mirror.type(r.type());
+            MachineType type = r == null ? null : replica.type(r.type());
             if (type == null || !mayBid(now, m)) {
                 continue;
             }
-            Room room = rooms.of(m.id, type);
+            FreeCapacity room = capacities.of(m.id, type);
             if (room.cpus() + MachineType.EPSILON < least) {
                 continue;
             }
             room = room.copy();
             for (ReportedTask t : r.tasks()) {
                 if (!t.exited() && !isPlaced(m.id, t.attempt())) {
-                    JobView job = mirror.job(t.task().job());
+                    JobView job = replica.job(t.task().job());
                     if (job != null) {
                         room.take(job.spec());
                     }
@@ -828,7 +834,7 @@
     private boolean mayBid(long now, MachineView m) {
         Report r = m.last;
         return r != null
-                && !hearing.deaf()
+                && !reachability.deaf()
                 && m.answers
                 && !m.unreachable()
                 && !silent(now, m)
@@ -838,7 +844,7 @@
     }
 
     private boolean isPlaced(String machine, long attempt) {
-        for (Placement p : mirror.placements(machine)) {
+        for (Placement p : replica.placements(machine)) {
             if (p.attempt() == attempt) {
                 return true;
             }
--- a/src/main/java/garnetscale/core/block/Hearing.java
+++ b/src/main/java/garnetscale/core/block/Reachability.java
@@ -12,7 +12,7 @@
  * reports are due that chance can't explain that none comes, it gives its blocks up by itself, and asks the machines that
  * it lost until one answers.
  */
-final class Hearing {
+final class Reachability {
 
     /** Reports that must be overdue together before silence means deafness rather than chance. */
     private static final double OVERDUE = 20;
@@ -27,7 +27,7 @@
     private long askedAt = Long.MIN_VALUE / 2;
     private int next;
 
-    Hearing(Params params) {
+    Reachability(Params params) {
         this.params = params;
     }
 
--- a/src/main/java/garnetscale/core/fleet/CloudCall.java
+++ b/src/main/java/garnetscale/core/fleet/CloudCall.java
@@ -5,6 +5,7 @@
 /** A request to the cloud. */
 public sealed interface CloudCall {
 
+    /** The machine types with their current prices. */
     record Types() implements CloudCall {}
 
     /** One page of the machine list, after the named machine. */
@@ -13,5 +14,6 @@
     /** A rental. The request's name is never used again, since a repeat of an answered one rents nothing. */
     record Rent(String request, String type, String zone, boolean spot, int count) implements CloudCall {}
 
+    /** Deletes machines, which may be gone already. */
     record Delete(List<String> machines) implements CloudCall {}
 }
--- a/src/main/java/garnetscale/core/fleet/Fleet.java
+++ b/src/main/java/garnetscale/core/fleet/Fleet.java
@@ -3,15 +3,15 @@
 import garnetscale.core.Params;
 import garnetscale.core.block.Observation;
 import garnetscale.core.job.JobSpec;
-import garnetscale.core.line.Line;
-import garnetscale.core.line.LineOrder;
+import garnetscale.core.line.JobOrder;
+import garnetscale.core.line.JobQueue;
 import garnetscale.core.machine.Address;
+import garnetscale.core.machine.FreeCapacity;
 import garnetscale.core.machine.MachineType;
-import garnetscale.core.machine.Room;
 import garnetscale.core.quota.QuotaBook;
+import garnetscale.core.store.FreeCapacityCache;
 import garnetscale.core.store.JobView;
-import garnetscale.core.store.Mirror;
-import garnetscale.core.store.Rooms;
+import garnetscale.core.store.StateReplica;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Collection;
@@ -28,7 +28,7 @@
 
 /**
  * Rents and returns machines, for the leader. One call to the cloud is under way at a time; what to do next is
- * worked out from the demand that the mirror shows and the machines that are there or coming.
+ * worked out from the demand that the replica shows and the machines that are there or coming.
  */
 public final class Fleet {
 
@@ -51,10 +51,10 @@
     private static final int RETURNED_OF_FLEET = 64;
 
     private final Params params;
-    private final Mirror mirror;
+    private final StateReplica replica;
     private final Consumer<String> log;
-    private final LineOrder order;
-    private final Rooms rooms;
+    private final JobOrder order;
+    private final FreeCapacityCache capacities;
     private long wallOffset;
     private final Map<String, Listed> listed = new TreeMap<>();
     private final Map<String, Long> listedAt = new HashMap<>();
@@ -78,12 +78,12 @@
     private long term;
     private int sequence;
 
-    public Fleet(Params params, Mirror mirror, Consumer<String> log) {
+    public Fleet(Params params, StateReplica replica, Consumer<String> log) {
         this.params = params;
-        this.mirror = mirror;
+        this.replica = replica;
         this.log = log;
-        this.order = new LineOrder(params);
-        this.rooms = new Rooms(mirror);
+        this.order = new JobOrder(params);
+        this.capacities = new FreeCapacityCache(replica);
     }
 
     /** A new leader starts from the cloud's list; what an earlier one had under way shows there. */
@@ -285,9 +285,9 @@
                 ids.add(m.id());
             }
         }
-        for (String id : mirror.placedMachines()) {
+        for (String id : replica.placedMachines()) {
             Observation o = known.get(id);
-            if (!mirror.placements(id).isEmpty() && (o == null || o.silent()) && unlisted(now, id)) {
+            if (!replica.placements(id).isEmpty() && (o == null || o.silent()) && unlisted(now, id)) {
                 log.accept("machine " + id + " is silent and not listed any more: deleting it proves its work gone");
                 ids.add(id);
             }
@@ -323,7 +323,7 @@
         long silent = now - silentSince.computeIfAbsent(id, k -> now);
         boolean few = silentMachines <= Math.max(2, machines / 8);
         return silent > params.fenceMs() + 2 * params.leaseMs()
-                || few && !mirror.placements(id).isEmpty() && silent > params.leaseMs() / 4;
+                || few && !replica.placements(id).isEmpty() && silent > params.leaseMs() / 4;
     }
 
     /** What to rent next, or null; {@code supply} is filled with what there is and what the demand uses of it. */
@@ -331,19 +331,19 @@
         silentSince
                 .keySet()
                 .removeIf(id -> known.get(id) != null && !known.get(id).silent());
-        if (mirror.types().isEmpty()) {
+        if (replica.types().isEmpty()) {
             return null;
         }
         supply.addAll(supply(known));
-        QuotaBook quota = QuotaBook.of(params, mirror);
+        QuotaBook quota = QuotaBook.of(params, replica);
         List<Supply> open = new ArrayList<>(supply);
-        double least = mirror.jobs().stream()
+        double least = replica.jobs().stream()
                 .filter(JobView::live)
                 .mapToDouble(j -> j.spec().cpus())
                 .min()
                 .orElse(0);
         Map<Offer, Integer> wanted = new LinkedHashMap<>();
-        for (JobView job : Line.sort(mirror.jobs(), order, now + wallOffset)) {
+        for (JobView job : JobQueue.sort(replica.jobs(), order, now + wallOffset)) {
             int tasks = 0;
             int most = suspects.contains(job.spec().id()) ? Math.min(1, job.unstarted()) : job.unstarted();
             while (tasks < most && quota.allows(job.spec())) {
@@ -353,7 +353,7 @@
             open.removeIf(s -> s.isFull(least));
             cover(now, job.spec(), tasks, open, wanted);
         }
-        for (JobView job : mirror.jobs()) {
+        for (JobView job : replica.jobs()) {
             if (job.live()) {
                 int tasks = (int) Math.ceil(HEADROOM * job.placedCount());
                 open.removeIf(s -> s.isFull(least));
@@ -378,15 +378,15 @@
     private List<Supply> supply(Map<String, Observation> known) {
         List<Supply> list = new ArrayList<>();
         for (Observation o : known.values()) {
-            MachineType type = mirror.type(o.type());
+            MachineType type = replica.type(o.type());
             if (type != null && !o.silent() && o.noticeS() == null) {
                 Supply s = new Supply(
                         o.machine(),
                         type,
                         o.zone(),
                         o.spot(),
-                        rooms.of(o.machine(), type).copy());
-                s.used = !mirror.placements(o.machine()).isEmpty();
+                        capacities.of(o.machine(), type).copy());
+                s.used = !replica.placements(o.machine()).isEmpty();
                 list.add(s);
             }
         }
@@ -400,9 +400,9 @@
     }
 
     private void addComing(Listed m, Map<String, Observation> known, List<Supply> list) {
-        MachineType type = mirror.type(m.type());
+        MachineType type = replica.type(m.type());
         if (type != null && m.state() != Listed.State.FAILED && !known.containsKey(m.id())) {
-            Supply s = new Supply(m.id(), type, m.zone(), m.spot(), new Room(type));
+            Supply s = new Supply(m.id(), type, m.zone(), m.spot(), new FreeCapacity(type));
             s.used = true;
             list.add(s);
         }
@@ -423,8 +423,8 @@
                         Offer o = new Offer(type.name(), zone, spot);
                         Refusal r = refusals.get(o);
                         boolean open = r == null || now >= r.until;
-                        int slots = new Room(type).slots(job);
-                        if (open && slots > 0 && Line.allows(type, zone, spot, job)) {
+                        int slots = new FreeCapacity(type).slots(job);
+                        if (open && slots > 0 && JobQueue.allows(type, zone, spot, job)) {
                             double price = spot ? type.spotPrice() : type.price();
                             double cost = price / Math.min(slots, left) * (1 + type.bootS() / 60);
                             if (cost < bestCost) {
@@ -440,7 +440,7 @@
             }
             wanted.merge(best, 1, Integer::sum);
             MachineType type = type(best.type());
-            Supply s = new Supply("", type, best.zone(), best.spot(), new Room(type));
+            Supply s = new Supply("", type, best.zone(), best.spot(), new FreeCapacity(type));
             supply.add(s);
             left -= s.fill(job, left);
         }
--- a/src/main/java/garnetscale/core/fleet/Supply.java
+++ b/src/main/java/garnetscale/core/fleet/Supply.java
@@ -1,9 +1,9 @@
 package garnetscale.core.fleet;
 
 import garnetscale.core.job.JobSpec;
-import garnetscale.core.line.Line;
+import garnetscale.core.line.JobQueue;
+import garnetscale.core.machine.FreeCapacity;
 import garnetscale.core.machine.MachineType;
-import garnetscale.core.machine.Room;
 
 /** A machine that is there, on its way, or only thought of, with the room that is left on it. */
 final class Supply {
@@ -12,11 +12,11 @@
     final MachineType type;
     final String zone;
     final boolean spot;
-    final Room room;
+    final FreeCapacity room;
     /** Whether the demand at hand puts anything on it. */
     boolean used;
 
-    Supply(String id, MachineType type, String zone, boolean spot, Room room) {
+    Supply(String id, MachineType type, String zone, boolean spot, FreeCapacity room) {
         this.id = id;
         this.type = type;
         this.zone = zone;
@@ -25,7 +25,7 @@
     }
 
     boolean allows(JobSpec job) {
-        return Line.allows(type, zone, spot, job);
+        return JobQueue.allows(type, zone, spot, job);
     }
 
     /** Whether not even a task of so few CPUs finds room. */
--- a/src/main/java/garnetscale/core/lead/Awards.java
+++ b/src/main/java/garnetscale/core/lead/Awards.java
@@ -7,14 +7,14 @@
 import garnetscale.core.job.JobSpec;
 import garnetscale.core.job.Priority;
 import garnetscale.core.job.TaskId;
-import garnetscale.core.line.Line;
-import garnetscale.core.line.LineOrder;
+import garnetscale.core.line.JobOrder;
+import garnetscale.core.line.JobQueue;
+import garnetscale.core.machine.FreeCapacity;
 import garnetscale.core.machine.MachineType;
 import garnetscale.core.machine.Placement;
-import garnetscale.core.machine.Room;
+import garnetscale.core.store.FreeCapacityCache;
 import garnetscale.core.store.JobView;
-import garnetscale.core.store.Mirror;
-import garnetscale.core.store.Rooms;
+import garnetscale.core.store.StateReplica;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.HashMap;
@@ -31,29 +31,29 @@
     private static final int PLACE_BITS = 22;
     private static final int TENTHS_BITS = 18;
 
-    private final Mirror mirror;
+    private final StateReplica replica;
     private final Auction auction;
     private final Map<String, MachineState> machines;
     private final int perMachine;
-    private final LineOrder order;
+    private final JobOrder order;
     private final Reserve reserve;
-    private final Rooms counted;
-    private final Map<String, Room> rooms = new HashMap<>();
+    private final FreeCapacityCache counted;
+    private final Map<String, FreeCapacity> capacities = new HashMap<>();
     /** Whether the block's holder has bid, asked once a draft: there are thousands of bids and a handful of blocks. */
     private final Map<String, Boolean> spokenFor = new HashMap<>();
     /** Tasks of a job by zone, for jobs that are bound by where their other tasks are. */
     private final Map<String, Multiset<String>> zonesOfJob = new HashMap<>();
 
     Awards(
-            Mirror mirror,
+            StateReplica replica,
             Auction auction,
             Map<String, MachineState> machines,
             int perMachine,
-            LineOrder order,
+            JobOrder order,
             Reserve reserve,
-            Rooms counted) {
+            FreeCapacityCache counted) {
         this.counted = counted;
-        this.mirror = mirror;
+        this.replica = replica;
         this.auction = auction;
         this.machines = machines;
         this.perMachine = perMachine;
@@ -64,11 +64,11 @@
     /** Adds awards to the draft; returns how many. */
     int award(long now, long wallMs, Draft draft, Failures failures, LongSupplier attempts) {
         int awarded = 0;
-        reserve.observe(now, mirror.jobs());
+        reserve.observe(now, replica.jobs());
         double free = 0;
         double fleet = 0;
         for (MachineState m : machines.values()) {
-            MachineType type = mirror.type(m.last.type());
+            MachineType type = replica.type(m.last.type());
             if (!m.last.silent() && m.last.noticeS() == null && type != null) {
                 free += draft.changes(m.id)
                         ? room(draft, m).cpus()
@@ -76,7 +76,7 @@
                 fleet += type.cpus();
             }
         }
-        List<JobView> waiting = Line.sort(mirror.jobs(), order, wallMs);
+        List<JobView> waiting = JobQueue.sort(replica.jobs(), order, wallMs);
         for (JobView job : waiting) {
             boolean borrowed = borrowed(draft, job);
             double kept = reserve.cpus(fleet, borrowed);
@@ -95,7 +95,7 @@
                 }
                 MachineState m = c.machine();
                 Bid bid = c.bid();
-                Room room = room(draft, m);
+                FreeCapacity room = room(draft, m);
                 for (int i = 0; i < bid.slots() && next >= 0; i++) {
                     if (free - job.spec().cpus() < kept && reserve.binds(job, borrowed, wallMs)) {
                         next = -1;
@@ -110,7 +110,7 @@
                     }
                     Placement p = new Placement(
                             new TaskId(job.spec().id(), next), attempts.getAsLong(), bid.shift(), Placement.Stop.KEEP);
-                    draft.place(m.id, mirror.type(m.last.type()), m.last.zone(), p, job.spec());
+                    draft.place(m.id, replica.type(m.last.type()), m.last.zone(), p, job.spec());
                     room.take(job.spec());
                     free -= job.spec().cpus();
                     if (bound(job.spec())) {
@@ -175,22 +175,22 @@
                 && m.last.shift() == bid.shift()
                 && now >= m.avoidUntil
                 && !m.condemned
-                && mirror.type(m.last.type()) != null
+                && replica.type(m.last.type()) != null
                 && spokenFor.computeIfAbsent(m.last.block(), auction::speaksFor);
     }
 
     private boolean allowed(MachineState m, JobSpec job) {
-        MachineType type = mirror.type(m.last.type());
+        MachineType type = replica.type(m.last.type());
         return type.fits(job) && job.allowsZone(m.last.zone()) && (!m.last.spot() || job.spot());
     }
 
-    private Room room(Draft draft, MachineState m) {
-        return rooms.computeIfAbsent(m.id, id -> {
-            MachineType type = mirror.type(m.last.type());
+    private FreeCapacity room(Draft draft, MachineState m) {
+        return capacities.computeIfAbsent(m.id, id -> {
+            MachineType type = replica.type(m.last.type());
             if (!draft.changes(id)) {
                 return counted.of(id, type).copy();
             }
-            Room room = new Room(type);
+            FreeCapacity room = new FreeCapacity(type);
             counted.take(room, draft.placements(id));
             return room;
         });
@@ -215,10 +215,10 @@
     private Multiset<String> zones(Draft draft, JobView job) {
         return zonesOfJob.computeIfAbsent(job.spec().id(), id -> {
             Multiset<String> count = HashMultiset.create();
-            for (String machine : mirror.placedMachines()) {
+            for (String machine : replica.placedMachines()) {
                 for (Placement p : draft.placements(machine)) {
                     if (p.task().job().equals(id)) {
-                        count.add(mirror.placedZone(machine));
+                        count.add(replica.placedZone(machine));
                     }
                 }
             }
--- a/src/main/java/garnetscale/core/lead/Draft.java
+++ b/src/main/java/garnetscale/core/lead/Draft.java
@@ -9,8 +9,8 @@
 import garnetscale.core.store.Keys;
 import garnetscale.core.store.LogWriter;
 import garnetscale.core.store.MachineRecord;
-import garnetscale.core.store.Mirror;
 import garnetscale.core.store.Records;
+import garnetscale.core.store.StateReplica;
 import garnetscale.core.store.Txn;
 import garnetscale.core.store.WorkLog;
 import java.util.ArrayList;
@@ -25,7 +25,7 @@
 import java.util.Set;
 
 /**
- * A transaction in the making: changes of placements and finished sets on top of the mirror. Everything in it is
+ * A transaction in the making: changes of placements and finished sets on top of the replica. Everything in it is
  * applied at once or not at all, so room and quota that it frees may be used by it. All of it but the ends of jobs
  * goes into one entry of the work log.
  */
@@ -36,7 +36,7 @@
 
     private static final int MOST_IMAGES = 16;
 
-    private final Mirror mirror;
+    private final StateReplica replica;
     private final QuotaBook quota;
     private final LogWriter log;
     private final int opLimit;
@@ -50,10 +50,10 @@
     private final Set<String> over = new LinkedHashSet<>();
     private int ops;
 
-    Draft(Mirror mirror, QuotaBook quota, int opLimit, int valueBytes) {
-        this.mirror = mirror;
+    Draft(StateReplica replica, QuotaBook quota, int opLimit, int valueBytes) {
+        this.replica = replica;
         this.quota = quota;
-        this.log = new LogWriter(mirror, valueBytes);
+        this.log = new LogWriter(replica, valueBytes);
         this.opLimit = opLimit;
         this.ops = log.ops();
     }
@@ -83,29 +83,29 @@
 
     List<Placement> placements(String machine) {
         List<Placement> list = machines.get(machine);
-        return list == null ? mirror.placements(machine) : list;
+        return list == null ? replica.placements(machine) : list;
     }
 
     private List<Placement> edit(String machine, String zone) {
         return machines.computeIfAbsent(machine, id -> {
             log.take(log.sizeOfRow(id, zone));
             zones.put(id, zone);
-            images.put(id, new LinkedHashMap<>(mirror.images(id)));
-            return new ArrayList<>(mirror.placements(id));
+            images.put(id, new LinkedHashMap<>(replica.images(id)));
+            return new ArrayList<>(replica.placements(id));
         });
     }
 
     void free(String machine, Placement p) {
-        edit(machine, mirror.placedZone(machine)).remove(p);
+        edit(machine, replica.placedZone(machine)).remove(p);
         log.take(LogWriter.sizeOfAttempt());
-        JobView job = mirror.job(p.task().job());
+        JobView job = replica.job(p.task().job());
         if (job != null) {
             quota.add(job.spec(), -1);
         }
     }
 
     void stop(String machine, Placement p, Placement.Stop how) {
-        List<Placement> list = edit(machine, mirror.placedZone(machine));
+        List<Placement> list = edit(machine, replica.placedZone(machine));
         int i = list.indexOf(p);
         if (i >= 0) {
             list.set(i, p.withStop(how));
@@ -141,7 +141,7 @@
 
     /** The machine is gone for good, and so is its record once it has no placements. */
     void forget(String machine) {
-        if (edit(machine, mirror.placedZone(machine)).isEmpty()) {
+        if (edit(machine, replica.placedZone(machine)).isEmpty()) {
             forgotten.add(machine);
         }
     }
@@ -186,7 +186,7 @@
      * that it ends: a cancellation in between makes it fail, and it is drafted anew.
      */
     Txn toTxn() {
-        Txn txn = new Txn().guard(Keys.LEADER, mirror.stamp(Keys.LEADER));
+        Txn txn = new Txn().guard(Keys.LEADER, replica.stamp(Keys.LEADER));
         Map<String, MachineRecord> records = new LinkedHashMap<>();
         machines.forEach((id, list) -> records.put(
                 id,
@@ -202,7 +202,7 @@
         }
         log.write(txn, records, done);
         for (String id : over) {
-            JobView job = mirror.job(id);
+            JobView job = replica.job(id);
             txn.guard(Keys.job(id), job.stamp());
             txn.delete(Keys.job(id));
             BitSet set = finished.get(id);
--- a/src/main/java/garnetscale/core/lead/Leader.java
+++ b/src/main/java/garnetscale/core/lead/Leader.java
@@ -5,7 +5,7 @@
 import garnetscale.core.Params;
 import garnetscale.core.bid.Auction;
 import garnetscale.core.bid.Bid;
-import garnetscale.core.bid.BidSheet;
+import garnetscale.core.bid.BidBatch;
 import garnetscale.core.bid.Estimator;
 import garnetscale.core.bid.LateBids;
 import garnetscale.core.block.BlockLease;
@@ -16,17 +16,17 @@
 import garnetscale.core.block.Terms;
 import garnetscale.core.job.Priority;
 import garnetscale.core.job.TaskId;
-import garnetscale.core.line.Line;
-import garnetscale.core.line.LineOrder;
+import garnetscale.core.line.JobOrder;
+import garnetscale.core.line.JobQueue;
 import garnetscale.core.machine.ExitCause;
 import garnetscale.core.machine.Placement;
 import garnetscale.core.machine.ReportedTask;
 import garnetscale.core.quota.QuotaBook;
+import garnetscale.core.store.FreeCapacityCache;
 import garnetscale.core.store.JobView;
 import garnetscale.core.store.Keys;
-import garnetscale.core.store.Mirror;
 import garnetscale.core.store.Records;
-import garnetscale.core.store.Rooms;
+import garnetscale.core.store.StateReplica;
 import garnetscale.core.store.Txn;
 import java.util.ArrayList;
 import java.util.Collection;
@@ -41,7 +41,7 @@
 
 /**
  * The leader: leases blocks, takes bids, keeps quotas and awards; the only writer of placements and finished
- * sets. It has at most one transaction under way, and drafts each from the mirror alone plus what the holders
+ * sets. It has at most one transaction under way, and drafts each from the replica alone plus what the holders
  * have told it, so that a lost answer costs a fresh look and nothing else.
  */
 public final class Leader {
@@ -61,7 +61,7 @@
     private record Exit(String machine, String block, long term, long attempt, ReportedTask task) {}
 
     private final Params params;
-    private final Mirror mirror;
+    private final StateReplica replica;
     private final Blocks blocks;
     private final Auction auction;
     private Set<String> lateJobs = Set.of();
@@ -70,10 +70,10 @@
     /** Tasks that made room for others once. */
     private final Set<TaskId> stoppedOnce = new HashSet<>();
 
-    private final LineOrder order;
+    private final JobOrder order;
     private final Estimator estimator;
     private final Reserve reserve;
-    private final Rooms rooms;
+    private final FreeCapacityCache capacities;
     private final Consumer<String> log;
     private final Map<String, MachineState> machines = new LinkedHashMap<>();
     private final Long2ObjectHashMap<Exit> exits = new Long2ObjectHashMap<>();
@@ -106,16 +106,16 @@
     private int blockSequence;
     private long wallOffset;
 
-    public Leader(Params params, Mirror mirror, Blocks blocks, Consumer<String> log) {
+    public Leader(Params params, StateReplica replica, Blocks blocks, Consumer<String> log) {
         this.params = params;
-        this.mirror = mirror;
+        this.replica = replica;
         this.blocks = blocks;
         this.log = log;
-        this.order = new LineOrder(params);
+        this.order = new JobOrder(params);
         this.estimator = new Estimator(params.reportMs());
         this.reserve = new Reserve(params);
-        this.rooms = new Rooms(mirror);
-        this.auction = new Auction(mirror, params.windowMs());
+        this.capacities = new FreeCapacityCache(replica);
+        this.auction = new Auction(replica, params.windowMs());
     }
 
     public void incarnate(long lease) {
@@ -126,9 +126,9 @@
         wallOffset = offset;
     }
 
-    /** The term that this process leads under by the mirror, or -1. */
+    /** The term that this process leads under by the replica, or -1. */
     public long leadingTerm() {
-        LeaderInfo l = mirror.leader();
+        LeaderInfo l = replica.leader();
         return l != null && l.node().equals(params.self()) && l.incarnation() == incarnation ? l.term() : -1;
     }
 
@@ -139,7 +139,7 @@
         return list;
     }
 
-    /** Takes up leadership when the mirror says so, and drops all that was known under an earlier term. */
+    /** Takes up leadership when the replica says so, and drops all that was known under an earlier term. */
     public boolean leads(long now) {
         long term = leadingTerm();
         if (term < 0) {
@@ -147,7 +147,7 @@
             return false;
         }
         if (acting == null || acting.term() != term) {
-            acting = mirror.leader();
+            acting = replica.leader();
             actingSince = now;
             sequence = 0;
             blockSequence = 0;
@@ -167,7 +167,7 @@
     /** A node's process seems to be down, or is heard of again. */
     public void suspect(long now, String node, boolean down) {
         boolean news = down ? suspects.putIfAbsent(node, now) == null : suspects.remove(node) != null;
-        NodeInfo info = mirror.node(node);
+        NodeInfo info = replica.node(node);
         if (news && down) {
             suspectedAs.put(node, info == null ? -1 : info.incarnation());
         } else if (news && info != null && info.incarnation() == suspectedAs.get(node)) {
@@ -192,14 +192,14 @@
         boolean deaf = machines.values().stream().allMatch(m -> m.last.silent());
         if (!deaf
                 || machines.isEmpty()
-                || mirror.nodes().size() < 2
+                || replica.nodes().size() < 2
                 || now - actingSince < patience
                 || now < notBefore) {
             return null;
         }
         notBefore = now + 4 * patience;
         log.accept("steps down: no machine is heard of");
-        return new Txn().guard(Keys.LEADER, mirror.stamp(Keys.LEADER)).delete(Keys.LEADER);
+        return new Txn().guard(Keys.LEADER, replica.stamp(Keys.LEADER)).delete(Keys.LEADER);
     }
 
     /**
@@ -210,7 +210,7 @@
      * leader that no worker reaches is no loss.
      */
     private boolean leaderIsDown(long now) {
-        LeaderInfo l = mirror.leader();
+        LeaderInfo l = replica.leader();
         if (l == null || !l.equals(leaderSeen)) {
             leaderSeen = l;
             leaderSeenAt = now;
@@ -237,36 +237,36 @@
      * that the same transaction raises, so no two leaders share one.
      */
     public Txn election(long now) {
-        LeaderInfo l = mirror.leader();
+        LeaderInfo l = replica.leader();
         boolean stale = l != null && l.node().equals(params.self()) && l.incarnation() != incarnation;
         boolean down = leaderIsDown(now);
-        if (now < notBefore && mirror.nodes().size() > 1) {
+        if (now < notBefore && replica.nodes().size() > 1) {
             return null;
         }
         if (l != null && !stale && !down) {
             return null;
         }
         // A leader key of this node's earlier process is replaced at once: a node runs one process at a time.
-        long term = mirror.termCounter() + 1;
+        long term = replica.termCounter() + 1;
         return new Txn()
-                .guard(Keys.LEADER, mirror.stamp(Keys.LEADER))
-                .guard(Keys.TERM, mirror.stamp(Keys.TERM))
+                .guard(Keys.LEADER, replica.stamp(Keys.LEADER))
+                .guard(Keys.TERM, replica.stamp(Keys.TERM))
                 .put(Keys.TERM, Records.term(term))
                 .put(Keys.LEADER, Records.leader(new LeaderInfo(params.self(), incarnation, term)), incarnation);
     }
 
     /**
      * A transaction that changes nothing but the leader key's stamp. Sent after one whose outcome is unknown: once
-     * it is in, the unknown one has either been applied, and the mirror will show it, or never will be.
+     * it is in, the unknown one has either been applied, and the replica will show it, or never will be.
      */
     public Txn fence() {
         return new Txn()
-                .guard(Keys.LEADER, mirror.stamp(Keys.LEADER))
-                .put(Keys.LEADER, Records.leader(mirror.leader()), incarnation);
+                .guard(Keys.LEADER, replica.stamp(Keys.LEADER))
+                .put(Keys.LEADER, Records.leader(replica.leader()), incarnation);
     }
 
     public void onObservation(long now, Observation o) {
-        BlockLease lease = mirror.block(o.block());
+        BlockLease lease = replica.block(o.block());
         if (acting == null || lease == null || lease.term() != o.term() || lease.incarnation() != o.incarnation()) {
             return;
         }
@@ -277,7 +277,7 @@
             return;
         }
         MachineState m = machines.computeIfAbsent(o.machine(), MachineState::new);
-        m.observe(now, o, mirror, estimator);
+        m.observe(now, o, replica, estimator);
         for (ReportedTask t : o.tasks()) {
             if (t.exited()) {
                 exits.put(t.attempt(), new Exit(o.machine(), o.block(), o.term(), t.attempt(), t));
@@ -285,9 +285,9 @@
         }
     }
 
-    public void onBids(long now, BidSheet sheet) {
+    public void onBids(long now, BidBatch batch) {
         if (acting != null) {
-            auction.onSheet(now, sheet);
+            auction.onBatch(now, batch);
         }
     }
 
@@ -299,7 +299,7 @@
 
     /** A machine left the cloud's list long ago. Lists are late, so this frees nothing: it only ends an empty record. */
     public void onMachineVanished(String machine) {
-        if (mirror.placements(machine).isEmpty()) {
+        if (replica.placements(machine).isEmpty()) {
             onMachineDead(machine);
         }
     }
@@ -311,7 +311,7 @@
     private void forgetSilent(long now) {
         machines.values()
                 .removeIf(m ->
-                        m.last.silent() && mirror.placements(m.id).isEmpty() && now - m.seen > 2 * params.leaseMs());
+                        m.last.silent() && replica.placements(m.id).isEmpty() && now - m.seen > 2 * params.leaseMs());
     }
 
     /** The next transaction, or null when there is nothing to change. */
@@ -323,11 +323,11 @@
         if (leases != null) {
             return leases;
         }
-        Draft draft = new Draft(mirror, QuotaBook.of(params, mirror), params.txnOps(), params.valueBytes());
+        Draft draft = new Draft(replica, QuotaBook.of(params, replica), params.txnOps(), params.valueBytes());
         settle(now, draft);
         int perMachine = Math.max(8, params.valueBytes() / 64);
         int before = sequence;
-        new Awards(mirror, auction, machines, perMachine, order, reserve, rooms)
+        new Awards(replica, auction, machines, perMachine, order, reserve, capacities)
                 .award(now, now + wallOffset, draft, failures, () -> Terms.attempt(acting.term(), ++sequence));
         if (now - judgedAt >= params.reportMs() / 2) {
             judgedAt = now;
@@ -339,7 +339,7 @@
         if (sequence == before) {
             restartLate(now, draft);
         }
-        for (JobView job : mirror.jobs()) {
+        for (JobView job : replica.jobs()) {
             if (!job.live() && job.placedCount() == 0 && draft.hasRoomForEnd()) {
                 draft.archiveCancelled(job);
             }
@@ -352,9 +352,9 @@
         Set<String> jobs = new HashSet<>();
         for (MachineState m : machines.values()) {
             List<Estimator.UnderWay> running = new ArrayList<>();
-            for (Placement p : mirror.placements(m.id)) {
+            for (Placement p : replica.placements(m.id)) {
                 Long since = m.runningSince.get(p.attempt());
-                JobView job = mirror.job(p.task().job());
+                JobView job = replica.job(p.task().job());
                 if (since != null && job != null && job.live()) {
                     running.add(new Estimator.UnderWay(job.spec(), (now - since) / 1000.0));
                 }
@@ -387,8 +387,8 @@
                 continue;
             }
             double left = m.last.noticeS() - (now - m.seen) / 1000.0;
-            for (Placement p : mirror.placements(m.id)) {
-                JobView job = mirror.job(p.task().job());
+            for (Placement p : replica.placements(m.id)) {
+                JobView job = replica.job(p.task().job());
                 if (job == null || !job.live() || p.stop() != Placement.Stop.KEEP || !draft.hasRoom(false)) {
                     continue;
                 }
@@ -417,9 +417,9 @@
             if (!m.condemned || m.last.silent()) {
                 continue;
             }
-            for (Placement p : mirror.placements(m.id)) {
+            for (Placement p : replica.placements(m.id)) {
                 Long since = m.runningSince.get(p.attempt());
-                JobView job = mirror.job(p.task().job());
+                JobView job = replica.job(p.task().job());
                 if (since == null || job == null || !job.live() || p.stop() != Placement.Stop.KEEP) {
                     continue;
                 }
@@ -446,7 +446,7 @@
     public List<String> condemned() {
         List<String> ids = new ArrayList<>();
         for (MachineState m : machines.values()) {
-            if (m.condemned && mirror.placements(m.id).isEmpty()) {
+            if (m.condemned && replica.placements(m.id).isEmpty()) {
                 ids.add(m.id);
             }
         }
@@ -462,7 +462,8 @@
         if (now < preemptAt) {
             return;
         }
-        boolean idle = mirror.jobs().stream().anyMatch(j -> j.spec().priority() == Priority.LOW && j.placedCount() > 0);
+        boolean idle =
+                replica.jobs().stream().anyMatch(j -> j.spec().priority() == Priority.LOW && j.placedCount() > 0);
         if (!idle && !idleTurn) {
             return;
         }
@@ -470,7 +471,7 @@
         int looked = 0;
         boolean found = false;
         Preemption preemption = null;
-        for (JobView job : Line.sort(mirror.jobs(), order, now + wallOffset)) {
+        for (JobView job : JobQueue.sort(replica.jobs(), order, now + wallOffset)) {
             boolean tight = idleTurn && reserve.isTight(job);
             int waiting = job.unstarted() - draft.awarded(job.spec().id());
             boolean guaranteed = draft.quota().guarantees(job.spec());
@@ -487,7 +488,7 @@
                 break;
             }
             if (preemption == null) {
-                preemption = new Preemption(mirror, machines.values(), estimator, stoppedOnce, draft, now);
+                preemption = new Preemption(replica, machines.values(), estimator, stoppedOnce, draft, now);
             }
             int stopped = preemption.makeRoom(job, waiting, tight, guaranteed);
             if (stopped > 0) {
@@ -517,7 +518,7 @@
                 if (!draft.hasRoom(true)) {
                     return;
                 }
-                JobView job = mirror.job(p.task().job());
+                JobView job = replica.job(p.task().job());
                 draft.free(e.machine(), p);
                 if (job != null
                         && job.live()
@@ -541,7 +542,7 @@
             }
         }
         for (String machine : dead) {
-            if (mirror.placedZone(machine) == null) {
+            if (replica.placedZone(machine) == null) {
                 continue;
             }
             if (!draft.hasRoom(true)) {
@@ -553,8 +554,8 @@
             }
             draft.forget(machine);
         }
-        stoppedOnce.removeIf(t -> mirror.job(t.job()) == null);
-        failures.retain(job -> mirror.job(job) != null);
+        stoppedOnce.removeIf(t -> replica.job(t.job()) == null);
+        failures.retain(job -> replica.job(job) != null);
     }
 
     private static List<Exit> oldestFirst(Long2ObjectHashMap<Exit> exits) {
@@ -564,7 +565,7 @@
     }
 
     private Placement placement(String machine, long attempt) {
-        for (Placement p : mirror.placements(machine)) {
+        for (Placement p : replica.placements(machine)) {
             if (p.attempt() == attempt) {
                 return p;
             }
@@ -573,7 +574,7 @@
     }
 
     private boolean isCurrent(Exit e) {
-        BlockLease lease = mirror.block(e.block());
+        BlockLease lease = replica.block(e.block());
         return lease != null && lease.term() == e.term();
     }
 
@@ -596,7 +597,7 @@
         }
         switch (t.cause()) {
             case ERROR, UNKNOWN_TASK -> {
-                JobView job = mirror.job(p.task().job());
+                JobView job = replica.job(p.task().job());
                 if (job != null && job.finishedCount() > 0) {
                     failures.sound(p.task().job());
                 }
@@ -653,13 +654,13 @@
 
     /** Leases blocks whose holder is gone, and moves a block home when its zone has an idle controller again. */
     private Txn leaseBlocks(long now) {
-        nodeSince.keySet().removeIf(n -> mirror.nodes().stream().noneMatch(i -> key(i).equals(n)));
-        mirror.nodes().forEach(n -> nodeSince.putIfAbsent(key(n), now));
+        nodeSince.keySet().removeIf(n -> replica.nodes().stream().noneMatch(i -> key(i).equals(n)));
+        replica.nodes().forEach(n -> nodeSince.putIfAbsent(key(n), now));
         Multiset<String> load = HashMultiset.create();
         Map<String, String> deafHolder = new HashMap<>();
         List<String> orphans = new ArrayList<>();
         for (String block : blocks.all()) {
-            BlockLease lease = mirror.block(block);
+            BlockLease lease = replica.block(block);
             if (lease != null && alive(lease) && (isDeaf(now, block) || isDeaf(lease.holder()))) {
                 movedAt.put(block, now);
                 deafHolder.put(block, lease.holder());
@@ -676,10 +677,10 @@
                 orphans.add(moved);
             }
         }
-        Txn txn = new Txn().guard(Keys.LEADER, mirror.stamp(Keys.LEADER));
+        Txn txn = new Txn().guard(Keys.LEADER, replica.stamp(Keys.LEADER));
         for (String block : orphans) {
             NodeInfo best = null;
-            for (NodeInfo n : mirror.nodes()) {
+            for (NodeInfo n : replica.nodes()) {
                 if (suspects.containsKey(n.name()) || n.name().equals(deafHolder.get(block)) || isDeaf(n.name())) {
                     continue;
                 }
@@ -700,7 +701,7 @@
     /** A holder that says so itself is believed at once, as long as another one may do better. */
     private boolean isDeaf(String node) {
         return deafNodes.contains(node)
-                && mirror.nodes().stream()
+                && replica.nodes().stream()
                         .anyMatch(n -> !deafNodes.contains(n.name()) && !suspects.containsKey(n.name()));
     }
 
@@ -719,12 +720,12 @@
             }
         }
         return silent > 1
-                && mirror.nodes().size() > 1
+                && replica.nodes().size() > 1
                 && now - movedAt.getOrDefault(block, actingSince) > 2 * params.nodeTtlMs() + 4 * params.reportMs();
     }
 
     private String blockToMove(long now, Multiset<String> load) {
-        for (NodeInfo n : mirror.nodes()) {
+        for (NodeInfo n : replica.nodes()) {
             if (load.contains(n.name())
                     || suspects.containsKey(n.name())
                     || deafNodes.contains(n.name())
@@ -733,7 +734,7 @@
                 continue;
             }
             for (String block : blocks.all()) {
-                BlockLease lease = mirror.block(block);
+                BlockLease lease = replica.block(block);
                 if (now - movedAt.getOrDefault(block, Long.MIN_VALUE / 2) < 8 * params.nodeTtlMs()) {
                     continue;
                 }
@@ -749,7 +750,7 @@
     }
 
     private String zone(String node) {
-        NodeInfo n = mirror.node(node);
+        NodeInfo n = replica.node(node);
         return n == null ? "" : n.zone();
     }
 
@@ -762,7 +763,7 @@
     }
 
     private boolean alive(BlockLease lease) {
-        NodeInfo n = mirror.node(lease.holder());
+        NodeInfo n = replica.node(lease.holder());
         return n != null && n.incarnation() == lease.incarnation() && !suspects.containsKey(n.name());
     }
 }
--- a/src/main/java/garnetscale/core/lead/MachineState.java
+++ b/src/main/java/garnetscale/core/lead/MachineState.java
@@ -7,7 +7,7 @@
 import garnetscale.core.machine.ReportedTask;
 import garnetscale.core.machine.TaskState;
 import garnetscale.core.store.JobView;
-import garnetscale.core.store.Mirror;
+import garnetscale.core.store.StateReplica;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.Map;
@@ -35,7 +35,7 @@
     }
 
     /** Takes a new observation; tells the estimator of tasks that completed. */
-    void observe(long now, Observation o, Mirror mirror, Estimator estimator) {
+    void observe(long now, Observation o, StateReplica replica, Estimator estimator) {
         last = o;
         seen = now;
         Set<Long> present = new HashSet<>();
@@ -45,7 +45,7 @@
                 runningSince.putIfAbsent(t.attempt(), now);
             } else if (t.cause() == ExitCause.DONE) {
                 Long since = runningSince.remove(t.attempt());
-                JobView job = mirror.job(t.task().job());
+                JobView job = replica.job(t.task().job());
                 if (since != null && job != null) {
                     estimator.completed(job.spec(), id, (now - since) / 1000.0);
                 }
--- a/src/main/java/garnetscale/core/lead/Pipeline.java
+++ b/src/main/java/garnetscale/core/lead/Pipeline.java
@@ -1,28 +1,28 @@
 package garnetscale.core.lead;
 
 import garnetscale.core.store.Keys;
-import garnetscale.core.store.Mirror;
+import garnetscale.core.store.StateReplica;
 import garnetscale.core.store.Txn;
 import garnetscale.core.store.TxnResult;
 import java.util.function.Supplier;
 
 /**
- * The leader's transactions, one at a time. The next is drafted only once the mirror shows the one before; after
+ * The leader's transactions, one at a time. The next is drafted only once the replica shows the one before; after
  * one of unknown outcome the leader's key is first written anew. Every transaction of a leader is guarded by that
- * key's stamp, so the unknown one has then either been applied, and the mirror shows it, or never will be.
+ * key's stamp, so the unknown one has then either been applied, and the replica shows it, or never will be.
  * Without this, a late one could free a placement that a later one's holder has started again.
  */
 public final class Pipeline {
 
-    private final Mirror mirror;
+    private final StateReplica replica;
     private final Leader leader;
     private boolean underWay;
     private long guardedBy;
     private long unknown = -1;
     private long awaited = -1;
 
-    public Pipeline(Mirror mirror, Leader leader) {
-        this.mirror = mirror;
+    public Pipeline(StateReplica replica, Leader leader) {
+        this.replica = replica;
         this.leader = leader;
     }
 
@@ -34,26 +34,28 @@
 
     /** The transaction to send now, or null; {@code drafts} is asked only when it is safe to go on. */
     public Txn next(Supplier<Txn> drafts) {
-        if (underWay || mirror.ledger() < awaited) {
+        if (underWay || replica.ledger() < awaited) {
             return null;
         }
-        if (unknown >= 0 && mirror.stamp(Keys.LEADER) != unknown) {
+        if (unknown >= 0 && replica.stamp(Keys.LEADER) != unknown) {
             unknown = -1;
         }
         Txn txn = unknown >= 0 ? leader.fence() : drafts.get();
         if (txn != null) {
             underWay = true;
-            guardedBy = mirror.stamp(Keys.LEADER);
+            guardedBy = replica.stamp(Keys.LEADER);
         }
         return txn;
     }
 
-    /** The transaction ended; the mirror must have caught up with the revision before the next. */
+    /** The transaction ended; the replica must have caught up with the revision before the next. */
     public void ended(TxnResult result, long ledger) {
         switch (result) {
             case OK, CONFLICT -> awaited = ledger;
             case MAYBE, NO_LEASE -> unknown = guardedBy;
+            // Nothing was carried out, so nothing is to be waited for.
             case REFUSED -> {}
+            default -> throw new IllegalArgumentException("result " + result);
         }
     }
 
--- a/src/main/java/garnetscale/core/lead/Preemption.java
+++ b/src/main/java/garnetscale/core/lead/Preemption.java
@@ -4,12 +4,12 @@
 import garnetscale.core.job.JobSpec;
 import garnetscale.core.job.Priority;
 import garnetscale.core.job.TaskId;
-import garnetscale.core.line.Line;
+import garnetscale.core.line.JobQueue;
+import garnetscale.core.machine.FreeCapacity;
 import garnetscale.core.machine.MachineType;
 import garnetscale.core.machine.Placement;
-import garnetscale.core.machine.Room;
 import garnetscale.core.store.JobView;
-import garnetscale.core.store.Mirror;
+import garnetscale.core.store.StateReplica;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
@@ -31,14 +31,14 @@
     private static final int MOST_OF_FLEET = 16;
 
     /** A machine, with the room that what is to stay on it leaves, and what may be stopped on it, cheapest first. */
-    private record Candidate(MachineState machine, MachineType type, Room room, List<Victim> victims) {}
+    private record Candidate(MachineState machine, MachineType type, FreeCapacity room, List<Victim> victims) {}
 
     private record Victim(Placement placement, JobView job, double lostS) {}
 
     /** What to stop on one machine so that a task more fits there, and the work that this loses. */
     private record Stops(Candidate on, List<Victim> victims, int gain, double lostS) {}
 
-    private final Mirror mirror;
+    private final StateReplica replica;
     private final Estimator estimator;
     private final Set<TaskId> stoppedOnce;
     private final Draft draft;
@@ -47,21 +47,21 @@
 
     /** Looks at all machines, once for all the jobs that room is to be made for now. */
     Preemption(
-            Mirror mirror,
+            StateReplica replica,
             Iterable<MachineState> machines,
             Estimator estimator,
             Set<TaskId> stoppedOnce,
             Draft draft,
             long now) {
         this.stoppedOnce = stoppedOnce;
-        this.mirror = mirror;
+        this.replica = replica;
         this.estimator = estimator;
         this.draft = draft;
         this.now = now;
         for (MachineState m : machines) {
-            MachineType type = m.last == null ? null : mirror.type(m.last.type());
+            MachineType type = m.last == null ? null : replica.type(m.last.type());
             if (type != null && !m.last.silent() && m.last.noticeS() == null && now >= m.avoidUntil && !m.condemned) {
-                lookAt(new Candidate(m, type, new Room(type), new ArrayList<>()));
+                lookAt(new Candidate(m, type, new FreeCapacity(type), new ArrayList<>()));
             }
         }
     }
@@ -69,7 +69,7 @@
     private void lookAt(Candidate c) {
         candidates.add(c);
         for (Placement p : draft.placements(c.machine().id)) {
-            JobView job = mirror.job(p.task().job());
+            JobView job = replica.job(p.task().job());
             if (job == null || p.stop() != Placement.Stop.KEEP) {
                 continue;
             }
@@ -135,7 +135,7 @@
      * helped by as many small ones that are stopped on different machines.
      */
     private Stops cheapest(Candidate c, JobSpec spec, boolean tight, boolean guaranteed) {
-        Room room = c.room().copy();
+        FreeCapacity room = c.room().copy();
         int before = room.slots(spec);
         List<Victim> chosen = new ArrayList<>();
         double lost = 0;
@@ -164,7 +164,8 @@
     }
 
     private static boolean allows(Candidate c, JobSpec job) {
-        return Line.allows(c.type(), c.machine().last.zone(), c.machine().last.spot(), job);
+        return JobQueue.allows(
+                c.type(), c.machine().last.zone(), c.machine().last.spot(), job);
     }
 
     /** Seconds of work that stopping would lose, or -1 when the task is to be left alone. */
--- a/src/main/java/garnetscale/core/line/LineOrder.java
+++ b/src/main/java/garnetscale/core/line/JobOrder.java
@@ -16,7 +16,7 @@
  * when not all can be in time, those that can go first. Both are bounded: a job of which nothing has begun comes to the
  * head after a while, or the largest would wait for as long as shorter ones keep coming.
  */
-public final class LineOrder {
+public final class JobOrder {
 
     /** Work below this counts as this much, in seconds: tiny estimates must not put a guest at every head. */
     private static final double FLOOR_S = 10;
@@ -32,7 +32,7 @@
     private final double patienceS;
     private final ListMultimap<String, Params.Objective> due = ArrayListMultimap.create();
 
-    public LineOrder(Params params) {
+    public JobOrder(Params params) {
         patienceS = PATIENCE * params.cancelMs() / 1000.0;
         for (Params.Objective o : params.objectives()) {
             if (o.kind().equals("deadline")) {
--- a/src/main/java/garnetscale/core/line/Line.java
+++ b/src/main/java/garnetscale/core/line/JobQueue.java
@@ -8,15 +8,15 @@
 
 /**
  * The line of one machine: the jobs with unstarted tasks that the machine may run, head first. A line is cheap
- * to make anew from the mirror, and so it is made anew rather than patched: after any failure it is right again
+ * to make anew from the replica, and so it is made anew rather than patched: after any failure it is right again
  * by itself. Machines of one type, zone and kind have the same line: the order, and which of the jobs they may run.
  */
-public final class Line {
+public final class JobQueue {
 
-    private Line() {}
+    private JobQueue() {}
 
     /** Puts live jobs with unstarted tasks into the order that all lines share. */
-    public static List<JobView> sort(Iterable<JobView> all, LineOrder order, long nowMs) {
+    public static List<JobView> sort(Iterable<JobView> all, JobOrder order, long nowMs) {
         record Keyed(double key, JobView job) {}
         List<Keyed> keyed = new ArrayList<>();
         for (JobView j : all) {
--- a/src/main/java/garnetscale/core/machine/Room.java
+++ b/src/main/java/garnetscale/core/machine/FreeCapacity.java
@@ -3,24 +3,24 @@
 import garnetscale.core.job.JobSpec;
 
 /** What is free on a machine. */
-public final class Room {
+public final class FreeCapacity {
 
     private double cpus;
     private double gpus;
     private double memoryGb;
 
-    public Room(MachineType type) {
+    public FreeCapacity(MachineType type) {
         this(type.cpus(), type.gpus(), type.memoryGb());
     }
 
-    private Room(double cpus, double gpus, double memoryGb) {
+    private FreeCapacity(double cpus, double gpus, double memoryGb) {
         this.cpus = cpus;
         this.gpus = gpus;
         this.memoryGb = memoryGb;
     }
 
-    public Room copy() {
-        return new Room(cpus, gpus, memoryGb);
+    public FreeCapacity copy() {
+        return new FreeCapacity(cpus, gpus, memoryGb);
     }
 
     public double cpus() {
--- a/src/main/java/garnetscale/core/quota/QuotaBook.java
+++ b/src/main/java/garnetscale/core/quota/QuotaBook.java
@@ -4,7 +4,7 @@
 import garnetscale.core.job.JobSpec;
 import garnetscale.core.machine.MachineType;
 import garnetscale.core.store.JobView;
-import garnetscale.core.store.Mirror;
+import garnetscale.core.store.StateReplica;
 import java.util.HashMap;
 import java.util.Map;
 
@@ -21,10 +21,10 @@
         this.teams = teams;
     }
 
-    /** Counts every placement that the mirror holds. */
-    public static QuotaBook of(Params params, Mirror mirror) {
+    /** Counts every placement that the replica holds. */
+    public static QuotaBook of(Params params, StateReplica replica) {
         QuotaBook book = new QuotaBook(params.teams());
-        for (JobView job : mirror.jobs()) {
+        for (JobView job : replica.jobs()) {
             book.add(job.spec(), job.placedCount());
         }
         return book;
--- a/src/main/java/garnetscale/core/store/JobView.java
+++ b/src/main/java/garnetscale/core/store/JobView.java
@@ -6,7 +6,7 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** A job as the mirror knows it: its record, its finished tasks and those that are placed. */
+/** A job as the replica knows it: its record, its finished tasks and those that are placed. */
 public final class JobView {
 
     /**
--- a/src/main/java/garnetscale/core/store/Keys.java
+++ b/src/main/java/garnetscale/core/store/Keys.java
@@ -1,7 +1,7 @@
 package garnetscale.core.store;
 
 /**
- * Names of the keys. Everything that a node mirrors lies under one prefix, so that one watch brings it all;
+ * Names of the keys. Everything that a node replicas lies under one prefix, so that one watch brings it all;
  * jobs that are over lie outside it, so that a cold start reads only what is alive.
  */
 public final class Keys {
--- a/src/main/java/garnetscale/core/store/LogWriter.java
+++ b/src/main/java/garnetscale/core/store/LogWriter.java
@@ -19,23 +19,23 @@
     /** The images of a machine, which a placement may change, and a part of a finished set, which a finish may. */
     private static final int MARGIN = 1024;
 
-    private final Mirror mirror;
+    private final StateReplica replica;
     private final List<WorkLog.Contents> fold;
     private final int shard;
     private int left;
 
-    public LogWriter(Mirror mirror, int valueBytes) {
-        this.mirror = mirror;
-        this.shard = mirror.foldDue();
+    public LogWriter(StateReplica replica, int valueBytes) {
+        this.replica = replica;
+        this.shard = replica.foldDue();
         int pageBytes = Math.min(valueBytes, TXN_BYTES / 4) * 15 / 16;
-        this.fold = shard < 0 ? List.of() : WorkLog.pages(mirror.shard(shard), pageBytes);
+        this.fold = shard < 0 ? List.of() : WorkLog.pages(replica.shard(shard), pageBytes);
         // A shard that has grown beyond the ordinary leaves less for the entry, or nothing at all this time.
-        this.left = mirror.logFull() ? 0 : Math.min(pageBytes, TXN_BYTES - ASIDE - fold.size() * pageBytes);
+        this.left = replica.logFull() ? 0 : Math.min(pageBytes, TXN_BYTES - ASIDE - fold.size() * pageBytes);
     }
 
     /** Changes that it makes by itself. */
     public int ops() {
-        return shard < 0 ? 1 : 1 + Math.max(fold.size(), mirror.pages(shard));
+        return shard < 0 ? 1 : 1 + Math.max(fold.size(), replica.pages(shard));
     }
 
     public boolean folds() {
@@ -73,20 +73,20 @@
 
     /** Adds the entry, if it holds anything, and the fold, if one is due. */
     public void write(Txn txn, Map<String, MachineRecord> machines, Map<String, BitSet> parts) {
-        String last = WorkLog.key(mirror.sequence());
-        txn.guard(last, mirror.stamp(last));
-        long next = mirror.sequence() + 1;
+        String last = WorkLog.key(replica.sequence());
+        txn.guard(last, replica.stamp(last));
+        long next = replica.sequence() + 1;
         if (!machines.isEmpty()) {
             String key = WorkLog.key(next);
-            txn.guard(key, mirror.stamp(key));
+            txn.guard(key, replica.stamp(key));
             Map<String, Delta> changes = new LinkedHashMap<>();
-            machines.forEach((id, m) -> changes.put(id, Delta.between(mirror.machine(id), m)));
+            machines.forEach((id, m) -> changes.put(id, Delta.between(replica.machine(id), m)));
             txn.put(key, WorkLog.value(new WorkLog.Entry(next, changes, parts)));
         }
         for (int page = 0; page < fold.size(); page++) {
             txn.put(WorkLog.baseKey(shard, page), WorkLog.pageValue(fold.get(page), fold.size()));
         }
-        for (int page = fold.size(); folds() && page < mirror.pages(shard); page++) {
+        for (int page = fold.size(); folds() && page < replica.pages(shard); page++) {
             txn.delete(WorkLog.baseKey(shard, page));
         }
     }
--- a/src/main/java/garnetscale/core/store/Mirror.java
+++ b/src/main/java/garnetscale/core/store/StateReplica.java
@@ -21,7 +21,7 @@
  * A node's copy of what is alive in the state service, as of one revision. It only moves forward: answers that
  * were overtaken change nothing.
  */
-public final class Mirror {
+public final class StateReplica {
 
     private final Map<String, JobView> jobs = new LinkedHashMap<>();
     private final Map<String, JobView.Marks> marks = new HashMap<>();
@@ -188,7 +188,7 @@
     }
 
     /**
-     * Starts anew from a full listing; needed when the watch has lost the thread. The mirror is torn afterwards when
+     * Starts anew from a full listing; needed when the watch has lost the thread. The replica is torn afterwards when
      * the pages of a base are of different moments: a machine may have moved between them and be on neither.
      */
     public void reset(List<Change> all, long revision) {
--- a/src/main/java/garnetscale/net/HttpClient.java
+++ b/src/main/java/garnetscale/net/HttpClient.java
@@ -187,7 +187,7 @@
         channel.writeAndFlush(call.request);
     }
 
-    /** Turns "10.0.0.1:8080" into an address, with no name look-up for numbers. */
+    /** EventLoopProfile "10.0.0.1:8080" into an address, with no name look-up for numbers. */
     public static InetSocketAddress address(String hostPort) {
         int colon = hostPort.lastIndexOf(':');
         return new InetSocketAddress(hostPort.substring(0, colon), Integer.parseInt(hostPort.substring(colon + 1)));
--- a/src/main/java/garnetscale/net/HttpResult.java
+++ b/src/main/java/garnetscale/net/HttpResult.java
@@ -6,6 +6,7 @@
  */
 public record HttpResult(Outcome outcome, int status, byte[] body) {
 
+    /** Whether a request was answered, and if not, whether it can have been carried out. */
     public enum Outcome {
         ANSWERED,
         NOT_SENT,
--- a/src/main/java/garnetscale/peer/PeerCodec.java
+++ b/src/main/java/garnetscale/peer/PeerCodec.java
@@ -1,7 +1,7 @@
 package garnetscale.peer;
 
 import garnetscale.core.bid.Bid;
-import garnetscale.core.bid.BidSheet;
+import garnetscale.core.bid.BidBatch;
 import garnetscale.core.block.Observation;
 import garnetscale.core.job.JobState;
 import garnetscale.core.job.TaskId;
@@ -98,7 +98,7 @@
             out.writeString(o.how().team());
         } else if (message instanceof PeerMessage.Bids b) {
             out.writeIndex(BID_SHEET);
-            sheet(out, b.sheet());
+            batch(out, b.batch());
         } else {
             throw new IllegalArgumentException("no form for " + message);
         }
@@ -143,7 +143,7 @@
         list(out, o.gone(), out::writeLong);
     }
 
-    private static void sheet(Encoder out, BidSheet s) throws IOException {
+    private static void batch(Encoder out, BidBatch s) throws IOException {
         out.writeString(s.node());
         out.writeLong(s.incarnation());
         out.writeLong(s.ledger());
@@ -196,7 +196,7 @@
                         in.readString(),
                         new Records.Archived(
                                 JobState.valueOf(in.readString()), in.readInt(), in.readInt(), in.readString()));
-            case BID_SHEET -> new PeerMessage.Bids(sheet(in));
+            case BID_SHEET -> new PeerMessage.Bids(batch(in));
             default -> throw new IOException("not a message: " + kind);
         };
     }
@@ -235,7 +235,7 @@
                 list(in, in::readLong));
     }
 
-    private static BidSheet sheet(Decoder in) throws IOException {
+    private static BidBatch batch(Decoder in) throws IOException {
         String node = in.readString();
         long incarnation = in.readLong();
         long ledger = in.readLong();
@@ -245,7 +245,7 @@
                 terms.put(in.readString(), in.readLong());
             }
         }
-        return new BidSheet(
+        return new BidBatch(
                 node,
                 incarnation,
                 ledger,
--- a/src/main/java/garnetscale/peer/PeerMessage.java
+++ b/src/main/java/garnetscale/peer/PeerMessage.java
@@ -1,6 +1,6 @@
 package garnetscale.peer;
 
-import garnetscale.core.bid.BidSheet;
+import garnetscale.core.bid.BidBatch;
 import garnetscale.core.block.Observation;
 import garnetscale.core.machine.Address;
 import garnetscale.core.store.Records;
@@ -43,7 +43,9 @@
     /** A job's end, which the leader knows to be stored; a fact that never changes again. */
     record Over(String job, Records.Archived how) implements PeerMessage {}
 
+    /** What a holder observes of one of its machines, for the leader. */
     record Seen(Observation observation) implements PeerMessage {}
 
-    record Bids(BidSheet sheet) implements PeerMessage {}
+    /** The bids of a holder's machines, for the leader. */
+    record Bids(BidBatch batch) implements PeerMessage {}
 }
--- a/src/main/java/garnetscale/standin/StandIns.java
+++ b/src/main/java/garnetscale/standin/StandIns.java
@@ -3,9 +3,9 @@
 import garnetscale.core.job.JobSpec;
 import garnetscale.core.job.TaskId;
 import garnetscale.core.machine.MachineType;
-import garnetscale.core.machine.Order;
 import garnetscale.core.machine.Report;
 import garnetscale.core.machine.ReportedTask;
+import garnetscale.core.machine.WorkerCommand;
 import garnetscale.core.store.Keys;
 import garnetscale.core.store.Records;
 import garnetscale.net.HttpClient;
@@ -212,17 +212,18 @@
         }
     }
 
-    private static List<Order> orders(Map<?, ?> m) {
-        List<Order> list = new ArrayList<>();
+    private static List<WorkerCommand> orders(Map<?, ?> m) {
+        List<WorkerCommand> list = new ArrayList<>();
         for (Object o : (List<?>) m.get("orders")) {
             Map<?, ?> row = (Map<?, ?>) o;
             TaskId task = TaskId.parse((String) row.get("chore"));
             long attempt = ((Number) row.get("try")).longValue();
             list.add(
                     switch ((String) row.get("verb")) {
-                        case "start" -> new Order.Start(task, attempt);
-                        case "halt" -> new Order.Stop(task, attempt, ((Number) row.get("mercy_s")).doubleValue());
-                        default -> new Order.Clear(task, attempt);
+                        case "start" -> new WorkerCommand.Start(task, attempt);
+                        case "halt" ->
+                            new WorkerCommand.Stop(task, attempt, ((Number) row.get("mercy_s")).doubleValue());
+                        default -> new WorkerCommand.Clear(task, attempt);
                     });
         }
         return list;
--- a/src/main/java/garnetscale/standin/WorkerModel.java
+++ b/src/main/java/garnetscale/standin/WorkerModel.java
@@ -3,12 +3,12 @@
 import garnetscale.core.job.JobSpec;
 import garnetscale.core.job.TaskId;
 import garnetscale.core.machine.ExitCause;
+import garnetscale.core.machine.FreeCapacity;
 import garnetscale.core.machine.MachineType;
-import garnetscale.core.machine.Order;
 import garnetscale.core.machine.Report;
 import garnetscale.core.machine.ReportedTask;
-import garnetscale.core.machine.Room;
 import garnetscale.core.machine.TaskState;
+import garnetscale.core.machine.WorkerCommand;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.LinkedHashMap;
@@ -154,7 +154,7 @@
     }
 
     /** The answer to a report that was sent at {@code sentAt} in session {@code reportShift}. */
-    public void answered(long now, long sentAt, long reportShift, long answerToken, List<Order> orders) {
+    public void answered(long now, long sentAt, long reportShift, long answerToken, List<WorkerCommand> orders) {
         advance(now);
         if (reportShift != shift || answerToken < token) {
             return;
@@ -165,7 +165,7 @@
     }
 
     /** A direct command; false (409) when its token or session is not the present one. */
-    public boolean command(long now, long commandToken, long commandShift, List<Order> orders) {
+    public boolean command(long now, long commandToken, long commandShift, List<WorkerCommand> orders) {
         advance(now);
         if (commandToken < token || commandShift != shift) {
             return false;
@@ -175,13 +175,13 @@
         return true;
     }
 
-    private void execute(long now, Order order) {
+    private void execute(long now, WorkerCommand order) {
         Running t = tasks.get(order.attempt());
-        if (order instanceof Order.Clear) {
+        if (order instanceof WorkerCommand.Clear) {
             if (t != null && t.state == TaskState.EXITED) {
                 tasks.remove(order.attempt());
             }
-        } else if (order instanceof Order.Stop) {
+        } else if (order instanceof WorkerCommand.Stop) {
             if (t != null && t.state != TaskState.EXITED) {
                 exit(t, ExitCause.STOPPED);
             }
@@ -190,7 +190,7 @@
         }
     }
 
-    private void start(long now, Order order) {
+    private void start(long now, WorkerCommand order) {
         JobSpec job = jobs.apply(order.task().job());
         Running t = new Running(order.task(), order.attempt(), TaskState.FETCHING, now);
         tasks.put(order.attempt(), t);
@@ -209,7 +209,7 @@
     }
 
     private boolean fits(Running mine, JobSpec job) {
-        Room room = new Room(type);
+        FreeCapacity room = new FreeCapacity(type);
         for (Running t : tasks.values()) {
             if (t != mine && t.state != TaskState.EXITED) {
                 room.take(jobs.apply(t.id.job()));
--- a/src/main/java/garnetscale/wire/WorkerCodec.java
+++ b/src/main/java/garnetscale/wire/WorkerCodec.java
@@ -2,10 +2,10 @@
 
 import garnetscale.core.job.TaskId;
 import garnetscale.core.machine.ExitCause;
-import garnetscale.core.machine.Order;
 import garnetscale.core.machine.Report;
 import garnetscale.core.machine.ReportedTask;
 import garnetscale.core.machine.TaskState;
+import garnetscale.core.machine.WorkerCommand;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -70,12 +70,12 @@
     }
 
     /** The answer to a report. */
-    public static byte[] answer(long token, List<Order> orders) {
+    public static byte[] answer(long token, List<WorkerCommand> orders) {
         return Cbor.write(Map.of("baton", token, "orders", orders(orders)));
     }
 
     /** A direct command. */
-    public static byte[] commands(long token, long shift, List<Order> orders) {
+    public static byte[] commands(long token, long shift, List<WorkerCommand> orders) {
         return Cbor.write(Map.of("baton", token, "shift", shift, "orders", orders(orders)));
     }
 
@@ -83,14 +83,16 @@
         return Cbor.write(node == null ? Map.of() : Map.of("steward", node));
     }
 
-    private static List<Object> orders(List<Order> orders) {
+    private static List<Object> orders(List<WorkerCommand> orders) {
         List<Object> list = new ArrayList<>(orders.size());
-        for (Order o : orders) {
+        for (WorkerCommand o : orders) {
             Map<String, Object> m = new LinkedHashMap<>();
-            m.put("verb", o instanceof Order.Start ? "start" : o instanceof Order.Stop ? "halt" : "clear");
+            m.put(
+                    "verb",
+                    o instanceof WorkerCommand.Start ? "start" : o instanceof WorkerCommand.Stop ? "halt" : "clear");
             m.put("chore", o.task().toString());
             m.put("try", o.attempt());
-            if (o instanceof Order.Stop s) {
+            if (o instanceof WorkerCommand.Stop s) {
                 m.put("mercy_s", s.graceS());
             }
             list.add(m);
--- a/src/test/java/garnetscale/app/FrontTest.java
+++ b/src/test/java/garnetscale/app/JobApiTest.java
@@ -10,13 +10,13 @@
 import org.junit.jupiter.api.Test;
 
 /** No user is told anything older than any user was told before, at whichever node, whatever becomes of transactions. */
-class FrontTest {
+class JobApiTest {
 
     private static final int JOBS = 60;
     private static final int SEEDS = 20;
     /** Plays users' day: jobs come, end, are cancelled and asked about, with this share of either kind of lost answer. */
-    private static Town day(long seed, double answerLost, double late, Consumer<Town> more) {
-        Town t = new Town(seed);
+    private static ScriptedCluster day(long seed, double answerLost, double late, Consumer<ScriptedCluster> more) {
+        ScriptedCluster t = new ScriptedCluster(seed);
         t.answerLost = answerLost;
         t.late = late;
         for (int i = 0; i < JOBS; i++) {
@@ -25,7 +25,13 @@
             t.at(2000 + t.random.nextInt(20_000), () -> t.submit(id, bad && id.endsWith("9") ? "nobody" : "red", 1));
             t.at(
                     2000 + t.random.nextInt(20_000),
-                    () -> t.ask(t.any(), "GET", "/v2/runs/" + Town.NOBODYS, null, Town.NOBODYS, r -> {}));
+                    () -> t.ask(
+                            t.any(),
+                            "GET",
+                            "/v2/runs/" + ScriptedCluster.NOBODYS,
+                            null,
+                            ScriptedCluster.NOBODYS,
+                            r -> {}));
         }
         more.accept(t);
         t.run(45_000);
@@ -34,10 +40,10 @@
     }
 
     /** Plays many days, none of which may break a rule; returns how often what came about in all of them. */
-    private static Map<String, Integer> days(double answerLost, double late, Consumer<Town> more) {
+    private static Map<String, Integer> days(double answerLost, double late, Consumer<ScriptedCluster> more) {
         Map<String, Integer> met = new TreeMap<>();
         for (long seed = 1; seed <= SEEDS; seed++) {
-            Town t = day(seed, answerLost, late, more);
+            ScriptedCluster t = day(seed, answerLost, late, more);
             assertEquals(List.of(), t.broken, "seed " + seed);
             t.met.forEach((what, times) -> met.merge(what, times, Integer::sum));
         }
--- a/src/test/java/garnetscale/app/Town.java
+++ b/src/test/java/garnetscale/app/ScriptedCluster.java
@@ -7,8 +7,8 @@
 import garnetscale.core.job.Priority;
 import garnetscale.core.machine.MachineType;
 import garnetscale.core.store.Keys;
-import garnetscale.core.store.Mirror;
 import garnetscale.core.store.Records;
+import garnetscale.core.store.StateReplica;
 import garnetscale.core.store.Txn;
 import garnetscale.core.store.TxnResult;
 import garnetscale.net.HttpResult;
@@ -32,10 +32,10 @@
 
 /**
  * Users at all nodes at once, in one simulated time and from one seed: the real fronts, their real links to the state service
- * with the mirrors that these keep, and a scripted service that loses answers, carries transactions out late and refuses. A
+ * with the replicas that these keep, and a scripted service that loses answers, carries transactions out late and refuses. A
  * leader beside them ends jobs. Answers are held against what was told before their question.
  */
-final class Town extends Timeline {
+final class ScriptedCluster extends Timeline {
 
     private static final int NODES = 3;
     /** Asked about, and never submitted. */
@@ -58,7 +58,7 @@
     private final Set<String> refused = new HashSet<>();
     final List<String> broken = new ArrayList<>();
     private final StateService service = new StateService(state, () -> this.now, 300);
-    /** The store's revision at each time at which it changed, for what a mirror must hold. */
+    /** The store's revision at each time at which it changed, for what a replica must hold. */
     private final TreeMap<Long, Long> ledgers = new TreeMap<>();
     /** Shares of transactions of which only the answer is lost, and of those that are carried out late without one. */
     double answerLost;
@@ -67,7 +67,7 @@
     long failingUntil;
     boolean ending = true;
 
-    Town(long seed) {
+    ScriptedCluster(long seed) {
         super(seed);
         state.commit(new Txn().put(Keys.TYPES, Records.types(List.of(TYPE))));
         refused.add(NOBODYS);
@@ -199,7 +199,7 @@
         Told before = told.getOrDefault(id, Told.NOTHING);
         String end = ends.get(id);
         String question = method + " " + path + " at " + desk.name + ", " + now;
-        if (before != Told.NOTHING && desk.mirror.ledger() < state.ledger()) {
+        if (before != Told.NOTHING && desk.replica.ledger() < state.ledger()) {
             met("asked where the mirror was behind");
         }
         boolean[] answered = new boolean[1];
@@ -354,13 +354,13 @@
         return e == null ? 0 : e.getValue();
     }
 
-    /** One node: the real link to the state service with the mirror that it keeps, and the real front. */
+    /** One node: the real link to the state service with the replica that it keeps, and the real front. */
     final class Desk implements StateLink.Io, StateLink.Listener {
 
         final String name;
-        final Mirror mirror = new Mirror();
+        final StateReplica replica = new StateReplica();
         final StateLink state;
-        final Front front;
+        final JobApi front;
         long refusedUntil;
         long confirmedAt = -1;
 
@@ -387,8 +387,8 @@
                     10_000,
                     600,
                     25);
-            state = new StateLink(params, this, random, mirror, this);
-            front = new Front(params, mirror, state, job -> null, job -> {});
+            state = new StateLink(params, this, random, replica, this);
+            front = new JobApi(params, replica, state, job -> null, job -> {});
             state.start();
         }
 
@@ -446,7 +446,7 @@
                     answer.accept(reply);
                 }
             });
-            ledgers.put(now, Town.this.state.ledger());
+            ledgers.put(now, ScriptedCluster.this.state.ledger());
         }
 
         @Override
@@ -454,13 +454,13 @@
             // The front asks when it needs to.
         }
 
-        /** What the holder's grace runs from: by now the mirror must hold all that the store had when this was sent. */
+        /** What the holder's grace runs from: by now the replica must hold all that the store had when this was sent. */
         @Override
         public void confirmed(long sentAt) {
             confirmedAt = Math.max(confirmedAt, sentAt);
-            if (sentAt > now || mirror.ledger() < ledgerAt(sentAt)) {
+            if (sentAt > now || replica.ledger() < ledgerAt(sentAt)) {
                 broken.add(name + " at " + now + " takes itself for complete as of " + sentAt + ", revision "
-                        + ledgerAt(sentAt) + ", and has " + mirror.ledger());
+                        + ledgerAt(sentAt) + ", and has " + replica.ledger());
             }
             if (refuses(this) && sentAt >= refusalBegan) {
                 broken.add(name + " is confirmed by a request that was sent while it was refused");
--- a/src/test/java/garnetscale/app/StateLinkTest.java
+++ b/src/test/java/garnetscale/app/StateLinkTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * What a holder's grace runs from. A mirror may only be called complete as of the sending of a request whose answer made it so:
+ * What a holder's grace runs from. A replica may only be called complete as of the sending of a request whose answer made it so:
  * had a lease's renewal, a watch that hung open through a refusal, or a page of a listing said so, a cancellation that another
  * node confirmed meanwhile would be missed for longer than it has.
  */
@@ -22,8 +22,8 @@
     private static final int SEEDS = 15;
 
     /** So many jobs that a listing takes several pages, and changes while it is read, with quiet seconds in which watches hang. */
-    private static Town day(long seed) {
-        Town t = new Town(seed);
+    private static ScriptedCluster day(long seed) {
+        ScriptedCluster t = new ScriptedCluster(seed);
         List<String> jobs = new ArrayList<>();
         for (int i = 0; i < 1300; i++) {
             String key = Keys.job("wk-" + (1000 + i));
@@ -41,7 +41,7 @@
     }
 
     /** A job that is there is removed, and one that isn't comes. */
-    private static void change(Town t, String key) {
+    private static void change(ScriptedCluster t, String key) {
         StateModel.Entry e = t.state.get(key);
         Txn txn = new Txn().guard(key, e == null ? 0 : e.stamp());
         assertEquals(
@@ -50,7 +50,8 @@
                         e == null
                                 ? txn.put(
                                         key,
-                                        Town.record(key.substring(Keys.job("").length())))
+                                        ScriptedCluster.record(
+                                                key.substring(Keys.job("").length())))
                                 : txn.delete(key)));
     }
 
@@ -58,8 +59,8 @@
     void aViewIsCompleteAsOfTheSendingOfWhatConfirmsIt() {
         Map<String, Integer> met = new TreeMap<>();
         for (long seed = 1; seed <= SEEDS; seed++) {
-            Town t = day(seed);
-            Town.Desk leader = t.desks.get(0);
+            ScriptedCluster t = day(seed);
+            ScriptedCluster.Desk leader = t.desks.get(0);
             t.at(9400 + t.random.nextInt(400), () -> leader.refuse(5000));
             t.at(18_400 + t.random.nextInt(400), () -> leader.refuse(4000));
             t.at(20_000, () -> t.failingUntil = t.now + 6000);
--- a/src/test/java/garnetscale/core/bid/BiddingTest.java
+++ b/src/test/java/garnetscale/core/bid/BiddingTest.java
@@ -9,12 +9,12 @@
 import garnetscale.core.job.JobState;
 import garnetscale.core.job.Priority;
 import garnetscale.core.line.Scarcity;
+import garnetscale.core.machine.FreeCapacity;
 import garnetscale.core.machine.MachineType;
-import garnetscale.core.machine.Room;
 import garnetscale.core.store.Change;
 import garnetscale.core.store.Keys;
-import garnetscale.core.store.Mirror;
 import garnetscale.core.store.Records;
+import garnetscale.core.store.StateReplica;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Set;
@@ -26,7 +26,7 @@
     private static final MachineType SMALL = new MachineType("small", 8, 0, 32, 50, 1, 1, 0.5, 40, List.of("a"));
     private static final MachineType LARGE = new MachineType("large", 32, 0, 128, 50, 1, 3, 1, 40, List.of("a"));
 
-    private final Mirror mirror = new Mirror();
+    private final StateReplica replica = new StateReplica();
     private final List<Change> jobs = new ArrayList<>();
     private final List<Bidding.Bidder> bidders = new ArrayList<>();
 
@@ -56,12 +56,12 @@
 
     private void machines(int count, MachineType type) {
         for (int i = 0; i < count; i++) {
-            bidders.add(new Bidding.Bidder("m-" + type.name() + i, 1, type, "a", false, new Room(type)));
+            bidders.add(new Bidding.Bidder("m-" + type.name() + i, 1, type, "a", false, new FreeCapacity(type)));
         }
     }
 
     private List<Bid> bids() {
-        mirror.reset(jobs, 1);
+        replica.reset(jobs, 1);
         Scarcity scarcity = new Scarcity(new Params(
                 "n0",
                 List.of(),
@@ -79,11 +79,11 @@
                 10_000,
                 600,
                 25));
-        return new Bidding(mirror, new Estimator(1000), scarcity, 0, Set.of())
-                .bids(List.copyOf(mirror.jobs()), bidders);
+        return new Bidding(replica, new Estimator(1000), scarcity, 0, Set.of())
+                .bids(List.copyOf(replica.jobs()), bidders);
     }
 
-    /** Many jobs of which the small machines are full once ended the sheet before the large ones had bid at all. */
+    /** Many jobs of which the small machines are full once ended the batch before the large ones had bid at all. */
     @Test
     void whatFitsLargeMachinesAloneIsBidForBehindManySmallJobs() {
         machines(10, SMALL);
--- a/src/test/java/garnetscale/core/block/OfferTest.java
+++ b/src/test/java/garnetscale/core/block/BlockHolderBidTest.java
@@ -15,15 +15,15 @@
 import garnetscale.core.machine.ReportedTask;
 import garnetscale.core.machine.TaskState;
 import garnetscale.core.store.Keys;
-import garnetscale.core.store.Mirror;
 import garnetscale.core.store.Records;
+import garnetscale.core.store.StateReplica;
 import garnetscale.core.store.Txn;
 import garnetscale.standin.StateModel;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
 /** Bids are made anew when there is news; time alone has to count as news, too. */
-class OfferTest {
+class BlockHolderBidTest {
 
     private static final long TERM = Terms.blockTerm(1, 1);
     private static final long REPORT = 1000;
@@ -45,12 +45,12 @@
             10_000,
             600,
             25);
-    private final Holder holder;
-    private int sheets;
+    private final BlockHolder holder;
+    private int batches;
     private int bids;
     private long ticks;
 
-    OfferTest() {
+    BlockHolderBidTest() {
         StateModel state = new StateModel();
         JobSpec job = new JobSpec(
                 "wk-1",
@@ -78,9 +78,9 @@
                         Records.types(List.of(new MachineType("t", 8, 0, 32, 20, 1, 1, 0.5, 20, List.of("a")))))
                 .put(Keys.block("a/0"), Records.block(new BlockLease("n0", 1, TERM)))
                 .put(Keys.job("wk-1"), Records.job(new JobRecord(job, JobState.LIVE, 0))));
-        Mirror mirror = new Mirror();
-        mirror.reset(state.list(Keys.MIRRORED, null, 100), state.ledger());
-        holder = new Holder(params, mirror, new Blocks(params), new Estimator(REPORT));
+        StateReplica replica = new StateReplica();
+        replica.reset(state.list(Keys.MIRRORED, null, 100), state.ledger());
+        holder = new BlockHolder(params, replica, new Blocks(params), new Estimator(REPORT));
         holder.incarnate(1);
     }
 
@@ -89,10 +89,10 @@
         holder.onReport(
                 now, new Report("m-000000", "h:1", "t", "a", false, 1, ++ticks, Terms.firstToken(TERM), null, tasks));
         holder.tick(now);
-        for (Holder.Effect e : holder.drain()) {
-            if (e instanceof Holder.Effect.Offer o) {
-                sheets++;
-                bids = o.sheet().bids().size();
+        for (BlockHolder.Effect e : holder.drain()) {
+            if (e instanceof BlockHolder.Effect.Offer o) {
+                batches++;
+                bids = o.batch().bids().size();
             }
         }
     }
@@ -115,16 +115,16 @@
         assertEquals(1, bids, "its pause is over");
     }
 
-    /** Reports that say nothing new bring no sheet: with a thousand machines bids would be made all the time. */
+    /** Reports that say nothing new bring no batch: with a thousand machines bids would be made all the time. */
     @Test
     void reportsWithoutNewsBringNoSheet() {
         report(0, List.of());
         report(200, List.of());
         assertEquals(1, bids);
-        int before = sheets;
+        int before = batches;
         for (long now = 1000; now < 20_000; now += REPORT) {
             report(now, List.of());
         }
-        assertEquals(before, sheets);
+        assertEquals(before, batches);
     }
 }
--- a/src/test/java/garnetscale/core/block/HearingTest.java
+++ b/src/test/java/garnetscale/core/block/ReachabilityTest.java
@@ -11,12 +11,12 @@
 import org.junit.jupiter.api.Test;
 
 /** A controller that no worker reaches, while the state service and its peers do. */
-class HearingTest {
+class ReachabilityTest {
 
     private static final int MACHINES = 100;
     private static final List<String> ALL = List.of("m-0", "m-1", "m-2", "m-3", "m-4");
 
-    private final Hearing hearing = new Hearing(new Params(
+    private final Reachability reachability = new Reachability(new Params(
             "n0",
             List.of(),
             List.of("a"),
@@ -37,7 +37,7 @@
     /** Looks every quarter of a second until the given time; returns when it found itself deaf, or -1. */
     private long look(long from, long until, int due) {
         for (long now = from; now <= until; now += 250) {
-            if (hearing.lookAt(now, due, Set.of("a/0"))) {
+            if (reachability.lookAt(now, due, Set.of("a/0"))) {
                 return now;
             }
         }
@@ -47,35 +47,35 @@
     /** It used to take until the last machine had been silent for 9.5 s, nearly half of a lease. */
     @Test
     void aHundredOverdueReportsAreNoticedWithinTwoSeconds() {
-        hearing.heard(0);
+        reachability.heard(0);
         long at = look(0, 10_000, MACHINES);
         assertTrue(at > 1000 && at <= 2000, "noticed at " + at);
     }
 
     @Test
     void fewMachinesMayBeQuietByChance() {
-        hearing.heard(0);
+        reachability.heard(0);
         assertEquals(-1, look(0, 8000, 2));
     }
 
     /** After a standstill of its own nothing is known: what the workers sent waits to be read. */
     @Test
     void aStandstillIsNoDeafness() {
-        hearing.heard(0);
+        reachability.heard(0);
         look(0, 500, MACHINES);
-        assertFalse(hearing.lookAt(30_000, MACHINES, Set.of("a/0")));
-        assertFalse(hearing.deaf());
+        assertFalse(reachability.lookAt(30_000, MACHINES, Set.of("a/0")));
+        assertFalse(reachability.deaf());
     }
 
     @Test
     void itAsksTheMachinesThatItLostUntilOneAnswers() {
-        hearing.heard(0);
+        reachability.heard(0);
         long at = look(0, 10_000, MACHINES);
-        assertEquals(3, hearing.toAsk(at, ALL, m -> "a/0").size());
-        assertEquals(0, hearing.toAsk(at, ALL, m -> "a/0").size());
-        assertEquals(0, hearing.toAsk(at + 5000, ALL, m -> "b/0").size());
-        hearing.heard(at + 6000);
-        assertFalse(hearing.deaf());
-        assertEquals(0, hearing.toAsk(at + 20_000, ALL, m -> "a/0").size());
+        assertEquals(3, reachability.toAsk(at, ALL, m -> "a/0").size());
+        assertEquals(0, reachability.toAsk(at, ALL, m -> "a/0").size());
+        assertEquals(0, reachability.toAsk(at + 5000, ALL, m -> "b/0").size());
+        reachability.heard(at + 6000);
+        assertFalse(reachability.deaf());
+        assertEquals(0, reachability.toAsk(at + 20_000, ALL, m -> "a/0").size());
     }
 }
--- a/src/test/java/garnetscale/core/fleet/FleetTest.java
+++ b/src/test/java/garnetscale/core/fleet/FleetTest.java
@@ -17,8 +17,8 @@
 import garnetscale.core.store.Keys;
 import garnetscale.core.store.LogWriter;
 import garnetscale.core.store.MachineRecord;
-import garnetscale.core.store.Mirror;
 import garnetscale.core.store.Records;
+import garnetscale.core.store.StateReplica;
 import garnetscale.core.store.Txn;
 import garnetscale.standin.StateModel;
 import java.util.ArrayList;
@@ -36,7 +36,7 @@
     private static final List<MachineType> TYPES =
             List.of(new MachineType("t", 32, 0, 128, 30, 1, 1, 0.5, 40, List.of("a")));
 
-    private final Mirror mirror = new Mirror();
+    private final StateReplica replica = new StateReplica();
     private final StateModel state = new StateModel();
     private final Fleet fleet = new Fleet(
             new Params(
@@ -57,7 +57,7 @@
                     LAG,
                     2500,
                     25),
-            mirror,
+            replica,
             s -> {});
 
     private FleetTest() {
@@ -70,11 +70,11 @@
                             List.of(new Placement(new TaskId("wk-1", i), i + 1, 1, Placement.Stop.KEEP)),
                             Map.of()));
         }
-        mirror.reset(List.of(), 0);
+        replica.reset(List.of(), 0);
         Txn txn = new Txn();
-        new LogWriter(mirror, 16384).write(txn, records, Map.of());
+        new LogWriter(replica, 16384).write(txn, records, Map.of());
         state.commit(txn);
-        mirror.advance(state.changes("", 0), state.ledger());
+        replica.advance(state.changes("", 0), state.ledger());
         fleet.start(0, 1);
         fleet.onTypes(TYPES);
     }
@@ -105,7 +105,7 @@
         state.commit(new Txn()
                 .put(Keys.TYPES, Records.types(TYPES))
                 .put(Keys.job("wk-2"), Records.job(new JobRecord(job, JobState.LIVE, 0))));
-        mirror.advance(state.changes("", before), state.ledger());
+        replica.advance(state.changes("", before), state.ledger());
     }
 
     private static String id(int i) {
--- a/src/test/java/garnetscale/core/lead/ElectionTest.java
+++ b/src/test/java/garnetscale/core/lead/ElectionTest.java
@@ -8,8 +8,8 @@
 import garnetscale.core.block.LeaderInfo;
 import garnetscale.core.block.NodeInfo;
 import garnetscale.core.store.Keys;
-import garnetscale.core.store.Mirror;
 import garnetscale.core.store.Records;
+import garnetscale.core.store.StateReplica;
 import garnetscale.core.store.Txn;
 import garnetscale.standin.StateModel;
 import java.util.List;
@@ -47,9 +47,9 @@
             txn.put(Keys.node("n" + i), Records.node(new NodeInfo("n" + i, i + 1, "a")));
         }
         state.commit(txn);
-        Mirror mirror = new Mirror();
-        mirror.reset(state.list(Keys.MIRRORED, null, 1000), state.ledger());
-        n1 = new Leader(params, mirror, new Blocks(params), s -> {});
+        StateReplica replica = new StateReplica();
+        replica.reset(state.list(Keys.MIRRORED, null, 1000), state.ledger());
+        n1 = new Leader(params, replica, new Blocks(params), s -> {});
         n1.incarnate(2);
         assertNull(n1.election(0), "there is a leader");
     }
--- a/src/test/java/garnetscale/core/line/LineOrderTest.java
+++ b/src/test/java/garnetscale/core/line/JobOrderTest.java
@@ -9,14 +9,14 @@
 import garnetscale.core.job.Priority;
 import garnetscale.core.store.Change;
 import garnetscale.core.store.Keys;
-import garnetscale.core.store.Mirror;
 import garnetscale.core.store.Records;
+import garnetscale.core.store.StateReplica;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
 /** Shorter first, urgent first, missed deadlines last; and none of it for ever. */
-class LineOrderTest {
+class JobOrderTest {
 
     private static final long CANCEL_MS = 40_000;
 
@@ -29,9 +29,9 @@
     }
 
     private List<String> line(long nowMs) {
-        Mirror m = new Mirror();
+        StateReplica m = new StateReplica();
         m.reset(jobs, 1);
-        LineOrder order = new LineOrder(new Params(
+        JobOrder order = new JobOrder(new Params(
                 "n0",
                 List.of(),
                 List.of("a"),
@@ -48,7 +48,7 @@
                 10_000,
                 600,
                 25));
-        return Line.sort(m.jobs(), order, nowMs).stream()
+        return JobQueue.sort(m.jobs(), order, nowMs).stream()
                 .map(j -> j.spec().id())
                 .toList();
     }
--- a/src/test/java/garnetscale/core/sim/MeetingsTest.java
+++ b/src/test/java/garnetscale/core/sim/MeetingsTest.java
@@ -24,14 +24,14 @@
     private static final int LONG_S = 70;
 
     /** Plays a meeting with several seeds; returns how often what came about in all of them. */
-    private static Map<String, Integer> play(Consumer<World> script) {
+    private static Map<String, Integer> play(Consumer<SimulatedCluster> script) {
         return play(SEEDS, script);
     }
 
-    private static Map<String, Integer> play(int seeds, Consumer<World> script) {
+    private static Map<String, Integer> play(int seeds, Consumer<SimulatedCluster> script) {
         Map<String, Integer> met = new TreeMap<>();
         for (long seed = 1; seed <= seeds; seed++) {
-            World w = new World(seed, World.Fault.NONE, World.Shape.SMALL);
+            SimulatedCluster w = new SimulatedCluster(seed, SimulatedCluster.Fault.NONE, SimulatedCluster.Shape.SMALL);
             w.watches = true;
             w.wordLoss = 0.5;
             script.accept(w);
@@ -46,7 +46,7 @@
     }
 
     /** All troubles are over: every job that was accepted ends, and stays ended. */
-    private static void settle(World w) {
+    private static void settle(SimulatedCluster w) {
         for (long t = w.now; t < 700_000; t += 5000) {
             w.run(t);
             if (w.rules.jobs.keySet().stream().allMatch(w::poll)) {
@@ -65,7 +65,7 @@
     }
 
     /** Long work on all machines from the first seconds on. */
-    private static void longWork(World w, int jobs) {
+    private static void longWork(SimulatedCluster w, int jobs) {
         for (int i = 0; i < jobs; i++) {
             String id = "wk-1" + i;
             w.at(1000 + 100L * i, () -> w.submit(id, id.hashCode() % 2 == 0 ? "red" : "blue", 2, 2, LONG_S));
@@ -73,7 +73,7 @@
     }
 
     /** Short jobs all the time, so that things move. */
-    private static void shortWork(World w, int jobs, int overMs) {
+    private static void shortWork(SimulatedCluster w, int jobs, int overMs) {
         for (int i = 0; i < jobs; i++) {
             String id = "wk-2" + i;
             int tasks = 1 + w.random.nextInt(5);
@@ -85,7 +85,8 @@
     }
 
     /** Users call off all jobs that run on machines that match, at a node that isn't the given one. */
-    private static void cancelRunning(World w, String notAt, java.util.function.Predicate<String> machine, String met) {
+    private static void cancelRunning(
+            SimulatedCluster w, String notAt, java.util.function.Predicate<String> machine, String met) {
         Set<String> jobs = new HashSet<>();
         w.rules.running().forEach((task, on) -> {
             if (machine.test(on)) {
@@ -115,7 +116,7 @@
                 w.at(800 + w.random.nextInt(1000), () -> {
                     cancelRunning(
                             w, leader, m -> w.holderOf(m).equals(leader), "cancelled while the holder is refused");
-                    w.outage(World.CANCEL + 12_000);
+                    w.outage(SimulatedCluster.CANCEL + 12_000);
                 });
                 w.at(8000, () -> w.rules.running().keySet().forEach(t -> {
                     if (w.rules.isCancelled(t.job())) {
@@ -148,7 +149,7 @@
                 });
                 w.at(14_500, () -> {
                     cancelRunning(w, leader, m -> true, "cancelled between two outages");
-                    w.outage(World.CANCEL + 5000);
+                    w.outage(SimulatedCluster.CANCEL + 5000);
                 });
             });
         });
@@ -166,7 +167,7 @@
                 String leader = w.leader();
                 w.refuse(leader, 14_000);
                 cancelRunning(w, leader, m -> w.holderOf(m).equals(leader), "cancelled at the refusal");
-                w.at(1000, () -> w.outage(World.CANCEL + 12_000));
+                w.at(1000, () -> w.outage(SimulatedCluster.CANCEL + 12_000));
                 w.at(7000, () -> w.rules.running().keySet().forEach(t -> {
                     if (w.rules.isCancelled(t.job())) {
                         w.met("still running 7 s after its cancellation");
@@ -274,8 +275,8 @@
         Map<String, Integer> met = play(w -> {
             longWork(w, 12);
             w.at(20_000, () -> {
-                w.nodes.forEach(n -> w.crash(n.name, (int) World.LEASE + 4000 + w.random.nextInt(4000)));
-                w.at(World.LEASE + 3500, () -> {
+                w.nodes.forEach(n -> w.crash(n.name, (int) SimulatedCluster.LEASE + 4000 + w.random.nextInt(4000)));
+                w.at(SimulatedCluster.LEASE + 3500, () -> {
                     if (w.rules.running().isEmpty()) {
                         w.met("every session ended");
                     }
@@ -396,7 +397,7 @@
                 if (!w.rules.running().isEmpty()) {
                     w.met("a zone is cut off with work in it");
                 }
-                w.cutZone("b", World.LEASE + 8000);
+                w.cutZone("b", SimulatedCluster.LEASE + 8000);
             });
         });
         least(met, SEEDS, "a zone is cut off with work in it");
@@ -409,7 +410,7 @@
             longWork(w, 14);
             w.at(20_000, () -> {
                 String zone = w.random.nextBoolean() ? "a" : "b";
-                w.cutZone(zone, World.LEASE + 15_000);
+                w.cutZone(zone, SimulatedCluster.LEASE + 15_000);
                 w.at(
                         500 + w.random.nextInt(4000),
                         () -> cancelRunning(
@@ -456,7 +457,7 @@
         least(met, 100 * SEEDS, "old report at a new leader");
     }
 
-    private static void oldReports(World w, long delay) {
+    private static void oldReports(SimulatedCluster w, long delay) {
         longWork(w, 6);
         shortWork(w, 25, 90_000);
         w.keptDelay = delay;
@@ -473,7 +474,7 @@
     }
 
     /** Both teams want more than their limits all day, so that whatever is freed too early is taken by others at once. */
-    private static void fullTeams(World w) {
+    private static void fullTeams(SimulatedCluster w) {
         for (int i = 0; i < 70; i++) {
             String id = "wk-3" + i;
             int seconds = 5 + w.random.nextInt(25);
@@ -517,8 +518,8 @@
                 w.at(t, () -> {
                     String m = w.workers.get(w.random.nextInt(w.workers.size())).id;
                     long shift = w.worker(m).model.shift();
-                    w.deafen(m, World.LEASE + 3000);
-                    w.at(World.LEASE + 4000, () -> {
+                    w.deafen(m, SimulatedCluster.LEASE + 3000);
+                    w.at(SimulatedCluster.LEASE + 4000, () -> {
                         if (w.worker(m).model.shift() > shift) {
                             w.met("copies of an earlier session");
                         }
--- a/src/test/java/garnetscale/core/sim/World.java
+++ b/src/test/java/garnetscale/core/sim/SimulatedCluster.java
@@ -2,8 +2,8 @@
 
 import garnetscale.core.Params;
 import garnetscale.core.bid.Estimator;
+import garnetscale.core.block.BlockHolder;
 import garnetscale.core.block.Blocks;
-import garnetscale.core.block.Holder;
 import garnetscale.core.block.LeaderInfo;
 import garnetscale.core.block.NodeInfo;
 import garnetscale.core.block.Observation;
@@ -16,13 +16,13 @@
 import garnetscale.core.lead.Pipeline;
 import garnetscale.core.machine.Address;
 import garnetscale.core.machine.MachineType;
-import garnetscale.core.machine.Order;
 import garnetscale.core.machine.Placement;
 import garnetscale.core.machine.Report;
+import garnetscale.core.machine.WorkerCommand;
 import garnetscale.core.store.Change;
 import garnetscale.core.store.Keys;
-import garnetscale.core.store.Mirror;
 import garnetscale.core.store.Records;
+import garnetscale.core.store.StateReplica;
 import garnetscale.core.store.Txn;
 import garnetscale.core.store.TxnResult;
 import garnetscale.standin.StateModel;
@@ -42,7 +42,7 @@
  * Controllers' cores, workers and a state service in one simulated time. Messages are delayed, lost, repeated and
  * held for minutes; nodes crash and come back; anything can be cut off. Everything follows from the seed.
  */
-final class World extends Timeline {
+final class SimulatedCluster extends Timeline {
 
     static final MachineType TYPE = new MachineType("t", 8, 0, 32, 20, 1, 1, 0.5, 20, List.of("a", "b", "c"));
     static final long REPORT = 1000;
@@ -114,7 +114,7 @@
     private final Map<String, Long> frozenUntil = new HashMap<>();
     private final Map<String, Worker> byId = new HashMap<>();
     private final Map<String, String> zones = new HashMap<>();
-    private final Mirror observer = new Mirror();
+    private final StateReplica observer = new StateReplica();
     private final Map<String, Long> refusedUntil = new HashMap<>();
     private final List<Report> kept = new ArrayList<>();
     private final Map<String, Long> blockTerms = new HashMap<>();
@@ -147,7 +147,7 @@
     /** Until then these machines reach no controller, while direct requests reach them. */
     private final Map<String, Long> muteUntil = new HashMap<>();
 
-    World(long seed, Fault fault, Shape shape) {
+    SimulatedCluster(long seed, Fault fault, Shape shape) {
         super(seed);
         this.fault = fault;
         this.shape = shape;
@@ -176,7 +176,7 @@
     }
 
     /** What is stored at this moment. */
-    Mirror stored() {
+    StateReplica stored() {
         observer.advance(state.changes(Keys.MIRRORED, observer.ledger()), state.ledger());
         return observer;
     }
@@ -196,7 +196,7 @@
             }
         }
         rules.check();
-        Mirror m = stored();
+        StateReplica m = stored();
         if (m.leader() != null && m.leader().term() != ledTerm) {
             ledTerm = m.leader().term();
             met("leader changed");
@@ -510,11 +510,11 @@
             });
         }
 
-        private void answered(Report r, long sentAt, Holder.Reply reply) {
-            if (reply instanceof Holder.Reply.Answer a) {
+        private void answered(Report r, long sentAt, BlockHolder.Reply reply) {
+            if (reply instanceof BlockHolder.Reply.Answer a) {
                 model.answered(now, sentAt, r.shift(), a.token(), a.orders());
                 at(REPORT * 3 / 4 + random.nextInt((int) REPORT / 2), this::report);
-            } else if (reply instanceof Holder.Reply.Redirect to && to.node() != null) {
+            } else if (reply instanceof BlockHolder.Reply.Redirect to && to.node() != null) {
                 target = Integer.parseInt(to.node().substring(1));
                 at(random.nextInt(500), this::report);
             } else {
@@ -533,8 +533,8 @@
     final class Node {
 
         final String name;
-        private Mirror mirror;
-        private Holder holder;
+        private StateReplica replica;
+        private BlockHolder holder;
         private Leader leader;
         private Pipeline pipeline;
         private long lease;
@@ -553,12 +553,12 @@
         private void start() {
             life++;
             up = true;
-            mirror = new Mirror();
+            replica = new StateReplica();
             Params p = shape.params(name);
             Blocks blocks = new Blocks(p);
-            holder = new Holder(p, mirror, blocks, new Estimator(REPORT));
-            leader = new Leader(p, mirror, blocks, s -> {});
-            pipeline = new Pipeline(mirror, leader);
+            holder = new BlockHolder(p, replica, blocks, new Estimator(REPORT));
+            leader = new Leader(p, replica, blocks, s -> {});
+            pipeline = new Pipeline(replica, leader);
             lease = -1;
             leadTerm = -1;
             listing = false;
@@ -641,12 +641,12 @@
 
         /** A watch: answered when something has changed or its time is over, and hanging open while the store refuses. */
         private void watch() {
-            if (!watches || !mirror.loaded() || listing) {
+            if (!watches || !replica.loaded() || listing) {
                 return;
             }
             int mine = life;
             long sentAt = now;
-            long since = mirror.ledger();
+            long since = replica.ledger();
             send(
                     name,
                     "state",
@@ -655,8 +655,8 @@
                             now + 3000,
                             a -> send("state", name, () -> {
                                 if (life == mine && !listing) {
-                                    mirror.advance(a.changes(), a.ledger());
-                                    if (!mirror.torn()) {
+                                    replica.advance(a.changes(), a.ledger());
+                                    if (!replica.torn()) {
                                         holder.confirmed(sentAt);
                                     }
                                 }
@@ -708,20 +708,20 @@
             if (listing) {
                 return;
             }
-            if (!mirror.loaded() || mirror.torn()) {
+            if (!replica.loaded() || replica.torn()) {
                 listing = true;
                 page(now, null, new ArrayList<>(), -1);
                 return;
             }
             long sentAt = now;
-            long since = mirror.ledger();
+            long since = replica.ledger();
             ask(
                     () -> new Answer(state.changes(Keys.MIRRORED, since), state.ledger()),
                     new Answer(null, 0),
                     a -> {
                         if (a.changes() != null && !listing) {
-                            mirror.advance(a.changes(), a.ledger());
-                            if (!mirror.torn()) {
+                            replica.advance(a.changes(), a.ledger());
+                            if (!replica.torn()) {
                                 holder.confirmed(sentAt);
                             }
                         }
@@ -746,8 +746,8 @@
                             return;
                         }
                         listing = false;
-                        mirror.reset(sofar, ledger);
-                        if (mirror.loaded()) {
+                        replica.reset(sofar, ledger);
+                        if (replica.loaded()) {
                             holder.confirmed(sentAt);
                         }
                     },
@@ -755,11 +755,11 @@
         }
 
         private void register() {
-            NodeInfo me = mirror.node(name);
+            NodeInfo me = replica.node(name);
             if (lease >= 0 && (me == null || me.incarnation() != lease)) {
                 commit(
                         new Txn()
-                                .guard(Keys.node(name), mirror.stamp(Keys.node(name)))
+                                .guard(Keys.node(name), replica.stamp(Keys.node(name)))
                                 .put(
                                         Keys.node(name),
                                         Records.node(new NodeInfo(
@@ -802,7 +802,7 @@
         }
 
         private void work() {
-            if (!mirror.loaded()) {
+            if (!replica.loaded()) {
                 return;
             }
             register();
@@ -822,7 +822,7 @@
             if (leader.leadingTerm() != leadTerm) {
                 leadTerm = leader.leadingTerm();
                 pipeline.restart();
-                peers(n -> n.holder.retell(now));
+                peers(n -> n.holder.resynchronize(now));
             }
             if (fault == Fault.FREE_UNSEEN && random.nextInt(50) == 0) {
                 lie(List.copyOf(leader.machines()));
@@ -840,7 +840,7 @@
         private void lie(List<Observation> seen) {
             for (int i = 0; i < seen.size(); i += 20) {
                 Observation o = seen.get(random.nextInt(seen.size()));
-                List<Long> all = mirror.placements(o.machine()).stream()
+                List<Long> all = replica.placements(o.machine()).stream()
                         .map(Placement::attempt)
                         .toList();
                 leader.onObservation(
@@ -863,22 +863,22 @@
             }
         }
 
-        void onReport(Report r, Consumer<Holder.Reply> answer) {
-            if (up && mirror.loaded()) {
-                Holder.Reply reply = holder.onReport(now, r);
+        void onReport(Report r, Consumer<BlockHolder.Reply> answer) {
+            if (up && replica.loaded()) {
+                BlockHolder.Reply reply = holder.onReport(now, r);
                 answer.accept(reply);
-                if (reply instanceof Holder.Reply.Answer a) {
+                if (reply instanceof BlockHolder.Reply.Answer a) {
                     startsSent(r.machine(), a.orders());
                 }
                 holder.drain().forEach(this::carryOut);
             }
         }
 
-        private void carryOut(Holder.Effect e) {
-            LeaderInfo l = mirror.leader();
-            if (e instanceof Holder.Effect.Command c) {
+        private void carryOut(BlockHolder.Effect e) {
+            LeaderInfo l = replica.leader();
+            if (e instanceof BlockHolder.Effect.Command c) {
                 command(c);
-            } else if (e instanceof Holder.Effect.Probe p) {
+            } else if (e instanceof BlockHolder.Effect.Probe p) {
                 WorkerModel w = worker(p.machine()).model;
                 int mine = life;
                 boolean[] over = new boolean[1];
@@ -901,9 +901,9 @@
                 });
             } else if (l != null) {
                 Node to = nodes.get(Integer.parseInt(l.node().substring(1)));
-                Consumer<Node> message = e instanceof Holder.Effect.Tell t
+                Consumer<Node> message = e instanceof BlockHolder.Effect.Tell t
                         ? n -> n.leader.onObservation(now, t.observation())
-                        : n -> n.leader.onBids(now, ((Holder.Effect.Offer) e).sheet());
+                        : n -> n.leader.onBids(now, ((BlockHolder.Effect.Offer) e).batch());
                 if (to == this) {
                     message.accept(this);
                 } else {
@@ -916,11 +916,13 @@
             }
         }
 
-        private void startsSent(String machine, List<Order> orders) {
-            orders.stream().filter(Order.Start.class::isInstance).forEach(o -> onStartSent.accept(machine, o.task()));
+        private void startsSent(String machine, List<WorkerCommand> orders) {
+            orders.stream()
+                    .filter(WorkerCommand.Start.class::isInstance)
+                    .forEach(o -> onStartSent.accept(machine, o.task()));
         }
 
-        private void command(Holder.Effect.Command c) {
+        private void command(BlockHolder.Effect.Command c) {
             startsSent(c.machine(), c.orders());
             WorkerModel w = worker(c.machine()).model;
             int mine = life;
--- a/src/test/java/garnetscale/core/sim/SimulationTest.java
+++ b/src/test/java/garnetscale/core/sim/SimulationTest.java
@@ -15,16 +15,23 @@
     private static final long TROUBLE = 150_000;
 
     /** Plays a day; the jobs must all be over some time after the last failure. */
-    private static World day(long seed, World.Fault fault) {
-        return day(seed, fault, World.Shape.SMALL, 14, 12);
+    private static SimulatedCluster day(long seed, SimulatedCluster.Fault fault) {
+        return day(seed, fault, SimulatedCluster.Shape.SMALL, 14, 12);
     }
 
-    private static World day(long seed, World.Fault fault, World.Shape shape, int count, int most) {
+    private static SimulatedCluster day(
+            long seed, SimulatedCluster.Fault fault, SimulatedCluster.Shape shape, int count, int most) {
         return day(seed, fault, shape, count, most, false);
     }
 
-    private static World day(long seed, World.Fault fault, World.Shape shape, int count, int most, boolean guests) {
-        World w = new World(seed, fault, shape);
+    private static SimulatedCluster day(
+            long seed,
+            SimulatedCluster.Fault fault,
+            SimulatedCluster.Shape shape,
+            int count,
+            int most,
+            boolean guests) {
+        SimulatedCluster w = new SimulatedCluster(seed, fault, shape);
         List<String> jobs = new ArrayList<>();
         if (guests) {
             for (int i = 0; i < 150; i++) {
@@ -66,7 +73,7 @@
         return w;
     }
 
-    private static void trouble(World w) {
+    private static void trouble(SimulatedCluster w) {
         String node = w.nodes.get(w.random.nextInt(w.shape.nodes())).name;
         String worker = w.workers.get(w.random.nextInt(w.workers.size())).id;
         long ms = 1000 + w.random.nextInt(40_000);
@@ -123,7 +130,7 @@
     void noRuleIsBrokenWhateverFails() {
         int starts = 0;
         for (long seed = 1; seed <= SEEDS; seed++) {
-            World w = day(seed, World.Fault.NONE);
+            SimulatedCluster w = day(seed, SimulatedCluster.Fault.NONE);
             assertEquals(List.of(), w.rules.broken, "seed " + seed);
             starts += w.rules.starts;
         }
@@ -134,7 +141,7 @@
     @Test
     void noRuleIsBrokenByGuests() {
         for (long seed = 1; seed <= 4; seed++) {
-            World w = day(seed, World.Fault.NONE, World.Shape.SMALL, 14, 12, true);
+            SimulatedCluster w = day(seed, SimulatedCluster.Fault.NONE, SimulatedCluster.Shape.SMALL, 14, 12, true);
             assertEquals(List.of(), w.rules.broken, "seed " + seed);
             assertTrue(w.rules.starts > 1650, "only " + w.rules.starts + " starts");
         }
@@ -146,7 +153,7 @@
         int tasks = 0;
         int starts = 0;
         for (long seed = 1; seed <= 20; seed++) {
-            World w = day(seed, World.Fault.NONE);
+            SimulatedCluster w = day(seed, SimulatedCluster.Fault.NONE);
             for (String id : w.broken) {
                 tasks += w.rules.jobs.get(id).tasks();
                 starts += w.rules.startsOf.getOrDefault(id, 0);
@@ -159,14 +166,15 @@
     /** A machine's first sign of a new session was an answer to a command, and it was called dead at once. */
     @Test
     void aNewSessionHasItsWholeLease() {
-        assertEquals(List.of(), day(30, World.Fault.NONE).rules.broken);
+        assertEquals(List.of(), day(30, SimulatedCluster.Fault.NONE).rules.broken);
     }
 
     /** Hundreds of machines, by the shapes of the fleet deployments: what is bounded and paced comes into play. */
     @Test
     void noRuleIsBrokenInAFleet() {
-        for (World.Shape shape : List.of(World.Shape.THREE_ZONES, World.Shape.FIVE_NODES)) {
-            World w = day(7, World.Fault.NONE, shape, 40, 120);
+        for (SimulatedCluster.Shape shape :
+                List.of(SimulatedCluster.Shape.THREE_ZONES, SimulatedCluster.Shape.FIVE_NODES)) {
+            SimulatedCluster w = day(7, SimulatedCluster.Fault.NONE, shape, 40, 120);
             assertEquals(List.of(), w.rules.broken, shape.toString());
             assertTrue(w.rules.starts > 1000, "only " + w.rules.starts + " starts");
         }
@@ -174,7 +182,7 @@
 
     @Test
     void aFaultInAFleetIsCaught() {
-        assertFalse(day(7, World.Fault.FREE_UNSEEN, World.Shape.FIVE_NODES, 40, 120)
+        assertFalse(day(7, SimulatedCluster.Fault.FREE_UNSEEN, SimulatedCluster.Shape.FIVE_NODES, 40, 120)
                 .rules
                 .broken
                 .isEmpty());
@@ -184,7 +192,7 @@
     void freeingWithoutProofIsCaught() {
         List<String> broken = new ArrayList<>();
         for (long seed = 1; seed <= 5; seed++) {
-            broken.addAll(day(seed, World.Fault.FREE_UNSEEN).rules.broken);
+            broken.addAll(day(seed, SimulatedCluster.Fault.FREE_UNSEEN).rules.broken);
         }
         assertFalse(broken.stream().noneMatch(b -> b.contains("ran_twice")), broken.toString());
     }
--- a/src/test/java/garnetscale/core/store/WorkLogTest.java
+++ b/src/test/java/garnetscale/core/store/WorkLogTest.java
@@ -28,7 +28,7 @@
 
     private final StateModel state = new StateModel();
     private final Random random = new Random(7);
-    private final Mirror leader = new Mirror();
+    private final StateReplica leader = new StateReplica();
     private long attempts;
 
     private static JobSpec job(String id, int tasks) {
@@ -83,12 +83,12 @@
         follow(leader);
     }
 
-    private void follow(Mirror m) {
+    private void follow(StateReplica m) {
         m.advance(state.changes(Keys.MIRRORED, m.ledger()), state.ledger());
     }
 
     /** Lists in pages, with the store going on between them, as long as it takes to get a listing that holds together. */
-    private Mirror list() {
+    private StateReplica list() {
         for (int tries = 0; tries < 20; tries++) {
             List<Change> all = new ArrayList<>();
             long first = state.ledger();
@@ -102,7 +102,7 @@
                     write();
                 }
             } while (page.size() == PAGE);
-            Mirror m = new Mirror();
+            StateReplica m = new StateReplica();
             m.reset(all, first);
             if (m.loaded()) {
                 follow(m);
@@ -113,7 +113,7 @@
         throw new AssertionError("no listing held together");
     }
 
-    private static Map<String, Object> seen(Mirror m) {
+    private static Map<String, Object> seen(StateReplica m) {
         Map<String, Object> all = new TreeMap<>();
         m.placedMachines().forEach(id -> all.put(id, m.placements(id)));
         all.put("placed", m.job("wk-1").placedCount());
@@ -133,7 +133,7 @@
             state.commit(new Txn().put(Keys.job(id), Records.job(new JobRecord(job(id, 10_000), JobState.LIVE, 0))));
         }
         leader.reset(state.list(Keys.MIRRORED, null, 1000), state.ledger());
-        Mirror follower = list();
+        StateReplica follower = list();
         for (int round = 0; round < 40; round++) {
             for (int i = random.nextInt(40); i >= 0; i--) {
                 write();
@@ -141,7 +141,7 @@
             follow(follower);
             assertFalse(follower.torn());
             assertEquals(seen(leader), seen(follower), "follower in round " + round);
-            Mirror lister = list();
+            StateReplica lister = list();
             assertEquals(seen(leader), seen(lister), "lister in round " + round);
             follow(follower);
         }
@@ -156,7 +156,7 @@
                 .put(Keys.job("wk-1"), Records.job(new JobRecord(job("wk-1", 10_000), JobState.LIVE, 0)))
                 .put(Keys.job("wk-2"), Records.job(new JobRecord(job("wk-2", 10_000), JobState.LIVE, 0))));
         leader.reset(state.list(Keys.MIRRORED, null, 1000), state.ledger());
-        Mirror follower = list();
+        StateReplica follower = list();
         long from = follower.ledger();
         write();
         write();
--- a/src/test/java/garnetscale/core/trace/TraceRunner.java
+++ b/src/test/java/garnetscale/core/trace/TraceRunner.java
@@ -3,8 +3,8 @@
 import garnetscale.core.Params;
 import garnetscale.core.bid.Bid;
 import garnetscale.core.bid.Estimator;
+import garnetscale.core.block.BlockHolder;
 import garnetscale.core.block.Blocks;
-import garnetscale.core.block.Holder;
 import garnetscale.core.block.NodeInfo;
 import garnetscale.core.job.JobRecord;
 import garnetscale.core.job.JobSpec;
@@ -14,12 +14,12 @@
 import garnetscale.core.lead.Leader;
 import garnetscale.core.lead.Pipeline;
 import garnetscale.core.machine.MachineType;
-import garnetscale.core.machine.Order;
 import garnetscale.core.machine.Report;
 import garnetscale.core.machine.ReportedTask;
+import garnetscale.core.machine.WorkerCommand;
 import garnetscale.core.store.Keys;
-import garnetscale.core.store.Mirror;
 import garnetscale.core.store.Records;
+import garnetscale.core.store.StateReplica;
 import garnetscale.core.store.Txn;
 import garnetscale.core.store.TxnResult;
 import garnetscale.standin.StateModel;
@@ -43,9 +43,9 @@
 
     private final class Node {
         final String name;
-        final Mirror mirror = new Mirror();
+        final StateReplica replica = new StateReplica();
         final Params params;
-        final Holder holder;
+        final BlockHolder holder;
         final Leader leader;
         final Pipeline pipeline;
         long lease;
@@ -54,9 +54,9 @@
             this.name = name;
             params = params(name);
             Blocks blocks = new Blocks(params);
-            holder = new Holder(params, mirror, blocks, new Estimator(params.reportMs()));
-            leader = new Leader(params, mirror, blocks, s -> say(name + " logs: " + s));
-            pipeline = new Pipeline(mirror, leader);
+            holder = new BlockHolder(params, replica, blocks, new Estimator(params.reportMs()));
+            leader = new Leader(params, replica, blocks, s -> say(name + " logs: " + s));
+            pipeline = new Pipeline(replica, leader);
         }
     }
 
@@ -64,7 +64,7 @@
     private final Map<String, Node> nodes = new TreeMap<>();
     private final Map<String, WorkerModel> workers = new TreeMap<>();
     private final Map<String, JobSpec> jobs = new HashMap<>();
-    private final List<Holder.Effect.Command> commands = new ArrayList<>();
+    private final List<BlockHolder.Effect.Command> commands = new ArrayList<>();
     /** Workers that nothing reaches; what they send themselves gets through. */
     private final Set<String> deaf = new HashSet<>();
     /** The newest report of each worker, of which copies may come late. */
@@ -171,7 +171,7 @@
             case "cancel" -> cancel(w[1]);
             case "told" -> nodes.get(w[1]).holder.onCancelled(w[2]);
             case "retell" -> {
-                nodes.get(w[1]).holder.retell(now);
+                nodes.get(w[1]).holder.resynchronize(now);
                 effects(nodes.get(w[1]), false);
             }
             case "slow" -> workers.get(w[1]).slowDown(Double.parseDouble(w[2]));
@@ -220,17 +220,17 @@
     }
 
     private void sync(Node n) {
-        if (n.mirror.loaded()) {
-            n.mirror.advance(state.changes(Keys.MIRRORED, n.mirror.ledger()), state.ledger());
+        if (n.replica.loaded()) {
+            n.replica.advance(state.changes(Keys.MIRRORED, n.replica.ledger()), state.ledger());
         } else {
-            n.mirror.reset(state.list(Keys.MIRRORED, null, 1000), state.ledger());
+            n.replica.reset(state.list(Keys.MIRRORED, null, 1000), state.ledger());
         }
         n.holder.confirmed(now);
     }
 
     /** What a node that starts now would read. */
-    private Mirror stored() {
-        Mirror m = new Mirror();
+    private StateReplica stored() {
+        StateReplica m = new StateReplica();
         m.reset(state.list(Keys.MIRRORED, null, 1000), state.ledger());
         return m;
     }
@@ -278,28 +278,28 @@
         m.advance(now);
         Report r = m.report();
         copies.put(m.id(), r);
-        Holder.Reply reply = n.holder.onReport(now, r);
-        if (reply instanceof Holder.Reply.Answer a) {
+        BlockHolder.Reply reply = n.holder.onReport(now, r);
+        if (reply instanceof BlockHolder.Reply.Answer a) {
             say(n.name + " answers " + m.id() + " " + token(a.token()) + " " + orders(a.orders())
                     + (lost ? ", lost" : ""));
             if (!lost && !deaf.contains(m.id())) {
                 m.answered(now, now, r.shift(), a.token(), a.orders());
             }
-        } else if (reply instanceof Holder.Reply.Redirect to) {
+        } else if (reply instanceof BlockHolder.Reply.Redirect to) {
             say(n.name + " sends " + m.id() + " to " + to.node());
         } else {
-            say(n.name + " refuses " + m.id() + ": " + ((Holder.Reply.Refuse) reply).why());
+            say(n.name + " refuses " + m.id() + ": " + ((BlockHolder.Reply.Refuse) reply).why());
         }
         effects(n, false);
     }
 
     /** A copy of a report that came before; the answer goes nowhere. */
     private void copy(Report r, Node n) {
-        Holder.Reply reply = n.holder.onReport(now, r);
+        BlockHolder.Reply reply = n.holder.onReport(now, r);
         say(n.name
-                + (reply instanceof Holder.Reply.Answer a
+                + (reply instanceof BlockHolder.Reply.Answer a
                         ? " answers a copy " + token(a.token()) + " " + orders(a.orders())
-                        : reply instanceof Holder.Reply.Redirect ? " sends a copy elsewhere" : " refuses a copy"));
+                        : reply instanceof BlockHolder.Reply.Redirect ? " sends a copy elsewhere" : " refuses a copy"));
         effects(n, false);
     }
 
@@ -307,11 +307,11 @@
         if (tick) {
             n.holder.tick(now);
         }
-        for (Holder.Effect e : n.holder.drain()) {
-            if (e instanceof Holder.Effect.Command c) {
+        for (BlockHolder.Effect e : n.holder.drain()) {
+            if (e instanceof BlockHolder.Effect.Command c) {
                 say(n.name + " commands " + c.machine() + " " + token(c.token()) + " " + orders(c.orders()));
                 commands.add(c);
-            } else if (e instanceof Holder.Effect.Probe p) {
+            } else if (e instanceof BlockHolder.Effect.Probe p) {
                 WorkerModel m = workers.get(p.machine());
                 boolean answered = m != null && !deaf.contains(p.machine());
                 say(n.name + " asks " + p.machine() + (answered ? "" : ", no answer"));
@@ -320,7 +320,7 @@
                     m.advance(now);
                     n.holder.onProbeAnswer(now, m.report());
                 }
-            } else if (e instanceof Holder.Effect.Tell t) {
+            } else if (e instanceof BlockHolder.Effect.Tell t) {
                 say(n.name + " tells: " + t.observation().machine()
                         + (t.observation().silent() ? " silent" : "") + " "
                         + tasks(t.observation().tasks())
@@ -328,13 +328,13 @@
                                 ? ""
                                 : " gone " + t.observation().gone().size()));
                 nodes.values().forEach(o -> o.leader.onObservation(now, t.observation()));
-            } else if (e instanceof Holder.Effect.Offer o) {
+            } else if (e instanceof BlockHolder.Effect.Offer o) {
                 List<String> bids = new ArrayList<>();
-                for (Bid b : o.sheet().bids()) {
+                for (Bid b : o.batch().bids()) {
                     bids.add(b.machine() + " for " + b.slots() + " of " + b.job() + " in " + b.finishS() + " s");
                 }
                 say(n.name + " bids " + bids);
-                nodes.values().forEach(l -> l.leader.onBids(now, o.sheet()));
+                nodes.values().forEach(l -> l.leader.onBids(now, o.batch()));
             }
         }
     }
@@ -388,7 +388,7 @@
             say("no command is under way");
             return;
         }
-        Holder.Effect.Command c = commands.get(0);
+        BlockHolder.Effect.Command c = commands.get(0);
         WorkerModel m = workers.get(c.machine());
         Node n = nodes.values().stream()
                 .filter(x -> x.holder.machineNames().contains(c.machine()))
@@ -414,9 +414,9 @@
         return "(term " + (term >> 20) + "." + (term & 0xfffff) + " token " + (token & 0xfffff) + ")";
     }
 
-    private static String orders(List<Order> orders) {
+    private static String orders(List<WorkerCommand> orders) {
         List<String> list = new ArrayList<>();
-        for (Order o : orders) {
+        for (WorkerCommand o : orders) {
             list.add(o.getClass().getSimpleName().toLowerCase(java.util.Locale.ROOT) + " " + o.task() + "#"
                     + (o.attempt() & 0xffffff));
         }
--- a/src/test/java/garnetscale/peer/PeerCodecTest.java
+++ b/src/test/java/garnetscale/peer/PeerCodecTest.java
@@ -6,7 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import garnetscale.core.bid.Bid;
-import garnetscale.core.bid.BidSheet;
+import garnetscale.core.bid.BidBatch;
 import garnetscale.core.block.Observation;
 import garnetscale.core.job.JobState;
 import garnetscale.core.job.TaskId;
@@ -60,7 +60,7 @@
                             new ReportedTask(
                                     new TaskId("wk-000398", 0), 16777218, TaskState.EXITED, ExitCause.STOPPED, true)),
                     List.of(16777219L))),
-            new PeerMessage.Bids(new BidSheet(
+            new PeerMessage.Bids(new BidBatch(
                     "hive-0", 4, 431, Map.of("a/0", 1048577L), List.of(new Bid("m-000231", 2, "wk-000412", 3, 41.5)))));
 
     @Test
--- a/src/test/java/garnetscale/wire/CodecExamplesTest.java
+++ b/src/test/java/garnetscale/wire/CodecExamplesTest.java
@@ -8,10 +8,10 @@
 import garnetscale.core.job.TaskId;
 import garnetscale.core.machine.ExitCause;
 import garnetscale.core.machine.MachineType;
-import garnetscale.core.machine.Order;
 import garnetscale.core.machine.Report;
 import garnetscale.core.machine.ReportedTask;
 import garnetscale.core.machine.TaskState;
+import garnetscale.core.machine.WorkerCommand;
 import garnetscale.core.store.Change;
 import garnetscale.core.store.Txn;
 import java.io.IOException;
@@ -94,9 +94,9 @@
         byte[] body = WorkerCodec.answer(
                 41,
                 List.of(
-                        new Order.Start(new TaskId("wk-000412", 4), 2),
-                        new Order.Stop(new TaskId("wk-000377", 1), 1, 10),
-                        new Order.Clear(new TaskId("wk-000398", 0), 1)));
+                        new WorkerCommand.Start(new TaskId("wk-000412", 4), 2),
+                        new WorkerCommand.Stop(new TaskId("wk-000377", 1), 1, 10),
+                        new WorkerCommand.Clear(new TaskId("wk-000398", 0), 1)));
         assertEquals(
                 map(
                         "baton",
