--- a/src/main/java/garnetscale/app/Node.java
+++ b/src/main/java/garnetscale/app/Node.java
@@ -26,11 +26,14 @@
 import garnetscale.peer.PeerMessage;
 import garnetscale.wire.WorkerCodec;
 import io.netty.channel.ChannelFuture;
+import io.netty.channel.ChannelFutureListener;
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.nio.NioEventLoopGroup;
 import io.netty.handler.codec.http.HttpMethod;
 import io.netty.util.concurrent.DefaultThreadFactory;
 import java.io.IOException;
+import java.net.StandardSocketOptions;
+import java.nio.channels.ServerSocketChannel;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
@@ -51,6 +54,9 @@
     private static final long TICK_MS = 250;
     private static final long HEARTBEAT_MS = 1000;
     private static final long TURNS_MS = 60_000;
+    private static final long OPEN_AGAIN_MS = 1000;
+    /** A node whose turns come later than this part of a report's interval lags. */
+    private static final long LAGS_IN_REPORT = 50;
     /**
      * What happens within a 300th of a report's interval is worked on together, and a draft follows another after an 80th at
      * the soonest: news comes by reports, and the more machines there are the more each turn and draft goes over.
@@ -91,6 +97,7 @@
     private final Map<String, Peer> heard = new HashMap<>();
     private long beatAt;
     private boolean deaf;
+    private boolean opened;
     private boolean workQueued;
     private boolean electing;
     private long ledTerm = -1;
@@ -159,9 +166,12 @@
         };
     }
 
-    /** Listens and starts; throws when an address is in use. */
+    /**
+     * Starts; throws when an address is in use. Users and workers are let in by {@link #open} only: before the replica is
+     * complete there is nothing to tell them, and after the end of all controllers every worker asks once a second.
+     */
     void start() throws IOException {
-        await(server.listen(settings.listen()), settings.listen());
+        requireFree(settings.listen());
         await(peers.listen(settings.back()), settings.back());
         loop.next().execute(() -> {
             state.start();
@@ -180,6 +190,29 @@
         });
     }
 
+    /** Opens and closes the address for users and workers, so that one in use is known at once. */
+    private static void requireFree(String address) throws IOException {
+        try (ServerSocketChannel probe = ServerSocketChannel.open()) {
+            probe.setOption(StandardSocketOptions.SO_REUSEADDR, true);
+            probe.bind(HttpClient.address(address));
+        } catch (IOException e) {
+            throw new IOException("can't listen on " + address + ": " + e.getMessage(), e);
+        }
+    }
+
+    /** Lets users and workers in; tried again where the address was taken meanwhile. */
+    private void open() {
+        server.listen(settings.listen()).addListener((ChannelFutureListener) listening -> {
+            if (!listening.isSuccess()) {
+                LOG.error(
+                        "can't listen on {}: {}",
+                        settings.listen(),
+                        listening.cause().getMessage());
+                loop.next().schedule(this::open, OPEN_AGAIN_MS, TimeUnit.MILLISECONDS);
+            }
+        });
+    }
+
     private void await(ChannelFuture listening, String address) throws IOException {
         if (!listening.awaitUninterruptibly().isSuccess()) {
             stop();
@@ -268,6 +301,10 @@
 
     @Override
     public void advanced() {
+        if (!opened) {
+            opened = true;
+            open();
+        }
         queueWork();
     }
 
@@ -361,13 +398,16 @@
     private void queueWork() {
         if (!workQueued) {
             workQueued = true;
+            long delay = Math.max(turnMs, restUntil - now());
+            long due = now() + delay;
             loop.next()
                     .schedule(
                             () -> {
                                 workQueued = false;
+                                holder.lagging(now() - due > params.reportMs() / LAGS_IN_REPORT);
                                 work();
                             },
-                            Math.max(turnMs, restUntil - now()),
+                            delay,
                             TimeUnit.MILLISECONDS);
         }
     }
--- a/src/main/java/garnetscale/core/block/BlockHolder.java
+++ b/src/main/java/garnetscale/core/block/BlockHolder.java
@@ -146,6 +146,14 @@
         return now - confirmedAt <= params.graceMs();
     }
 
+    /**
+     * Whether the process is late with its work. Questions to workers then go out one at a time: nearly every worker shows
+     * by its next report what the question would tell, and reports and users wait for the same processor.
+     */
+    public void lagging(boolean late) {
+        outbound.lagging(late);
+    }
+
     public int machineCount() {
         return machines.size();
     }
--- a/src/main/java/garnetscale/core/block/Outbound.java
+++ b/src/main/java/garnetscale/core/block/Outbound.java
@@ -20,6 +20,7 @@
     private final Set<String> waitingFor = new HashSet<>();
     private int commands;
     private int questions;
+    private boolean lagging;
 
     Outbound(int most) {
         this.most = most;
@@ -45,6 +46,15 @@
         }
     }
 
+    /** Whether the process is late with its work, and questions are to go out one at a time. */
+    void lagging(boolean late) {
+        lagging = late;
+    }
+
+    private int mostQuestions() {
+        return lagging ? 1 : Math.max(1, most / 2);
+    }
+
     /** A question is under way beside those that wait; there are few of them. */
     void askAside() {
         questions++;
@@ -56,7 +66,7 @@
 
     /** The next machine to ask now, or null; what needs no question any more falls out. */
     Address next(Predicate<String> needed) {
-        while (!waiting.isEmpty() && questions < Math.max(1, most / 2) && commands + questions < most) {
+        while (!waiting.isEmpty() && questions < mostQuestions() && commands + questions < most) {
             Address a = waiting.poll();
             waitingFor.remove(a.machine());
             if (needed.test(a.machine())) {
