--- a/src/main/java/garnetscale/app/StateLink.java
+++ b/src/main/java/garnetscale/app/StateLink.java
@@ -247,7 +247,7 @@
                     return;
                 }
                 listing = false;
-                LOG.info("mirror has {} keys as of revision {}", sofar.size(), first);
+                LOG.info("replica has {} keys as of revision {}", sofar.size(), first);
                 if (ledger < 0) {
                     confirm(sentAt);
                 }
@@ -323,7 +323,7 @@
                         && replica.advance(b.changes(), b.ledger())
                         && !b.changes().isEmpty();
                 if (!listing && replica.torn()) {
-                    LOG.info("the watch has lost entries, the mirror is read anew");
+                    LOG.info("the watch has lost entries, the replica is read anew");
                     list();
                 }
                 // A replica that is being listed anew isn't complete as of this answer.
