--- /dev/null
+++ b/src/test/java/garnetscale/app/StateLinkRelistTest.java
@@ -0,0 +1,143 @@
+package garnetscale.app;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+
+import garnetscale.core.Params;
+import garnetscale.core.store.StateReplica;
+import garnetscale.net.HttpResult;
+import garnetscale.wire.Cbor;
+import io.netty.handler.codec.http.HttpMethod;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import java.util.SplittableRandom;
+import java.util.function.Consumer;
+import org.junit.jupiter.api.Test;
+
+/**
+ * A replica that is being listed anew, since a watch was too old, is not complete: an older watch that is answered meanwhile
+ * must neither confirm it nor change it. Had it done so, a holder would have gone on answering workers from a replica that
+ * lacks a cancellation, for as long as its grace.
+ */
+class StateLinkRelistTest {
+
+    private static final int GONE = 410;
+    private static final long LISTED = 10;
+    private static final long LISTED_ANEW = 900;
+
+    private record Call(String path, Consumer<HttpResult> done) {}
+
+    /** Keeps what is asked until the test answers it; timers never run by themselves. */
+    private static final class ManualIo implements StateLink.Io {
+        private final List<Call> calls = new ArrayList<>();
+        private final List<Runnable> timers = new ArrayList<>();
+        private long now = 1_000_000;
+
+        @Override
+        public long now() {
+            return now;
+        }
+
+        @Override
+        public void after(long ms, Runnable run) {
+            timers.add(run);
+        }
+
+        @Override
+        public void call(HttpMethod method, String path, byte[] body, long timeoutMs, Consumer<HttpResult> done) {
+            calls.add(new Call(path, done));
+        }
+
+        private Call take(String start) {
+            Call first = calls.stream()
+                    .filter(c -> c.path().startsWith(start))
+                    .findFirst()
+                    .orElseThrow(() -> new AssertionError("nothing asked for " + start + ": " + calls));
+            calls.remove(first);
+            return first;
+        }
+
+        private boolean isAsked(String start) {
+            return calls.stream().anyMatch(c -> c.path().startsWith(start));
+        }
+    }
+
+    private static final class Confirmations implements StateLink.Listener {
+        private final List<Long> sentAt = new ArrayList<>();
+
+        @Override
+        public void advanced() {
+            // Only confirmations matter here.
+        }
+
+        @Override
+        public void confirmed(long sentAtMs) {
+            sentAt.add(sentAtMs);
+        }
+
+        @Override
+        public void leased(long lease) {
+            // As above.
+        }
+    }
+
+    private final ManualIo io = new ManualIo();
+    private final StateReplica replica = new StateReplica();
+    private final Confirmations confirmations = new Confirmations();
+
+    private static HttpResult ok(Map<String, ?> body) {
+        return HttpResult.answered(200, Cbor.write(body));
+    }
+
+    private void list(long ledger) {
+        io.take("/keys?").done().accept(ok(Map.of("pairs", List.of(), "has_next", false, "ledger", ledger)));
+    }
+
+    private StateLink started() {
+        Params params = new Params(
+                "n0",
+                List.of(new Params.Member("n0", "a", "")),
+                List.of("a"),
+                Map.of(),
+                List.of(),
+                1000,
+                10_000,
+                35_000,
+                24,
+                450,
+                180,
+                16384,
+                1.5,
+                10_000,
+                600,
+                25);
+        StateLink link = new StateLink(params, io, new SplittableRandom(1), replica, confirmations);
+        link.start();
+        list(LISTED);
+        return link;
+    }
+
+    @Test
+    void anOlderWatchDoesNotConfirmAReplicaThatIsListedAnew() {
+        StateLink link = started();
+        Call watch = io.take("/follow");
+        assertEquals(List.of(1_000_000L), confirmations.sentAt, "by the listing");
+
+        io.now += 100;
+        List<Boolean> synced = new ArrayList<>();
+        link.sync(synced::add);
+        io.take("/follow").done().accept(HttpResult.answered(GONE, new byte[0]));
+        assertEquals(List.of(false), synced);
+
+        io.now += 100;
+        watch.done().accept(ok(Map.of("ledger", LISTED + 1, "log", List.of())));
+        assertEquals(1, confirmations.sentAt.size(), "an older watch confirmed a replica that is being listed");
+        assertEquals(LISTED, replica.ledger());
+        assertFalse(io.isAsked("/follow"), "nothing is watched from a revision that is about to be replaced");
+
+        list(LISTED_ANEW);
+        assertEquals(List.of(1_000_000L, 1_000_100L), confirmations.sentAt, "as of the sending of the new listing");
+        assertEquals(LISTED_ANEW, replica.ledger());
+    }
+}
--- /dev/null
+++ b/src/test/java/garnetscale/core/block/CancellationMemoryTest.java
@@ -0,0 +1,129 @@
+package garnetscale.core.block;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import garnetscale.core.Params;
+import garnetscale.core.bid.Estimator;
+import garnetscale.core.job.JobRecord;
+import garnetscale.core.job.JobSpec;
+import garnetscale.core.job.JobState;
+import garnetscale.core.job.Priority;
+import garnetscale.core.job.TaskId;
+import garnetscale.core.machine.MachineType;
+import garnetscale.core.machine.Placement;
+import garnetscale.core.machine.Report;
+import garnetscale.core.machine.ReportedTask;
+import garnetscale.core.machine.TaskState;
+import garnetscale.core.machine.WorkerCommand;
+import garnetscale.core.store.Keys;
+import garnetscale.core.store.LogWriter;
+import garnetscale.core.store.MachineRecord;
+import garnetscale.core.store.Records;
+import garnetscale.core.store.StateReplica;
+import garnetscale.core.store.Txn;
+import garnetscale.standin.StateModel;
+import java.util.List;
+import java.util.Map;
+import org.junit.jupiter.api.Test;
+
+/**
+ * What a holder keeps of its peers' cancellations is bounded, and the oldest go first: a cancellation that its replica doesn't
+ * show yet counts however many thousand others come with it. One that is forgotten is still kept by the grace, which ends the
+ * task's session in time without any word of a peer.
+ */
+class CancellationMemoryTest {
+
+    private static final long TERM = Terms.blockTerm(1, 1);
+    private static final long ATTEMPT = Terms.attempt(1, 1);
+    private static final int REMEMBERED = 4096;
+
+    private final Params params = new Params(
+            "n0",
+            List.of(new Params.Member("n0", "a", "")),
+            List.of("a"),
+            Params.byName(List.of(new Params.Team("red", 8, 64, 0, 0))),
+            List.of(),
+            1000,
+            10_000,
+            35_000,
+            24,
+            150,
+            60,
+            16384,
+            1.5,
+            10_000,
+            600,
+            25);
+    private final BlockHolder holder;
+    private long tick;
+
+    CancellationMemoryTest() {
+        JobSpec job = new JobSpec(
+                "wk-1",
+                "c",
+                "red",
+                Priority.NORMAL,
+                1,
+                1,
+                0,
+                1,
+                null,
+                null,
+                false,
+                false,
+                true,
+                "img",
+                0,
+                10,
+                0,
+                0,
+                null);
+        StateModel state = new StateModel();
+        state.commit(new Txn()
+                .put(
+                        Keys.TYPES,
+                        Records.types(List.of(new MachineType("t", 8, 0, 32, 20, 1, 1, 0.5, 20, List.of("a")))))
+                .put(Keys.block("a/0"), Records.block(new BlockLease("n0", 1, TERM)))
+                .put(Keys.job("wk-1"), Records.job(new JobRecord(job, JobState.LIVE, 0))));
+        StateReplica replica = new StateReplica();
+        replica.reset(state.list(Keys.MIRRORED, null, 100), state.ledger());
+        Placement placement = new Placement(new TaskId("wk-1", 0), ATTEMPT, 1, Placement.Stop.KEEP);
+        Txn placed = new Txn();
+        new LogWriter(replica, params.valueBytes())
+                .write(placed, Map.of("m-000000", new MachineRecord("a", List.of(placement), Map.of())), Map.of());
+        state.commit(placed);
+        replica.reset(state.list(Keys.MIRRORED, null, 100), state.ledger());
+        holder = new BlockHolder(params, replica, new Blocks(params), new Estimator(1000));
+        holder.incarnate(1);
+        holder.confirmed(0);
+    }
+
+    /** The commands in the answer to a report that shows the task running. */
+    private List<WorkerCommand> commandsForReport() {
+        ReportedTask running = new ReportedTask(new TaskId("wk-1", 0), ATTEMPT, TaskState.RUNNING, null, false);
+        Report report = new Report(
+                "m-000000", "h:1", "t", "a", false, 1, ++tick, Terms.firstToken(TERM), null, List.of(running));
+        return ((BlockHolder.Reply.Answer) holder.onReport(tick, report)).orders();
+    }
+
+    private void cancelOthers(int count) {
+        for (int i = 0; i < count; i++) {
+            holder.onCancelled("wk-other-" + i);
+        }
+    }
+
+    @Test
+    void aCancellationCountsAmongThousandsOfOthers() {
+        assertEquals(List.of(), commandsForReport());
+        holder.onCancelled("wk-1");
+        cancelOthers(REMEMBERED - 1);
+        assertEquals(List.of(new WorkerCommand.Stop(new TaskId("wk-1", 0), ATTEMPT, 0)), commandsForReport());
+    }
+
+    @Test
+    void theOldestIsForgottenFirstSoThatTheMemoryIsBounded() {
+        holder.onCancelled("wk-1");
+        cancelOthers(REMEMBERED);
+        assertEquals(List.of(), commandsForReport());
+    }
+}
