--- a/src/test/java/garnetscale/app/ScriptedCluster.java
+++ b/src/test/java/garnetscale/app/ScriptedCluster.java
@@ -1,10 +1,10 @@
 package garnetscale.app;
 
 import garnetscale.core.Params;
+import garnetscale.core.TestParams;
 import garnetscale.core.job.JobRecord;
-import garnetscale.core.job.JobSpec;
 import garnetscale.core.job.JobState;
-import garnetscale.core.job.Priority;
+import garnetscale.core.job.TestJob;
 import garnetscale.core.machine.MachineType;
 import garnetscale.core.store.Keys;
 import garnetscale.core.store.Records;
@@ -143,29 +143,7 @@
     }
 
     static Map<String, Object> record(String id) {
-        return Records.job(new JobRecord(
-                new JobSpec(
-                        id,
-                        "c",
-                        "red",
-                        Priority.NORMAL,
-                        1,
-                        1,
-                        0,
-                        1,
-                        null,
-                        null,
-                        false,
-                        false,
-                        true,
-                        "img",
-                        0.5,
-                        10,
-                        0,
-                        0,
-                        null),
-                JobState.LIVE,
-                0));
+        return Records.job(new JobRecord(TestJob.named(id).imageGb(0.5).build(), JobState.LIVE, 0));
     }
 
     // ---- users
@@ -370,23 +348,12 @@
             for (int i = 0; i < NODES; i++) {
                 members.add(new Params.Member("n" + i, "a", ""));
             }
-            Params params = new Params(
-                    name,
-                    members,
-                    List.of("a"),
-                    Params.byName(List.of(new Params.Team("red", 8, 64, 0, 0))),
-                    List.of(),
-                    1000,
-                    10_000,
-                    35_000,
-                    24,
-                    450,
-                    180,
-                    16384,
-                    1.5,
-                    10_000,
-                    600,
-                    25);
+            Params params = TestParams.small()
+                    .self(name)
+                    .members(members)
+                    .teams(new Params.Team("red", 8, 64, 0, 0))
+                    .state(450, 180)
+                    .build();
             state = new StateLink(params, this, random, replica, this);
             front = new JobApi(params, replica, state, job -> null, job -> {});
             state.start();
--- a/src/test/java/garnetscale/app/StateLinkRelistTest.java
+++ b/src/test/java/garnetscale/app/StateLinkRelistTest.java
@@ -4,6 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 
 import garnetscale.core.Params;
+import garnetscale.core.TestParams;
 import garnetscale.core.store.StateReplica;
 import garnetscale.net.HttpResult;
 import garnetscale.wire.Cbor;
@@ -95,23 +96,7 @@
     }
 
     private StateLink started() {
-        Params params = new Params(
-                "n0",
-                List.of(new Params.Member("n0", "a", "")),
-                List.of("a"),
-                Map.of(),
-                List.of(),
-                1000,
-                10_000,
-                35_000,
-                24,
-                450,
-                180,
-                16384,
-                1.5,
-                10_000,
-                600,
-                25);
+        Params params = TestParams.small().state(450, 180).build();
         StateLink link = new StateLink(params, io, new SplittableRandom(1), replica, confirmations);
         link.start();
         list(LISTED);
--- a/src/test/java/garnetscale/core/bid/BiddingTest.java
+++ b/src/test/java/garnetscale/core/bid/BiddingTest.java
@@ -3,11 +3,11 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import garnetscale.core.Params;
+import garnetscale.core.TestParams;
 import garnetscale.core.job.JobRecord;
 import garnetscale.core.job.JobSpec;
 import garnetscale.core.job.JobState;
-import garnetscale.core.job.Priority;
+import garnetscale.core.job.TestJob;
 import garnetscale.core.line.Scarcity;
 import garnetscale.core.machine.FreeCapacity;
 import garnetscale.core.machine.MachineType;
@@ -31,26 +31,13 @@
     private final List<Bidding.Bidder> bidders = new ArrayList<>();
 
     private void job(String id, int tasks, double cpus, String type) {
-        JobSpec s = new JobSpec(
-                id,
-                "c",
-                "red",
-                Priority.NORMAL,
-                tasks,
-                cpus,
-                0,
-                1,
-                List.of(type),
-                null,
-                false,
-                false,
-                true,
-                "img",
-                1,
-                30,
-                0,
-                0,
-                null);
+        JobSpec s = TestJob.named(id)
+                .tasks(tasks)
+                .cpus(cpus)
+                .types(List.of(type))
+                .imageGb(1)
+                .estimateS(30)
+                .build();
         jobs.add(new Change(Keys.job(id), Records.job(new JobRecord(s, JobState.LIVE, 0)), 1));
     }
 
@@ -62,23 +49,10 @@
 
     private List<Bid> bids() {
         replica.reset(jobs, 1);
-        Scarcity scarcity = new Scarcity(new Params(
-                "n0",
-                List.of(),
-                List.of("a"),
-                Params.byName(List.of()),
-                List.of(),
-                1000,
-                10_000,
-                40_000,
-                24,
-                150,
-                60,
-                16384,
-                1.5,
-                10_000,
-                600,
-                25));
+        Scarcity scarcity = new Scarcity(TestParams.small()
+                .members(List.of())
+                .workers(1000, 10_000, 40_000)
+                .build());
         return new Bidding(replica, new Estimator(1000), scarcity, 0, Set.of())
                 .bids(List.copyOf(replica.jobs()), bidders);
     }
--- a/src/test/java/garnetscale/core/block/BlockHolderBidTest.java
+++ b/src/test/java/garnetscale/core/block/BlockHolderBidTest.java
@@ -3,12 +3,13 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import garnetscale.core.Params;
+import garnetscale.core.TestParams;
 import garnetscale.core.bid.Estimator;
 import garnetscale.core.job.JobRecord;
 import garnetscale.core.job.JobSpec;
 import garnetscale.core.job.JobState;
-import garnetscale.core.job.Priority;
 import garnetscale.core.job.TaskId;
+import garnetscale.core.job.TestJob;
 import garnetscale.core.machine.ExitCause;
 import garnetscale.core.machine.MachineType;
 import garnetscale.core.machine.Report;
@@ -28,23 +29,10 @@
     private static final long TERM = Terms.blockTerm(1, 1);
     private static final long REPORT = 1000;
 
-    private final Params params = new Params(
-            "n0",
-            List.of(new Params.Member("n0", "a", "")),
-            List.of("a"),
-            Params.byName(List.of(new Params.Team("red", 8, 64, 0, 0))),
-            List.of(),
-            REPORT,
-            10_000,
-            35_000,
-            24,
-            150,
-            60,
-            16384,
-            1.5,
-            10_000,
-            600,
-            25);
+    private final Params params = TestParams.small()
+            .teams(new Params.Team("red", 8, 64, 0, 0))
+            .workers(REPORT, 10_000, 35_000)
+            .build();
     private final BlockHolder holder;
     private int batches;
     private int bids;
@@ -52,26 +40,7 @@
 
     BlockHolderBidTest() {
         StateModel state = new StateModel();
-        JobSpec job = new JobSpec(
-                "wk-1",
-                "c",
-                "red",
-                Priority.NORMAL,
-                1,
-                1,
-                0,
-                1,
-                null,
-                null,
-                false,
-                false,
-                true,
-                "img",
-                0,
-                10,
-                0,
-                0,
-                null);
+        JobSpec job = TestJob.named("wk-1").build();
         state.commit(new Txn()
                 .put(
                         Keys.TYPES,
--- a/src/test/java/garnetscale/core/block/ReachabilityTest.java
+++ b/src/test/java/garnetscale/core/block/ReachabilityTest.java
@@ -4,9 +4,8 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import garnetscale.core.Params;
+import garnetscale.core.TestParams;
 import java.util.List;
-import java.util.Map;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
@@ -16,23 +15,8 @@
     private static final int MACHINES = 100;
     private static final List<String> ALL = List.of("m-0", "m-1", "m-2", "m-3", "m-4");
 
-    private final Reachability reachability = new Reachability(new Params(
-            "n0",
-            List.of(),
-            List.of("a"),
-            Map.of(),
-            List.of(),
-            5000,
-            22_000,
-            47_000,
-            32,
-            100,
-            40,
-            16384,
-            6,
-            3000,
-            2500,
-            25));
+    private final Reachability reachability =
+            new Reachability(TestParams.large().members(List.of()).build());
 
     /** Looks every quarter of a second until the given time; returns when it found itself deaf, or -1. */
     private long look(long from, long until, int due) {
--- a/src/test/java/garnetscale/core/fleet/FleetTest.java
+++ b/src/test/java/garnetscale/core/fleet/FleetTest.java
@@ -6,12 +6,13 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import garnetscale.core.Params;
+import garnetscale.core.TestParams;
 import garnetscale.core.block.Observation;
 import garnetscale.core.job.JobRecord;
 import garnetscale.core.job.JobSpec;
 import garnetscale.core.job.JobState;
-import garnetscale.core.job.Priority;
 import garnetscale.core.job.TaskId;
+import garnetscale.core.job.TestJob;
 import garnetscale.core.machine.MachineType;
 import garnetscale.core.machine.Placement;
 import garnetscale.core.store.Keys;
@@ -39,24 +40,11 @@
     private final StateReplica replica = new StateReplica();
     private final StateModel state = new StateModel();
     private final Fleet fleet = new Fleet(
-            new Params(
-                    "n0",
-                    List.of(),
-                    List.of("a"),
-                    Params.byName(
-                            List.of(new Params.Team("red", 0, Double.POSITIVE_INFINITY, 0, Double.POSITIVE_INFINITY))),
-                    List.of(),
-                    5000,
-                    22_000,
-                    47_000,
-                    32,
-                    100,
-                    40,
-                    16384,
-                    6,
-                    LAG,
-                    2500,
-                    25),
+            TestParams.large()
+                    .members(List.of())
+                    .teams(new Params.Team("red", 0, Double.POSITIVE_INFINITY, 0, Double.POSITIVE_INFINITY))
+                    .listLagMs(LAG)
+                    .build(),
             replica,
             s -> {});
 
@@ -81,26 +69,12 @@
 
     /** A job that all that is rented couldn't hold. */
     private void demand() {
-        JobSpec job = new JobSpec(
-                "wk-2",
-                "c",
-                "red",
-                Priority.NORMAL,
-                5000,
-                8,
-                0,
-                1,
-                null,
-                null,
-                false,
-                false,
-                true,
-                "img",
-                1,
-                60,
-                0,
-                0,
-                null);
+        JobSpec job = TestJob.named("wk-2")
+                .tasks(5000)
+                .cpus(8)
+                .imageGb(1)
+                .estimateS(60)
+                .build();
         long before = state.ledger();
         state.commit(new Txn()
                 .put(Keys.TYPES, Records.types(TYPES))
--- /dev/null
+++ b/src/test/java/garnetscale/core/job/TestJob.java
@@ -0,0 +1,83 @@
+package garnetscale.core.job;
+
+import java.util.List;
+
+/** Builds jobs for tests: of class c and team red, one task of one CPU and ten seconds unless a test says otherwise. */
+public final class TestJob {
+
+    private final String id;
+    private String team = "red";
+    private Priority priority = Priority.NORMAL;
+    private int tasks = 1;
+    private double cpus = 1;
+    private List<String> types;
+    private boolean oneZone;
+    private boolean spread;
+    private double imageGb;
+    private double estimateS = 10;
+    private Double deadlineS;
+
+    private TestJob(String id) {
+        this.id = id;
+    }
+
+    public static TestJob named(String id) {
+        return new TestJob(id);
+    }
+
+    public TestJob team(String name) {
+        team = name;
+        return this;
+    }
+
+    public TestJob priority(Priority value) {
+        priority = value;
+        return this;
+    }
+
+    public TestJob tasks(int count) {
+        tasks = count;
+        return this;
+    }
+
+    public TestJob cpus(double perTask) {
+        cpus = perTask;
+        return this;
+    }
+
+    public TestJob types(List<String> allowed) {
+        types = allowed;
+        return this;
+    }
+
+    public TestJob oneZone(boolean value) {
+        oneZone = value;
+        return this;
+    }
+
+    public TestJob spread(boolean value) {
+        spread = value;
+        return this;
+    }
+
+    public TestJob imageGb(double size) {
+        imageGb = size;
+        return this;
+    }
+
+    public TestJob estimateS(double seconds) {
+        estimateS = seconds;
+        return this;
+    }
+
+    public TestJob deadlineS(Double seconds) {
+        deadlineS = seconds;
+        return this;
+    }
+
+    public JobSpec build() {
+        return new JobSpec(
+                id, "c", team, priority, tasks, cpus, 0, 1, types, null, oneZone, spread, true, "img", imageGb,
+                estimateS, 0, 0, deadlineS);
+    }
+}
--- a/src/test/java/garnetscale/core/lead/ElectionTest.java
+++ b/src/test/java/garnetscale/core/lead/ElectionTest.java
@@ -4,6 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 
 import garnetscale.core.Params;
+import garnetscale.core.TestParams;
 import garnetscale.core.block.Blocks;
 import garnetscale.core.block.LeaderInfo;
 import garnetscale.core.block.NodeInfo;
@@ -13,7 +14,6 @@
 import garnetscale.core.store.Txn;
 import garnetscale.standin.StateModel;
 import java.util.List;
-import java.util.Map;
 import org.junit.jupiter.api.Test;
 
 /** When a node deposes a leader whose state lease hasn't ended. */
@@ -24,23 +24,7 @@
     ElectionTest() {
         List<Params.Member> members = List.of(
                 new Params.Member("n0", "a", ""), new Params.Member("n1", "a", ""), new Params.Member("n2", "a", ""));
-        Params params = new Params(
-                "n1",
-                members,
-                List.of("a"),
-                Map.of(),
-                List.of(),
-                1000,
-                10_000,
-                35_000,
-                24,
-                150,
-                60,
-                16384,
-                1.5,
-                10_000,
-                600,
-                25);
+        Params params = TestParams.small().self("n1").members(members).build();
         StateModel state = new StateModel();
         Txn txn = new Txn().put(Keys.LEADER, Records.leader(new LeaderInfo("n0", 1, 1)));
         for (int i = 0; i < 3; i++) {
--- a/src/test/java/garnetscale/core/line/JobOrderTest.java
+++ b/src/test/java/garnetscale/core/line/JobOrderTest.java
@@ -3,10 +3,12 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import garnetscale.core.Params;
+import garnetscale.core.TestParams;
 import garnetscale.core.job.JobRecord;
 import garnetscale.core.job.JobSpec;
 import garnetscale.core.job.JobState;
 import garnetscale.core.job.Priority;
+import garnetscale.core.job.TestJob;
 import garnetscale.core.store.Change;
 import garnetscale.core.store.Keys;
 import garnetscale.core.store.Records;
@@ -23,31 +25,25 @@
     private final List<Change> jobs = new ArrayList<>();
 
     private void job(String id, Priority priority, int tasks, long submittedMs, Double dueS) {
-        JobSpec s = new JobSpec(
-                id, "c", "red", priority, tasks, 2, 0, 1, null, null, false, false, true, "img", 1, 30, 0, 0, dueS);
+        JobSpec s = TestJob.named(id)
+                .priority(priority)
+                .tasks(tasks)
+                .cpus(2)
+                .imageGb(1)
+                .estimateS(30)
+                .deadlineS(dueS)
+                .build();
         jobs.add(new Change(Keys.job(id), Records.job(new JobRecord(s, JobState.LIVE, submittedMs)), 1));
     }
 
     private List<String> line(long nowMs) {
         StateReplica m = new StateReplica();
         m.reset(jobs, 1);
-        JobOrder order = new JobOrder(new Params(
-                "n0",
-                List.of(),
-                List.of("a"),
-                Params.byName(List.of()),
-                List.of(new Params.Objective("deadline", "c", 0, 0.9, 1)),
-                1000,
-                10_000,
-                CANCEL_MS,
-                24,
-                150,
-                60,
-                16384,
-                1.5,
-                10_000,
-                600,
-                25));
+        JobOrder order = new JobOrder(TestParams.small()
+                .members(List.of())
+                .objectives(new Params.Objective("deadline", "c", 0, 0.9, 1))
+                .workers(1000, 10_000, CANCEL_MS)
+                .build());
         return JobQueue.sort(m.jobs(), order, nowMs).stream()
                 .map(j -> j.spec().id())
                 .toList();
--- a/src/test/java/garnetscale/core/sim/SimulatedCluster.java
+++ b/src/test/java/garnetscale/core/sim/SimulatedCluster.java
@@ -1,6 +1,7 @@
 package garnetscale.core.sim;
 
 import garnetscale.core.Params;
+import garnetscale.core.TestParams;
 import garnetscale.core.bid.Estimator;
 import garnetscale.core.block.BlockHolder;
 import garnetscale.core.block.Blocks;
@@ -12,6 +13,7 @@
 import garnetscale.core.job.JobState;
 import garnetscale.core.job.Priority;
 import garnetscale.core.job.TaskId;
+import garnetscale.core.job.TestJob;
 import garnetscale.core.lead.Leader;
 import garnetscale.core.lead.Pipeline;
 import garnetscale.core.machine.Address;
@@ -73,25 +75,16 @@
             for (int i = 0; i < nodes; i++) {
                 members.add(new Params.Member("n" + i, zone(i), ""));
             }
-            return new Params(
-                    self,
-                    members,
-                    zones,
-                    Params.byName(List.of(
+            return TestParams.small()
+                    .self(self)
+                    .members(members)
+                    .zones(zones)
+                    .teams(
                             new Params.Team("red", 8, red(), 0, Double.POSITIVE_INFINITY),
-                            new Params.Team("blue", 8, blue(), 0, Double.POSITIVE_INFINITY))),
-                    List.of(new Params.Objective("wait", "c", 2, 0.9, 0)),
-                    REPORT,
-                    LEASE,
-                    CANCEL,
-                    24,
-                    150,
-                    60,
-                    16384,
-                    1.5,
-                    10_000,
-                    600,
-                    25);
+                            new Params.Team("blue", 8, blue(), 0, Double.POSITIVE_INFINITY))
+                    .objectives(new Params.Objective("wait", "c", 2, 0.9, 0))
+                    .workers(REPORT, LEASE, CANCEL)
+                    .build();
         }
 
         double red() {
@@ -399,9 +392,15 @@
     }
 
     void submit(String id, String team, Priority priority, int tasks, double cpus, double seconds, boolean oneZone) {
-        JobSpec job = new JobSpec(
-                id, "c", team, priority, tasks, cpus, 0, 1, null, null, oneZone, false, true, "img", 0.5, seconds, 0, 0,
-                null);
+        JobSpec job = TestJob.named(id)
+                .team(team)
+                .priority(priority)
+                .tasks(tasks)
+                .cpus(cpus)
+                .oneZone(oneZone)
+                .imageGb(0.5)
+                .estimateS(seconds)
+                .build();
         rules.jobs.put(id, job);
         state.commit(new Txn()
                 .guard(Keys.job(id), 0)
--- a/src/test/java/garnetscale/core/store/WorkLogTest.java
+++ b/src/test/java/garnetscale/core/store/WorkLogTest.java
@@ -7,8 +7,8 @@
 import garnetscale.core.job.JobRecord;
 import garnetscale.core.job.JobSpec;
 import garnetscale.core.job.JobState;
-import garnetscale.core.job.Priority;
 import garnetscale.core.job.TaskId;
+import garnetscale.core.job.TestJob;
 import garnetscale.core.machine.Placement;
 import garnetscale.standin.StateModel;
 import java.util.ArrayList;
@@ -32,26 +32,7 @@
     private long attempts;
 
     private static JobSpec job(String id, int tasks) {
-        return new JobSpec(
-                id,
-                "c",
-                "red",
-                Priority.NORMAL,
-                tasks,
-                1,
-                0,
-                1,
-                null,
-                null,
-                false,
-                false,
-                true,
-                "img",
-                1,
-                10,
-                0,
-                0,
-                null);
+        return TestJob.named(id).tasks(tasks).imageGb(1).build();
     }
 
     /** Replaces what is placed on a few machines and finishes a task here and there. */
--- a/src/test/java/garnetscale/core/trace/TraceRunner.java
+++ b/src/test/java/garnetscale/core/trace/TraceRunner.java
@@ -1,6 +1,7 @@
 package garnetscale.core.trace;
 
 import garnetscale.core.Params;
+import garnetscale.core.TestParams;
 import garnetscale.core.bid.Bid;
 import garnetscale.core.bid.Estimator;
 import garnetscale.core.block.BlockHolder;
@@ -11,6 +12,7 @@
 import garnetscale.core.job.JobState;
 import garnetscale.core.job.Priority;
 import garnetscale.core.job.TaskId;
+import garnetscale.core.job.TestJob;
 import garnetscale.core.lead.Leader;
 import garnetscale.core.lead.Pipeline;
 import garnetscale.core.machine.MachineType;
@@ -79,25 +81,15 @@
     }
 
     private static Params params(String self) {
-        return new Params(
-                self,
-                List.of(new Params.Member("n0", "a", ""), new Params.Member("n1", "b", "")),
-                List.of("a", "b"),
-                Params.byName(List.of(
+        return TestParams.small()
+                .self(self)
+                .members(List.of(new Params.Member("n0", "a", ""), new Params.Member("n1", "b", "")))
+                .zones(List.of("a", "b"))
+                .teams(
                         new Params.Team("red", 8, 12, 0, Double.POSITIVE_INFINITY),
-                        new Params.Team("blue", 8, Double.POSITIVE_INFINITY, 0, 1))),
-                List.of(new Params.Objective("wait", "c", 2, 0.9, 0)),
-                1000,
-                10_000,
-                35_000,
-                24,
-                150,
-                60,
-                16_384,
-                1.5,
-                10_000,
-                600,
-                25);
+                        new Params.Team("blue", 8, Double.POSITIVE_INFINITY, 0, 1))
+                .objectives(new Params.Objective("wait", "c", 2, 0.9, 0))
+                .build();
     }
 
     /** Plays the inputs of a trace and returns it with what truly happened in place of the recorded effects. */
@@ -236,26 +228,16 @@
     }
 
     private void job(String[] w) {
-        JobSpec s = new JobSpec(
-                w[1],
-                "c",
-                option(w, "team", "red"),
-                Priority.valueOf(option(w, "rank", "NORMAL")),
-                Integer.parseInt(option(w, "n", "1")),
-                Double.parseDouble(option(w, "cpus", "2")),
-                0,
-                1,
-                null,
-                null,
-                flag(w, "one-zone"),
-                flag(w, "spread"),
-                true,
-                "img",
-                2,
-                Double.parseDouble(option(w, "est", "30")),
-                0,
-                0,
-                null);
+        JobSpec s = TestJob.named(w[1])
+                .team(option(w, "team", "red"))
+                .priority(Priority.valueOf(option(w, "rank", "NORMAL")))
+                .tasks(Integer.parseInt(option(w, "n", "1")))
+                .cpus(Double.parseDouble(option(w, "cpus", "2")))
+                .oneZone(flag(w, "one-zone"))
+                .spread(flag(w, "spread"))
+                .imageGb(2)
+                .estimateS(Double.parseDouble(option(w, "est", "30")))
+                .build();
         jobs.put(w[1], s);
         state.commit(new Txn()
                 .guard(Keys.job(w[1]), 0)
