--- a/src/main/java/garnetscale/app/Rehearsal.java
+++ b/src/main/java/garnetscale/app/Rehearsal.java
@@ -8,6 +8,8 @@
 import io.netty.channel.nio.NioEventLoopGroup;
 import io.netty.handler.codec.http.HttpMethod;
 import java.io.IOException;
+import java.net.BindException;
+import java.net.ServerSocket;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -17,6 +19,7 @@
 import java.util.concurrent.Callable;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.ExecutionException;
+import java.util.concurrent.ThreadLocalRandom;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.TimeoutException;
 import picocli.CommandLine.Command;
@@ -32,6 +35,10 @@
         description = "Run two controllers against stand-ins on loopback until a job is done.")
 final class Rehearsal implements Callable<Integer> {
 
+    private static final int FIRST_PORT = 12_000;
+    private static final int LAST_PORT = 30_000;
+    private static final int PORT_TRIES = 50;
+
     @Option(names = "--seconds", defaultValue = "20", description = "Give up after so long (default ${DEFAULT-VALUE}).")
     int seconds;
 
@@ -72,10 +79,20 @@
         }
     }
 
+    /**
+     * A port outside the range that systems give out by themselves. From within it, the stand-ins and the controllers' own
+     * connections could take the port between this look and the controller that is to listen on it, and a build failed.
+     */
     private static String freePort() throws IOException {
-        try (java.net.ServerSocket s = new java.net.ServerSocket(0)) {
-            return "127.0.0.1:" + s.getLocalPort();
+        for (int i = 0; i < PORT_TRIES; i++) {
+            int port = ThreadLocalRandom.current().nextInt(FIRST_PORT, LAST_PORT);
+            try (ServerSocket free = new ServerSocket(port)) {
+                return "127.0.0.1:" + free.getLocalPort();
+            } catch (BindException e) {
+                // Somebody else's; the next one may be free.
+            }
         }
+        throw new IOException("no free port between " + FIRST_PORT + " and " + LAST_PORT);
     }
 
     private static String settings(int i, String[] listen, String[] back, String state, String cloud) {
