--- /dev/null
+++ b/src/test/java/garnetscale/app/OperatorSurfaceTest.java
@@ -0,0 +1,168 @@
+package garnetscale.app;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import garnetscale.ExpectedForms;
+import java.io.IOException;
+import java.io.PrintWriter;
+import java.io.StringWriter;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.stream.Collectors;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
+import picocli.CommandLine;
+
+/**
+ * The settings' keys, and the command line's verbs, options and codes for bad input. {@link FeaturesFileTest} holds already
+ * all keys of the features file, {@link SettingsTest} the other faults of settings, and {@link OperatorCommandTest} the
+ * codes of the verbs that ask a controller.
+ */
+class OperatorSurfaceTest {
+
+    private static final ExpectedForms EXPECTED = new ExpectedForms("operator.txt");
+    /** Every key that is read, one a line, each with a value unlike the one that stands for a missing key. */
+    private static final String COMPLETE =
+            """
+            node_name = "n-0"
+            site = "a"
+            listen = "10.0.0.1:8080"
+            back = "10.0.0.1:8081"
+            unknown_key = 1
+            [[members]]
+            node_name = "n-1"
+            site = "b"
+            endpoint = "10.0.0.2:8081"
+            [endpoints]
+            cloud = "10.2.0.2:8443"
+            state = "10.2.0.1:2379"
+            [facts]
+            time_bound_ms = 250
+            zones = ["a", "b"]
+            [[facts.teams]]
+            name = "red"
+            cpus = 1.0
+            cpus_max = 2.0
+            gpus = 3.0
+            gpus_max = 4.0
+            [[facts.objectives]]
+            kind = "wait"
+            class = "train"
+            within_s = 60.0
+            share = 0.9
+            times = 1.5
+            [facts.workers]
+            report_s = 1.0
+            lease_s = 10.0
+            cancel_s = 35.0
+            [facts.state]
+            rps = 150.0
+            write_rps = 60.0
+            value_kb = 16.0
+            txn_ops = 24
+            [facts.cloud]
+            rps = 1.5
+            list_lag_s = 12.0
+            [facts.machine_limits]
+            cpu = 0.1
+            ram_mb = 148.0
+            max_connections = 600
+            """;
+
+    @TempDir
+    Path directory;
+
+    private Path file(String text) throws IOException {
+        return Files.writeString(directory.resolve("settings.toml"), text);
+    }
+
+    /** What becomes of the complete settings without one of their lines. */
+    private String without(int number) throws IOException, Settings.Faults {
+        List<String> lines = new ArrayList<>(COMPLETE.lines().toList());
+        lines.remove(number);
+        Settings complete = Settings.read(file(COMPLETE));
+        try {
+            Settings rest = Settings.read(file(String.join("\n", lines)));
+            return rest.equals(complete) ? "ignored" : "optional";
+        } catch (Settings.Faults faults) {
+            return String.join("; ", faults.faults());
+        }
+    }
+
+    @Test
+    void settingsKeys() throws IOException, Settings.Faults {
+        List<String> lines = COMPLETE.lines().toList();
+        String table = "";
+        for (int number = 0; number < lines.size(); number++) {
+            String line = lines.get(number);
+            if (line.startsWith("[")) {
+                table = line.replaceAll("[\\[\\]]", "") + ".";
+            } else {
+                String key = table + line.substring(0, line.indexOf(' '));
+                EXPECTED.check("settings key " + key, without(number));
+            }
+        }
+    }
+
+    @Test
+    void missingSettings() throws IOException {
+        try {
+            Settings.read(file("[[members]]\n[[facts.teams]]\n"));
+        } catch (Settings.Faults faults) {
+            EXPECTED.check("settings missing", String.join("; ", faults.faults()));
+            return;
+        }
+        throw new AssertionError("settings without a single key were read");
+    }
+
+    /** An option's names, whether it takes a value, and its default. */
+    private static String describe(CommandLine.Model.OptionSpec option) {
+        String value = option.arity().max() > 0 ? " VALUE" : "";
+        String otherwise = option.defaultValue() == null ? "" : " " + option.defaultValue();
+        return String.join("|", option.names()) + value + otherwise;
+    }
+
+    private static void describe(String parent, CommandLine command) {
+        String name = (parent + " " + command.getCommandName()).strip();
+        String options = command.getCommandSpec().options().stream()
+                .map(OperatorSurfaceTest::describe)
+                .sorted()
+                .collect(Collectors.joining(", "));
+        String parameters = command.getCommandSpec().positionalParameters().stream()
+                .map(CommandLine.Model.PositionalParamSpec::paramLabel)
+                .collect(Collectors.joining(", "));
+        EXPECTED.check(
+                "command " + name,
+                "parameters [" + parameters + "] options [" + options + "] subcommands "
+                        + command.getSubcommands().keySet().stream().sorted().toList());
+        command.getSubcommands().values().forEach(subcommand -> describe(name, subcommand));
+    }
+
+    @Test
+    void commandsAndOptions() {
+        describe("", new CommandLine(new Main()));
+    }
+
+    private static int run(String... arguments) {
+        PrintWriter ignored = new PrintWriter(new StringWriter());
+        return new CommandLine(new Main()).setOut(ignored).setErr(ignored).execute(arguments);
+    }
+
+    @Test
+    void exitCodes() throws IOException {
+        String good = file(COMPLETE).toString();
+        String bad = Files.writeString(directory.resolve("bad.toml"), "x = 1\n").toString();
+        assertEquals(0, run("check", "--config", good));
+        assertEquals(2, run("check", "--config", bad));
+        assertEquals(2, run("check", "--features", bad));
+        assertEquals(2, run("check"));
+        assertEquals(2, run("--config", bad));
+        assertEquals(2, run("--features", good));
+        assertEquals(2, run("upgrade"));
+        assertEquals(2, run("unknown-verb"));
+        assertEquals(0, run("--help"));
+        assertEquals(0, run("--version"));
+    }
+}
--- /dev/null
+++ b/src/test/java/garnetscale/core/store/StoredLogTest.java
@@ -0,0 +1,128 @@
+package garnetscale.core.store;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import garnetscale.ExpectedForms;
+import garnetscale.core.job.JobRecord;
+import garnetscale.core.job.JobState;
+import garnetscale.core.job.TaskId;
+import garnetscale.core.job.TestJob;
+import garnetscale.core.machine.Placement;
+import garnetscale.core.upgrade.ClusterVersion;
+import garnetscale.standin.StateModel;
+import garnetscale.wire.StateCodec;
+import java.util.ArrayList;
+import java.util.BitSet;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import org.junit.jupiter.api.Test;
+
+/** What the log writer puts into transactions, entry by entry, for a small store that is the same in every run. */
+class StoredLogTest {
+
+    private static final ExpectedForms EXPECTED = new ExpectedForms("log.txt");
+    private static final int VALUE_BYTES = 16 * 1024;
+    private static final int OPS = 24;
+    private static final int MACHINES = 40;
+    private static final String JOB = "wk-1";
+    private static final int TASKS = 10_000;
+    /** Enough for the ring of entries to be overwritten and for every shard to be folded. */
+    private static final int ENTRIES = WorkLog.RING + WorkLog.SHARDS;
+    /** The first entry with which a fold is due, counted from 0. */
+    private static final int FIRST_FOLD = WorkLog.RING / 2;
+
+    private final StateModel state = new StateModel();
+    private final StateReplica replica = new StateReplica();
+    private final List<Txn> written = new ArrayList<>();
+
+    StoredLogTest() {
+        state.commit(new Txn()
+                .put(
+                        Keys.job(JOB),
+                        Records.job(
+                                new JobRecord(TestJob.named(JOB).tasks(TASKS).build(), JobState.LIVE, 0))));
+        replica.reset(state.list(Keys.MIRRORED, null, 1000), state.ledger());
+    }
+
+    private void commit(Txn txn) {
+        assertEquals(200, state.commit(txn));
+        replica.advance(state.changes(Keys.MIRRORED, replica.ledger()), state.ledger());
+    }
+
+    private void activate(int version) {
+        commit(new Txn().put(Keys.VERSION, Records.version(new ClusterVersion(version, Layouts.FIRST))));
+    }
+
+    /** Places an attempt on one machine in place of what it had, and finishes a task. */
+    private void write(LogWriter.Limits limits) {
+        int number = written.size();
+        LogWriter log = new LogWriter(replica, limits);
+        Placement placement = new Placement(new TaskId(JOB, number), number, 1, Placement.Stop.KEEP);
+        MachineRecord machine = new MachineRecord("a", List.of(placement), Map.of("img", 1.0));
+        int task = number * 37;
+        BitSet finished = replica.job(JOB).finishedSet();
+        finished.set(task);
+        String part = WorkLog.partOf(JOB, task);
+        Map<String, MachineRecord> machines = new LinkedHashMap<>();
+        machines.put("m-" + number % MACHINES, machine);
+        Txn txn = new Txn();
+        log.write(txn, machines, Map.of(part, WorkLog.bitsOf(finished, part)));
+        commit(txn);
+        written.add(txn);
+    }
+
+    private void write(int entries, int layout, boolean splitsAny) {
+        for (int i = 0; i < entries; i++) {
+            write(new LogWriter.Limits(VALUE_BYTES, OPS, layout, splitsAny));
+        }
+    }
+
+    private void check(String name, int number) {
+        EXPECTED.checkTree(name, StateCodec.tree(written.get(number)));
+    }
+
+    /** The keys that each transaction writes, and removes (marked by a minus sign). */
+    private void checkKeys(String name, int from) {
+        List<Object> keys = new ArrayList<>();
+        for (Txn txn : written.subList(from, written.size())) {
+            keys.add(txn.ops().stream()
+                    .map(op -> (op.value() == null ? "-" : "") + op.key())
+                    .toList());
+        }
+        EXPECTED.checkTree(name, keys);
+    }
+
+    @Test
+    void firstLayout() {
+        write(ENTRIES, Layouts.FIRST, false);
+        check("layout 1 first entry", 0);
+        check("layout 1 second entry", 1);
+        check("layout 1 first fold", FIRST_FOLD);
+        check("layout 1 last entry", ENTRIES - 1);
+        checkKeys("layout 1 keys", 0);
+    }
+
+    @Test
+    void splitBase() {
+        write(FIRST_FOLD, Layouts.FIRST, false);
+        activate(Layouts.SPLIT_BASE);
+        write(1, Layouts.SPLIT_BASE, true);
+        check("layout 2 first split", FIRST_FOLD);
+        write(ENTRIES, Layouts.SPLIT_BASE, true);
+        check("layout 2 entry after the split", FIRST_FOLD + 1);
+        check("layout 2 last entry", written.size() - 1);
+        checkKeys("layout 2 keys", FIRST_FOLD);
+    }
+
+    @Test
+    void backToTheFirstLayout() {
+        activate(Layouts.SPLIT_BASE);
+        write(ENTRIES, Layouts.SPLIT_BASE, true);
+        activate(Layouts.FIRST);
+        write(1, Layouts.FIRST, false);
+        check("conversion to layout 1", ENTRIES);
+        write(WorkLog.SHARDS, Layouts.FIRST, false);
+        checkKeys("conversion to layout 1 keys", ENTRIES);
+    }
+}
--- /dev/null
+++ b/src/test/java/garnetscale/peer/PeerBytesTest.java
@@ -0,0 +1,153 @@
+package garnetscale.peer;
+
+import garnetscale.ExpectedForms;
+import garnetscale.core.bid.Bid;
+import garnetscale.core.bid.BidBatch;
+import garnetscale.core.block.Observation;
+import garnetscale.core.job.JobState;
+import garnetscale.core.job.TaskId;
+import garnetscale.core.machine.Address;
+import garnetscale.core.machine.ExitCause;
+import garnetscale.core.machine.ReportedTask;
+import garnetscale.core.machine.TaskState;
+import garnetscale.core.store.Records;
+import garnetscale.core.upgrade.UpgradeStep;
+import java.util.Arrays;
+import java.util.List;
+import java.util.Map;
+import org.junit.jupiter.api.Test;
+
+/**
+ * The exact bytes of every peer message and of every enum value in one. That messages are read back as written and agree
+ * with the Avro schema is held by {@link PeerCodecTest}.
+ */
+class PeerBytesTest {
+
+    private static final ExpectedForms EXPECTED = new ExpectedForms("peer.txt");
+    private static final TaskId TASK = new TaskId("wk-000412", 3);
+    private static final long ATTEMPT = 16_777_217;
+
+    private static byte[] encode(PeerMessage message) {
+        return new PeerCodec().encode(message);
+    }
+
+    private static byte[] observation(Double noticeSeconds, List<ReportedTask> tasks, List<Long> gone) {
+        return encode(new PeerMessage.Seen(new Observation(
+                "n-0",
+                4,
+                "a/0",
+                1_048_577,
+                "m-000231",
+                "10.1.0.232:9000",
+                "g8",
+                "b",
+                true,
+                2,
+                noticeSeconds,
+                false,
+                tasks,
+                gone)));
+    }
+
+    private static byte[] observation(TaskState state, ExitCause cause, boolean saved) {
+        return observation(null, List.of(new ReportedTask(TASK, ATTEMPT, state, cause, saved)), List.of());
+    }
+
+    @Test
+    void heartbeat() {
+        EXPECTED.check("heartbeat of the leader", encode(new PeerMessage.Heartbeat("n-0", 4, 17, 250, false)));
+        EXPECTED.check("heartbeat of another", encode(new PeerMessage.Heartbeat("n-0", 4, -1, 250, true)));
+    }
+
+    @Test
+    void observationWithAndWithoutOptionalFields() {
+        EXPECTED.check("observation minimal", observation(null, List.of(), List.of()));
+        ReportedTask running = new ReportedTask(TASK, ATTEMPT, TaskState.RUNNING, null, false);
+        ReportedTask exited = new ReportedTask(TASK, ATTEMPT + 1, TaskState.EXITED, ExitCause.STOPPED, true);
+        EXPECTED.check("observation full", observation(17.5, List.of(running, exited), List.of(5L, ATTEMPT)));
+    }
+
+    @Test
+    void taskStates() {
+        EXPECTED.check(
+                "task states",
+                Arrays.stream(TaskState.values())
+                        .map(state -> observation(state, null, false))
+                        .toList());
+    }
+
+    @Test
+    void exitCauses() {
+        EXPECTED.check(
+                "exit causes",
+                Arrays.stream(ExitCause.values())
+                        .map(cause -> observation(TaskState.EXITED, cause, true))
+                        .toList());
+    }
+
+    @Test
+    void machineList() {
+        EXPECTED.check("machine list empty", encode(new PeerMessage.Book(List.of(), List.of(), List.of())));
+        EXPECTED.check(
+                "machine list full",
+                encode(new PeerMessage.Book(
+                        List.of(new Address("m-000231", "10.1.0.232:9000", "a"), new Address("m-2", "", "b")),
+                        List.of("wk-000412"),
+                        List.of("wk-000413", "wk-000414"))));
+    }
+
+    @Test
+    void cancellation() {
+        EXPECTED.check("cancellation", encode(new PeerMessage.Cancelled("wk-000412")));
+    }
+
+    @Test
+    void endOfAJobInEachState() {
+        EXPECTED.check(
+                "end of a job",
+                Arrays.stream(JobState.values())
+                        .map(state ->
+                                encode(new PeerMessage.Over("wk-000412", new Records.Archived(state, 16, 15, "red"))))
+                        .toList());
+    }
+
+    @Test
+    void bids() {
+        EXPECTED.check("bids empty", encode(new PeerMessage.Bids(new BidBatch("n-0", 4, 431, Map.of(), List.of()))));
+        EXPECTED.check(
+                "bids full",
+                encode(new PeerMessage.Bids(new BidBatch(
+                        "n-0",
+                        4,
+                        431,
+                        Map.of("a/0", 1_048_577L),
+                        List.of(new Bid("m-000231", 2, "wk-000412", 3, 41.5), new Bid("m-2", 1, "wk-1", 1, 0.1))))));
+    }
+
+    @Test
+    void inquiries() {
+        EXPECTED.check(
+                "inquiries",
+                Arrays.stream(PeerMessage.Inquiry.Kind.values())
+                        .map(kind -> encode(new PeerMessage.Inquiry(kind, "wk-000412")))
+                        .toList());
+    }
+
+    @Test
+    void upgradeSteps() {
+        EXPECTED.check(
+                "upgrade steps",
+                Arrays.stream(UpgradeStep.values())
+                        .map(step -> encode(new PeerMessage.Inquiry(PeerMessage.Inquiry.Kind.UPGRADE, step.name())))
+                        .toList());
+    }
+
+    @Test
+    void answers() {
+        EXPECTED.check(
+                "answers",
+                Arrays.stream(PeerMessage.Answer.Outcome.values())
+                        .map(outcome -> encode(new PeerMessage.Answer(outcome, "{\"reason\":\"none\"}")))
+                        .toList());
+    }
+}
