--- /dev/null
+++ b/src/test/java/garnetscale/core/sim/DecisionObserver.java
@@ -0,0 +1,20 @@
+package garnetscale.core.sim;
+
+import garnetscale.core.block.BlockHolder;
+import garnetscale.core.store.Txn;
+
+/** Is told of every decision of the simulated controllers, in the order in which they are made. It must not change anything. */
+interface DecisionObserver {
+
+    /** An observer that ignores everything. */
+    DecisionObserver NONE = new DecisionObserver() {};
+
+    /** A controller sends a transaction to the state service, which may store it, refuse it or never receive it. */
+    default void onTransaction(long now, String node, Txn transaction) {}
+
+    /** The block holder of a controller asks for something to be done outside. */
+    default void onEffect(long now, String node, BlockHolder.Effect effect) {}
+
+    /** The block holder of a controller replies to the report of a machine. */
+    default void onReply(long now, String node, String machine, BlockHolder.Reply reply) {}
+}
--- a/src/test/java/garnetscale/core/sim/SimulatedCluster.java
+++ b/src/test/java/garnetscale/core/sim/SimulatedCluster.java
@@ -84,6 +84,8 @@
     boolean watches;
     /** Told of each transaction of a controller that was applied. */
     Consumer<Txn> onStored = txn -> {};
+    /** Told of each decision of a controller. */
+    DecisionObserver decisions = DecisionObserver.NONE;
     /** Controllers on which load balancing is off from their next start on. */
     final Set<String> unbalanced = new HashSet<>();
     /** Told what a controller's leader logs. */
--- a/src/test/java/garnetscale/core/sim/SimulatedNode.java
+++ b/src/test/java/garnetscale/core/sim/SimulatedNode.java
@@ -297,6 +297,7 @@
             return;
         }
         replica.guardVersion(txn);
+        cluster.decisions.onTransaction(cluster.now, name, txn);
         if (cluster.now < cluster.lateUntil && cluster.random.nextDouble() < cluster.lateShare) {
             int mine = life;
             cluster.at(
@@ -396,6 +397,7 @@
     void onReport(Report r, Consumer<BlockHolder.Reply> answer) {
         if (up && replica.loaded()) {
             BlockHolder.Reply reply = holder.onReport(cluster.now, r);
+            cluster.decisions.onReply(cluster.now, name, r.machine(), reply);
             answer.accept(reply);
             if (reply instanceof BlockHolder.Reply.Answer a) {
                 startsSent(r.machine(), a.orders());
@@ -405,6 +407,7 @@
     }
 
     private void carryOut(BlockHolder.Effect e) {
+        cluster.decisions.onEffect(cluster.now, name, e);
         LeaderInfo l = replica.leader();
         if (e instanceof BlockHolder.Effect.Command c) {
             command(c);
--- a/src/test/java/garnetscale/core/sim/SimulationTest.java
+++ b/src/test/java/garnetscale/core/sim/SimulationTest.java
@@ -68,7 +68,7 @@
         return w;
     }
 
-    private static void trouble(SimulatedCluster w) {
+    static void trouble(SimulatedCluster w) {
         String node = w.nodes.get(w.random.nextInt(w.shape.nodes())).name;
         String worker = w.workers.get(w.random.nextInt(w.workers.size())).id;
         long ms = 1000 + w.random.nextInt(40_000);
--- a/src/test/java/garnetscale/core/sim/UpgradeSimulationTest.java
+++ b/src/test/java/garnetscale/core/sim/UpgradeSimulationTest.java
@@ -101,12 +101,12 @@
     }
 
     /** The node's process ends and is started again with a program that supports these versions. */
-    private static void start(SimulatedCluster cluster, SimulatedNode node, VersionRange layouts, long downMs) {
+    static void start(SimulatedCluster cluster, SimulatedNode node, VersionRange layouts, long downMs) {
         cluster.install(node.name, layouts);
         node.crash(downMs);
     }
 
-    private static void trouble(SimulatedCluster cluster) {
+    static void trouble(SimulatedCluster cluster) {
         SimulatedNode node = cluster.nodes.get(cluster.random.nextInt(cluster.nodes.size()));
         int ms = 1000 + cluster.random.nextInt(15_000);
         switch (cluster.random.nextInt(10)) {
