--- a/src/main/java/garnetscale/app/Rehearsal.java
+++ b/src/main/java/garnetscale/cli/LoopbackDemo.java
@@ -1,10 +1,13 @@
-package garnetscale.app;
+package garnetscale.cli;
 
+import garnetscale.config.FeaturesFile;
+import garnetscale.config.Settings;
+import garnetscale.controller.Node;
 import garnetscale.core.Features;
+import garnetscale.emulator.EmulatedServices;
 import garnetscale.net.HttpClient;
 import garnetscale.net.HttpResult;
 import garnetscale.peer.PeerMessage;
-import garnetscale.standin.StandIns;
 import garnetscale.wire.Cbor;
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.nio.NioEventLoopGroup;
@@ -35,7 +38,7 @@
         name = "rehearse",
         mixinStandardHelpOptions = true,
         description = "Run two controllers against stand-ins on loopback until a job is done.")
-final class Rehearsal implements Callable<Integer> {
+final class LoopbackDemo implements Callable<Integer> {
 
     private static final int FIRST_PORT = 12_000;
     private static final int LAST_PORT = 30_000;
@@ -64,7 +67,8 @@
         try {
             String[] listen = {freePort(), freePort()};
             String[] back = {freePort(), freePort()};
-            StandIns outside = new StandIns(loop, Map.of("node-0", listen[0], "node-1", listen[1]), 300);
+            EmulatedServices outside =
+                    new EmulatedServices(loop, Map.of("node-0", listen[0], "node-1", listen[1]), 300);
             String state = outside.startState("127.0.0.1:0");
             String cloud = outside.startCloud("127.0.0.1:0");
             outside.startWorker("m-000001", 3000);
@@ -92,9 +96,9 @@
 
     /** Whether a controller tells an operator of the leader. */
     private static boolean isInspected(String address) throws IOException {
-        PeerMessage.Answer answer = new OperatorClient(address, INSPECTION_MS)
-                .ask(new PeerMessage.Inquiry(PeerMessage.Inquiry.Kind.STATUS, ""));
-        return answer.outcome() == PeerMessage.Answer.Outcome.DONE
+        PeerMessage.OperatorResponse answer = new OperatorClient(address, INSPECTION_MS)
+                .ask(new PeerMessage.OperatorRequest(PeerMessage.OperatorRequest.Kind.STATUS, ""));
+        return answer.outcome() == PeerMessage.OperatorResponse.Outcome.DONE
                 && answer.json().contains("\"leader\":\"node-");
     }
 
--- a/src/main/java/garnetscale/app/Main.java
+++ b/src/main/java/garnetscale/cli/Main.java
@@ -1,5 +1,8 @@
-package garnetscale.app;
+package garnetscale.cli;
 
+import garnetscale.config.FeaturesFile;
+import garnetscale.config.Settings;
+import garnetscale.controller.Node;
 import garnetscale.core.Features;
 import java.io.IOException;
 import java.nio.file.Path;
@@ -19,7 +22,7 @@
         description = "A cluster scheduler whose machines bid for work.",
         subcommands = {
             Main.Check.class,
-            Rehearsal.class,
+            LoopbackDemo.class,
             OperatorCommand.Status.class,
             OperatorCommand.Job.class,
             OperatorCommand.Upgrade.class
--- a/src/main/java/garnetscale/app/OperatorClient.java
+++ b/src/main/java/garnetscale/cli/OperatorClient.java
@@ -1,4 +1,4 @@
-package garnetscale.app;
+package garnetscale.cli;
 
 import garnetscale.net.HttpClient;
 import garnetscale.peer.PeerCodec;
@@ -23,7 +23,7 @@
     }
 
     /** The answer; an IOException when the controller is dead, silent or answers something else. */
-    PeerMessage.Answer ask(PeerMessage.Inquiry inquiry) throws IOException {
+    PeerMessage.OperatorResponse ask(PeerMessage.OperatorRequest inquiry) throws IOException {
         PeerCodec codec = new PeerCodec();
         try (Socket socket = new Socket()) {
             socket.connect(HttpClient.address(address), timeoutMs);
@@ -38,7 +38,7 @@
             if (length < 0 || length > MOST_BYTES) {
                 throw new IOException("an answer of " + length + " bytes");
             }
-            if (codec.decode(in.readNBytes(length)) instanceof PeerMessage.Answer answer) {
+            if (codec.decode(in.readNBytes(length)) instanceof PeerMessage.OperatorResponse answer) {
                 return answer;
             }
             throw new IOException("not an answer");
--- a/src/main/java/garnetscale/app/OperatorCommand.java
+++ b/src/main/java/garnetscale/cli/OperatorCommand.java
@@ -1,10 +1,10 @@
-package garnetscale.app;
+package garnetscale.cli;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
 import garnetscale.core.upgrade.UpgradeStep;
 import garnetscale.peer.PeerMessage;
-import garnetscale.peer.PeerMessage.Answer.Outcome;
+import garnetscale.peer.PeerMessage.OperatorResponse.Outcome;
 import garnetscale.wire.Trees;
 import java.io.IOException;
 import java.io.PrintWriter;
@@ -44,14 +44,14 @@
     int timeoutS;
 
     /** What is asked. */
-    abstract PeerMessage.Inquiry inquiry();
+    abstract PeerMessage.OperatorRequest inquiry();
 
     @Override
     public Integer call() throws InterruptedException {
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(timeoutS);
         OperatorClient client = new OperatorClient(address, Math.max(1, timeoutS) * 1000);
         try {
-            PeerMessage.Answer answer = client.ask(inquiry());
+            PeerMessage.OperatorResponse answer = client.ask(inquiry());
             while (answer.outcome() == Outcome.UNDER_WAY && System.nanoTime() < end) {
                 TimeUnit.MILLISECONDS.sleep(ASK_AGAIN_MS);
                 answer = client.ask(inquiry());
@@ -63,7 +63,7 @@
         }
     }
 
-    private int print(PeerMessage.Answer answer) throws IOException {
+    private int print(PeerMessage.OperatorResponse answer) throws IOException {
         PrintWriter out = spec.commandLine().getOut();
         Object tree = read(answer.json());
         if (answer.outcome() == Outcome.REFUSED) {
@@ -118,8 +118,8 @@
     static final class Status extends OperatorCommand {
 
         @Override
-        PeerMessage.Inquiry inquiry() {
-            return new PeerMessage.Inquiry(PeerMessage.Inquiry.Kind.STATUS, "");
+        PeerMessage.OperatorRequest inquiry() {
+            return new PeerMessage.OperatorRequest(PeerMessage.OperatorRequest.Kind.STATUS, "");
         }
     }
 
@@ -131,8 +131,8 @@
         String id;
 
         @Override
-        PeerMessage.Inquiry inquiry() {
-            return new PeerMessage.Inquiry(PeerMessage.Inquiry.Kind.JOB, id);
+        PeerMessage.OperatorRequest inquiry() {
+            return new PeerMessage.OperatorRequest(PeerMessage.OperatorRequest.Kind.JOB, id);
         }
     }
 
@@ -142,8 +142,8 @@
         abstract UpgradeStep step();
 
         @Override
-        PeerMessage.Inquiry inquiry() {
-            return new PeerMessage.Inquiry(PeerMessage.Inquiry.Kind.UPGRADE, step().name());
+        PeerMessage.OperatorRequest inquiry() {
+            return new PeerMessage.OperatorRequest(PeerMessage.OperatorRequest.Kind.UPGRADE, step().name());
         }
     }
 
--- a/src/main/java/garnetscale/app/FeaturesFile.java
+++ b/src/main/java/garnetscale/config/FeaturesFile.java
@@ -1,11 +1,11 @@
-package garnetscale.app;
+package garnetscale.config;
 
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.dataformat.toml.TomlFactory;
 import garnetscale.core.Features;
 import garnetscale.core.balance.BalanceSettings;
-import garnetscale.core.store.Layouts;
+import garnetscale.core.state.Layouts;
 import garnetscale.core.upgrade.VersionRange;
 import garnetscale.wire.Trees;
 import java.io.IOException;
@@ -21,7 +21,7 @@
  * The operators' file of features: a table for each, with {@code enabled} and the feature's settings. Unlike in the
  * platform's settings nothing unknown is passed over, since a misspelt name would leave a feature off without a word.
  */
-final class FeaturesFile {
+public final class FeaturesFile {
 
     private static final String ENABLED = "enabled";
     private static final double LEAST_SETTLE = 0.5;
@@ -40,7 +40,7 @@
     }
 
     /** Reads a file; each fault names the key and what may stand there. */
-    static Features read(Path file) throws Settings.Faults {
+    public static Features read(Path file) throws Settings.Faults {
         try (JsonParser parser = new TomlFactory().createParser(Files.readString(file))) {
             return new FeaturesFile((Map<?, ?>) Trees.read(parser)).features();
         } catch (JsonProcessingException e) {
--- a/src/main/java/garnetscale/app/Settings.java
+++ b/src/main/java/garnetscale/config/Settings.java
@@ -1,10 +1,10 @@
-package garnetscale.app;
+package garnetscale.config;
 
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.dataformat.toml.TomlFactory;
 import garnetscale.core.Features;
-import garnetscale.core.Params;
+import garnetscale.core.SchedulerConfig;
 import garnetscale.wire.Trees;
 import java.io.IOException;
 import java.nio.file.Files;
@@ -14,10 +14,11 @@
 import java.util.Map;
 
 /** The platform's settings file. Unknown fields are ignored; each fault is named with its key. */
-record Settings(Params params, String listen, String back, String cloud, String state, double cpuShare, double ramMb) {
+public record Settings(
+        SchedulerConfig config, String listen, String back, String cloud, String state, double cpuShare, double ramMb) {
 
     /** What is wrong with a settings file, a line each. */
-    static final class Faults extends Exception {
+    public static final class Faults extends Exception {
 
         private final transient List<String> faults;
 
@@ -26,17 +27,17 @@
             this.faults = faults;
         }
 
-        List<String> faults() {
+        public List<String> faults() {
             return faults;
         }
     }
 
     /** The settings of a controller on which nothing is switched on. */
-    static Settings read(Path file) throws Faults {
+    public static Settings read(Path file) throws Faults {
         return read(file, Features.NONE);
     }
 
-    static Settings read(Path file, Features features) throws Faults {
+    public static Settings read(Path file, Features features) throws Faults {
         Object root;
         // The parser alone: to make a mapper, which this has no use for, took a third of the whole start-up.
         try (JsonParser p = new TomlFactory().createParser(Files.readString(file))) {
@@ -67,17 +68,21 @@
             String site = text(root, "", "site");
             String listen = address(root, "", "listen");
             String back = address(root, "", "back");
-            List<Params.Member> members = new ArrayList<>();
-            members.add(new Params.Member(self, site, back));
+            List<SchedulerConfig.ControllerAddress> controllers = new ArrayList<>();
+            controllers.add(new SchedulerConfig.ControllerAddress(self, site, back));
             int i = 0;
             for (Object m : list(root, "members")) {
                 String at = "members[" + i++ + "].";
-                members.add(
-                        new Params.Member(text(m, at, "node_name"), text(m, at, "site"), address(m, at, "endpoint")));
+                controllers.add(new SchedulerConfig.ControllerAddress(
+                        text(m, at, "node_name"), text(m, at, "site"), address(m, at, "endpoint")));
             }
             // No Comparator.comparing: its lambda belongs to the platform's own classes, which the archive has without.
-            members.sort((a, b) -> a.name().compareTo(b.name()));
-            if (members.stream().map(Params.Member::name).distinct().count() != members.size()) {
+            controllers.sort((a, b) -> a.name().compareTo(b.name()));
+            if (controllers.stream()
+                            .map(SchedulerConfig.ControllerAddress::name)
+                            .distinct()
+                            .count()
+                    != controllers.size()) {
                 faults.add("members: a node_name stands twice");
             }
             Object ends = path(root, "endpoints");
@@ -91,22 +96,22 @@
             }
             Object workers = path(facts, "workers");
             Object limits = path(facts, "machine_limits");
-            long report = ms(workers, "facts.workers.", "report_s");
+            long heartbeat = ms(workers, "facts.workers.", "report_s");
             long lease = ms(workers, "facts.workers.", "lease_s");
             long cancel = ms(workers, "facts.workers.", "cancel_s");
-            if (report > 0 && lease > 0 && lease <= report) {
+            if (heartbeat > 0 && lease > 0 && lease <= heartbeat) {
                 faults.add("facts.workers.lease_s must be longer than report_s");
             }
             if (lease > 0 && cancel > 0 && cancel <= lease) {
                 faults.add("facts.workers.cancel_s must be longer than lease_s");
             }
-            Params params = new Params(
+            SchedulerConfig config = new SchedulerConfig(
                     self,
-                    List.copyOf(members),
+                    List.copyOf(controllers),
                     List.copyOf(zones),
-                    Params.byName(teams(facts)),
+                    SchedulerConfig.byName(teams(facts)),
                     objectives(facts),
-                    report,
+                    heartbeat,
                     lease,
                     cancel,
                     (int) above0(path(facts, "state"), "facts.state.", "txn_ops"),
@@ -120,13 +125,13 @@
                     features);
             double cpu = above0(limits, "facts.machine_limits.", "cpu");
             double ram = above0(limits, "facts.machine_limits.", "ram_mb");
-            if (params.txnOps() > 0 && params.txnOps() < 16) {
+            if (config.transactionOps() > 0 && config.transactionOps() < 16) {
                 faults.add("facts.state.txn_ops is below 16");
             }
             if (!faults.isEmpty()) {
                 throw new Faults(faults);
             }
-            return new Settings(params, listen, back, cloud, state, cpu, ram);
+            return new Settings(config, listen, back, cloud, state, cpu, ram);
         }
 
         /** What stands under a key; null where there is no such key, or no table that could have it. */
@@ -146,12 +151,12 @@
             return path(node, key) instanceof Number n ? n.doubleValue() : 0;
         }
 
-        private List<Params.Team> teams(Object facts) {
-            List<Params.Team> teams = new ArrayList<>();
+        private List<SchedulerConfig.Team> teams(Object facts) {
+            List<SchedulerConfig.Team> teams = new ArrayList<>();
             int i = 0;
             for (Object t : list(facts, "teams")) {
                 String at = "facts.teams[" + i++ + "].";
-                teams.add(new Params.Team(
+                teams.add(new SchedulerConfig.Team(
                         text(t, at, "name"),
                         atLeast0(t, at, "cpus"),
                         limit(t, at, "cpus_max"),
@@ -164,10 +169,10 @@
             return teams;
         }
 
-        private List<Params.Objective> objectives(Object facts) {
-            List<Params.Objective> list = new ArrayList<>();
+        private List<SchedulerConfig.ServiceLevelObjective> objectives(Object facts) {
+            List<SchedulerConfig.ServiceLevelObjective> list = new ArrayList<>();
             for (Object o : list(facts, "objectives")) {
-                list.add(new Params.Objective(
+                list.add(new SchedulerConfig.ServiceLevelObjective(
                         textOrEmpty(o, "kind"),
                         textOrEmpty(o, "class"),
                         numberOr0(o, "within_s"),
--- a/src/main/java/garnetscale/app/CloudLink.java
+++ b/src/main/java/garnetscale/controller/CloudLink.java
@@ -1,8 +1,8 @@
-package garnetscale.app;
+package garnetscale.controller;
 
-import garnetscale.core.Params;
-import garnetscale.core.fleet.CloudCall;
-import garnetscale.core.fleet.Fleet;
+import garnetscale.core.SchedulerConfig;
+import garnetscale.core.autoscaling.Autoscaler;
+import garnetscale.core.autoscaling.CloudCall;
 import garnetscale.core.machine.MachineType;
 import garnetscale.net.HttpClient;
 import garnetscale.net.HttpResult;
@@ -22,29 +22,29 @@
 
     private final HttpClient http;
     private final String host;
-    private final Fleet fleet;
+    private final Autoscaler autoscaler;
     private final Consumer<List<MachineType>> types;
-    private final Consumer<String> dead;
+    private final Consumer<String> onTerminated;
     private final Runnable listed;
     private final long spacingMs;
     private boolean busy;
     private long lastAt = Long.MIN_VALUE / 2;
 
     CloudLink(
-            Params params,
+            SchedulerConfig config,
             HttpClient http,
             String host,
-            Fleet fleet,
+            Autoscaler autoscaler,
             Consumer<List<MachineType>> types,
-            Consumer<String> dead,
+            Consumer<String> onTerminated,
             Runnable listed) {
         this.http = http;
         this.host = host;
-        this.fleet = fleet;
+        this.autoscaler = autoscaler;
         this.types = types;
-        this.dead = dead;
+        this.onTerminated = onTerminated;
         this.listed = listed;
-        this.spacingMs = fleet.spacingMs() + params.clockOffMs();
+        this.spacingMs = autoscaler.spacingMs() + config.clockOffMs();
     }
 
     boolean ready(long now) {
@@ -54,47 +54,47 @@
     void call(long now, CloudCall call) {
         busy = true;
         lastAt = now;
-        if (call instanceof CloudCall.Types) {
+        if (call instanceof CloudCall.ListTypes) {
             send(
                     HttpMethod.GET,
                     "/flavors",
                     null,
                     r -> {
                         List<MachineType> list = CloudCodec.types(r.body());
-                        fleet.onTypes(list);
+                        autoscaler.onTypes(list);
                         types.accept(list);
                     },
                     r -> {});
-        } else if (call instanceof CloudCall.Page p) {
+        } else if (call instanceof CloudCall.ListInstances p) {
             send(
                     HttpMethod.GET,
                     CloudCodec.pagePath(p),
                     null,
                     r -> {
                         CloudCodec.Page page = CloudCodec.page(r.body());
-                        fleet.onPage(Node.now(), page.machines(), page.more());
-                        fleet.failed().forEach(dead);
+                        autoscaler.onPage(Node.now(), page.machines(), page.more());
+                        autoscaler.failed().forEach(onTerminated);
                         if (!page.more()) {
                             listed.run();
                         }
                     },
                     r -> {});
-        } else if (call instanceof CloudCall.Rent rent) {
+        } else if (call instanceof CloudCall.ScaleOut scaleOut) {
             // A rental without an answer may still be carried out; its machines then show in the list.
             send(
                     HttpMethod.POST,
                     "/machines",
-                    CloudCodec.rent(rent),
-                    r -> fleet.onRented(Node.now(), rent, CloudCodec.rented(r.body())),
-                    r -> fleet.onRefused(Node.now(), rent));
-        } else if (call instanceof CloudCall.Delete d) {
+                    CloudCodec.scaleOut(scaleOut),
+                    r -> autoscaler.onScaledOut(Node.now(), scaleOut, CloudCodec.scaledOut(r.body())),
+                    r -> autoscaler.onRefused(Node.now(), scaleOut));
+        } else if (call instanceof CloudCall.ScaleIn d) {
             send(
                     HttpMethod.POST,
                     "/machines/delete",
                     CloudCodec.delete(d),
                     r -> {
-                        fleet.onDeleted(d.machines());
-                        d.machines().forEach(dead);
+                        autoscaler.onDeleted(d.machines());
+                        d.machines().forEach(onTerminated);
                     },
                     r -> {});
         }
--- a/src/main/java/garnetscale/app/ClusterInspector.java
+++ b/src/main/java/garnetscale/controller/ClusterInspector.java
@@ -1,24 +1,24 @@
-package garnetscale.app;
+package garnetscale.controller;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
-import garnetscale.core.Params;
-import garnetscale.core.block.BlockLease;
-import garnetscale.core.block.Blocks;
-import garnetscale.core.block.LeaderInfo;
-import garnetscale.core.block.NodeInfo;
+import garnetscale.core.SchedulerConfig;
 import garnetscale.core.job.JobSpec;
-import garnetscale.core.lead.Leader;
+import garnetscale.core.leader.Leader;
 import garnetscale.core.machine.Placement;
-import garnetscale.core.quota.QuotaBook;
-import garnetscale.core.store.JobView;
-import garnetscale.core.store.Records;
-import garnetscale.core.store.StateReplica;
+import garnetscale.core.partition.ControllerInfo;
+import garnetscale.core.partition.LeaderInfo;
+import garnetscale.core.partition.PartitionLease;
+import garnetscale.core.partition.PartitionMap;
+import garnetscale.core.quota.QuotaUsage;
+import garnetscale.core.state.JobView;
+import garnetscale.core.state.Records;
+import garnetscale.core.state.StateReplica;
 import garnetscale.core.upgrade.UpgradeDecision;
 import garnetscale.core.upgrade.UpgradeStep;
 import garnetscale.net.PeerLinks;
 import garnetscale.peer.PeerMessage;
-import garnetscale.peer.PeerMessage.Answer.Outcome;
+import garnetscale.peer.PeerMessage.OperatorResponse.Outcome;
 import garnetscale.wire.Trees;
 import java.io.IOException;
 import java.io.StringWriter;
@@ -36,36 +36,36 @@
  * Answers operators from what this controller knows. It reads the replica and nothing else; only an upgrade step changes
  * anything, and that through the leader alone. Lives on the event loop.
  */
-final class ClusterInspector implements PeerLinks.Inspector {
+public final class ClusterInspector implements PeerLinks.Inspector {
 
     /** What the inspector asks of the process that it is in. */
-    record Sources(
+    public record Sources(
             StateReplica replica,
             Leader leader,
             LongSupplier clock,
             Supplier<Map<String, Object>> process,
-            Function<JobView, String> why,
+            Function<JobView, String> reason,
             Endings endings) {}
 
     /** Finds out how a job ended that the replica doesn't hold. */
-    interface Endings {
-        void ended(String job, BiConsumer<Boolean, Records.Archived> found);
+    public interface Endings {
+        void ended(String job, BiConsumer<Boolean, Records.TerminalJob> found);
     }
 
-    private final Params params;
-    private final Blocks blocks;
+    private final SchedulerConfig config;
+    private final PartitionMap partitions;
     private final Sources sources;
     private final StateReplica replica;
 
-    ClusterInspector(Params params, Blocks blocks, Sources sources) {
-        this.params = params;
-        this.blocks = blocks;
+    public ClusterInspector(SchedulerConfig config, PartitionMap partitions, Sources sources) {
+        this.config = config;
+        this.partitions = partitions;
         this.sources = sources;
         this.replica = sources.replica();
     }
 
     @Override
-    public void answer(PeerMessage.Inquiry inquiry, Consumer<PeerMessage.Answer> answer) {
+    public void answer(PeerMessage.OperatorRequest inquiry, Consumer<PeerMessage.OperatorResponse> answer) {
         switch (inquiry.kind()) {
             case STATUS -> answer.accept(done(status()));
             case JOB -> job(inquiry.argument(), answer);
@@ -78,7 +78,7 @@
 
     private Map<String, Object> status() {
         Map<String, Object> status = new LinkedHashMap<>();
-        status.put("node", params.self());
+        status.put("node", config.self());
         status.put("complete", replica.loaded());
         if (replica.unreadable() != null) {
             status.put("unreadable", replica.unreadable());
@@ -89,10 +89,10 @@
         status.put("leader_term", leader == null ? 0 : leader.term());
         status.put("version", version());
         status.put("controllers", replica.nodes().stream().map(this::controller).toList());
-        status.put("blocks", blocks.all().stream().map(this::block).toList());
+        status.put("blocks", partitions.all().stream().map(this::partition).toList());
         status.put("machines_with_records", replica.placedMachines().size());
         status.put("teams", teams());
-        if (params.features().balance().enabled() && sources.leader().leadingTerm() >= 0) {
+        if (config.features().balance().enabled() && sources.leader().leadingTerm() >= 0) {
             status.put(
                     "load",
                     LoadView.load(sources.leader().load(), sources.clock().getAsLong()));
@@ -105,11 +105,11 @@
         version.put("active", replica.version().active());
         version.put("floor", replica.version().floor());
         version.put("converted", replica.isConverted());
-        version.put("supported_here", params.features().layouts().toString());
+        version.put("supported_here", config.features().layouts().toString());
         return version;
     }
 
-    private Map<String, Object> controller(NodeInfo node) {
+    private Map<String, Object> controller(ControllerInfo node) {
         Map<String, Object> row = new LinkedHashMap<>();
         row.put("node", node.name());
         row.put("zone", node.zone());
@@ -118,19 +118,19 @@
         return row;
     }
 
-    private Map<String, Object> block(String block) {
-        BlockLease lease = replica.block(block);
+    private Map<String, Object> partition(String partition) {
+        PartitionLease lease = replica.partition(partition);
         Map<String, Object> row = new LinkedHashMap<>();
-        row.put("block", block);
-        row.put("holder", lease == null ? "none" : lease.holder());
+        row.put("block", partition);
+        row.put("holder", lease == null ? "none" : lease.owner());
         row.put("term", lease == null ? 0 : lease.term());
         return row;
     }
 
     private List<Map<String, Object>> teams() {
-        QuotaBook quota = QuotaBook.of(params, replica);
+        QuotaUsage quota = QuotaUsage.of(config, replica);
         List<Map<String, Object>> rows = new ArrayList<>();
-        for (Params.Team team : params.teams().values()) {
+        for (SchedulerConfig.Team team : config.teams().values()) {
             List<JobView> jobs = replica.jobs().stream()
                     .filter(job -> job.live() && job.spec().team().equals(team.name()))
                     .toList();
@@ -155,7 +155,7 @@
 
     // ---- a job
 
-    private void job(String id, Consumer<PeerMessage.Answer> answer) {
+    private void job(String id, Consumer<PeerMessage.OperatorResponse> answer) {
         if (!replica.loaded()) {
             answer.accept(refused("this controller's replica isn't complete"));
             return;
@@ -176,7 +176,7 @@
         });
     }
 
-    private static Map<String, Object> ended(String id, Records.Archived ending) {
+    private static Map<String, Object> ended(String id, Records.TerminalJob ending) {
         Map<String, Object> tree = new LinkedHashMap<>();
         tree.put("job", id);
         tree.put("state", ending.state().name());
@@ -197,9 +197,9 @@
         tree.put("finished", job.finishedCount());
         tree.put("placed", job.placedCount());
         tree.put("waiting", job.unstarted());
-        String why = sources.why().apply(job);
-        if (why != null) {
-            tree.put("why", why);
+        String reason = sources.reason().apply(job);
+        if (reason != null) {
+            tree.put("why", reason);
         }
         tree.put("placements", placements(spec.id()));
         List<Map<String, Object>> moves = LoadView.moves(sources.leader().recentMoves(), spec.id());
@@ -228,7 +228,7 @@
 
     // ---- upgrade
 
-    private PeerMessage.Answer upgrade(String name) {
+    private PeerMessage.OperatorResponse upgrade(String name) {
         UpgradeStep step;
         try {
             step = UpgradeStep.valueOf(name);
@@ -240,7 +240,7 @@
                     replica.unreadable() == null ? "this controller's replica isn't complete" : replica.unreadable());
         }
         LeaderInfo leader = replica.leader();
-        if (leader == null || !leader.node().equals(params.self())) {
+        if (leader == null || !leader.node().equals(config.self())) {
             return refused("this controller isn't the leader; " + (leader == null ? "there is none" : whereIs(leader)));
         }
         UpgradeDecision decision = sources.leader().upgrade(sources.clock().getAsLong(), step);
@@ -248,20 +248,20 @@
             return refused(no.reason());
         }
         boolean isDone = decision instanceof UpgradeDecision.Done;
-        return new PeerMessage.Answer(isDone ? Outcome.DONE : Outcome.UNDER_WAY, json(version()));
+        return new PeerMessage.OperatorResponse(isDone ? Outcome.DONE : Outcome.UNDER_WAY, json(version()));
     }
 
     private String whereIs(LeaderInfo leader) {
-        Params.Member member = params.member(leader.node());
-        return leader.node() + " is" + (member == null ? "" : ", at " + member.address());
+        SchedulerConfig.ControllerAddress controller = config.controller(leader.node());
+        return leader.node() + " is" + (controller == null ? "" : ", at " + controller.address());
     }
 
-    private static PeerMessage.Answer done(Map<String, Object> tree) {
-        return new PeerMessage.Answer(Outcome.DONE, json(tree));
+    private static PeerMessage.OperatorResponse done(Map<String, Object> tree) {
+        return new PeerMessage.OperatorResponse(Outcome.DONE, json(tree));
     }
 
-    private static PeerMessage.Answer refused(String reason) {
-        return new PeerMessage.Answer(Outcome.REFUSED, json(Map.of("reason", reason)));
+    private static PeerMessage.OperatorResponse refused(String reason) {
+        return new PeerMessage.OperatorResponse(Outcome.REFUSED, json(Map.of("reason", reason)));
     }
 
     private static String json(Map<String, Object> tree) {
--- a/src/main/java/garnetscale/app/EventLoopProfile.java
+++ b/src/main/java/garnetscale/controller/EventLoopProfile.java
@@ -1,4 +1,4 @@
-package garnetscale.app;
+package garnetscale.controller;
 
 import java.util.Arrays;
 import java.util.Locale;
@@ -16,9 +16,9 @@
         STATE,
         PEERS,
         WORKERS,
-        HOLDER,
+        OWNER,
         LEADER,
-        FLEET
+        AUTOSCALER
     }
 
     private final long[] nanos = new long[Role.values().length];
--- a/src/main/java/garnetscale/app/JobApi.java
+++ b/src/main/java/garnetscale/controller/JobApi.java
@@ -1,16 +1,16 @@
-package garnetscale.app;
+package garnetscale.controller;
 
-import garnetscale.core.Params;
+import garnetscale.core.SchedulerConfig;
 import garnetscale.core.job.JobRecord;
 import garnetscale.core.job.JobSpec;
 import garnetscale.core.job.JobState;
 import garnetscale.core.machine.MachineType;
-import garnetscale.core.store.JobView;
-import garnetscale.core.store.Keys;
-import garnetscale.core.store.Records;
-import garnetscale.core.store.StateReplica;
-import garnetscale.core.store.Txn;
-import garnetscale.core.store.TxnResult;
+import garnetscale.core.state.JobView;
+import garnetscale.core.state.Keys;
+import garnetscale.core.state.Records;
+import garnetscale.core.state.StateReplica;
+import garnetscale.core.state.Transaction;
+import garnetscale.core.state.TransactionOutcome;
 import garnetscale.net.Reply;
 import garnetscale.wire.Cbor;
 import garnetscale.wire.UserCodec;
@@ -35,7 +35,7 @@
     private static final double QUESTIONS = 0.75;
 
     /** The state service as users' requests need it. */
-    interface Store extends Archive.Store {
+    interface Store extends TerminalJobIndex.Store {
         /** Whether it refuses or doesn't answer, by the last requests. */
         boolean failing();
 
@@ -43,28 +43,28 @@
         void sync(Consumer<Boolean> done);
 
         /** Sends a transaction, or refuses it at once when the limits are used up. */
-        void submit(Txn txn, BiConsumer<TxnResult, Long> done);
+        void submit(Transaction transaction, BiConsumer<TransactionOutcome, Long> done);
     }
 
-    private final Params params;
+    private final SchedulerConfig config;
     private final StateReplica replica;
     private final Store state;
-    private final Function<JobView, String> why;
+    private final Function<JobView, String> reason;
     private final Consumer<String> cancelled;
     private int waiting;
-    private final Archive archive;
+    private final TerminalJobIndex terminalJobs;
 
     JobApi(
-            Params params,
+            SchedulerConfig config,
             StateReplica replica,
             Store state,
-            Function<JobView, String> why,
+            Function<JobView, String> reason,
             Consumer<String> cancelled) {
-        this.params = params;
+        this.config = config;
         this.replica = replica;
         this.state = state;
-        this.archive = new Archive(params.txnOps(), params.endsRemembered(), state);
-        this.why = why;
+        this.terminalJobs = new TerminalJobIndex(config.transactionOps(), config.endsRemembered(), state);
+        this.reason = reason;
         this.cancelled = cancelled;
     }
 
@@ -97,15 +97,15 @@
 
     /** Whether the part of those who may wait is used up; questions leave some of it to submissions and cancellations. */
     private boolean crowded(double part) {
-        return waiting > part * Math.max(WAITING, params.maxConnections() / WAITING);
+        return waiting > part * Math.max(WAITING, config.maxConnections() / WAITING);
     }
 
-    private static Reply error(int status, String why) {
-        return Reply.of(status, UserCodec.error(why));
+    private static Reply error(int status, String reason) {
+        return Reply.of(status, UserCodec.error(reason));
     }
 
-    private static Reply later(String why) {
-        return new Reply(503, UserCodec.error(why), 1);
+    private static Reply later(String reason) {
+        return new Reply(503, UserCodec.error(reason), 1);
     }
 
     private void submit(byte[] body, Consumer<Reply> answer) {
@@ -122,7 +122,7 @@
             answer.accept(later("the state service can't be asked"));
             return;
         }
-        if (archive.known(id) != null || replica.job(id) != null) {
+        if (terminalJobs.known(id) != null || replica.job(id) != null) {
             poll(id, true, answer);
             return;
         }
@@ -146,14 +146,17 @@
         }
         JobRecord record = new JobRecord(spec, JobState.LIVE, System.currentTimeMillis());
         Map<String, Object> value = Records.job(record);
-        if (Cbor.write(value).length > params.valueBytes()) {
+        if (Cbor.write(value).length > config.valueBytes()) {
             answer.accept(error(400, "too long"));
             return;
         }
         waiting++;
-        Txn txn = new Txn().guard(Keys.job(id), 0).guard(Keys.archived(id), 0).put(Keys.job(id), value);
+        Transaction transaction = new Transaction()
+                .guard(Keys.job(id), 0)
+                .guard(Keys.terminalJob(id), 0)
+                .put(Keys.job(id), value);
         JobSpec accepted = spec;
-        state.submit(txn, (result, ledger) -> {
+        state.submit(transaction, (result, revision) -> {
             waiting--;
             switch (result) {
                 case OK -> {
@@ -186,7 +189,7 @@
 
     /** Null when the job can run some time; 422 when it never can; 503 while the types aren't known. */
     private Reply check(JobSpec spec) {
-        Params.Team team = params.teams().get(spec.team());
+        SchedulerConfig.Team team = config.teams().get(spec.team());
         if (team == null) {
             return error(422, "unknown team " + spec.team());
         }
@@ -217,7 +220,7 @@
 
     /** The job's state from a replica newer than this call, or from the archive; null when it can't be known. */
     private void lookUp(String id, Consumer<Reply> found) {
-        Records.Archived known = archive.known(id);
+        Records.TerminalJob known = terminalJobs.known(id);
         if (known != null) {
             found.accept(Reply.of(200, answer(id, known)));
             return;
@@ -239,33 +242,33 @@
                 return;
             }
             // The replica didn't hold it as of a moment after the request: it is over, or was never accepted.
-            archived(id, found);
+            terminalJob(id, found);
         });
     }
 
     /** How a job that the replica doesn't hold ended; false when nobody knows now, null when it isn't there. */
-    void ended(String id, BiConsumer<Boolean, Records.Archived> found) {
-        Records.Archived known = archive.known(id);
+    void ended(String id, BiConsumer<Boolean, Records.TerminalJob> found) {
+        Records.TerminalJob known = terminalJobs.known(id);
         if (known != null) {
             found.accept(true, known);
         } else if (!replica.loaded() || state.failing() || crowded(QUESTIONS)) {
             found.accept(false, null);
         } else {
-            archive.ask(id, found::accept);
+            terminalJobs.ask(id, found::accept);
         }
     }
 
-    private void archived(String id, Consumer<Reply> found) {
+    private void terminalJob(String id, Consumer<Reply> found) {
         waiting++;
-        archive.ask(id, (sure, over) -> {
+        terminalJobs.ask(id, (sure, over) -> {
             waiting--;
             found.accept(!sure ? null : over == null ? error(404, "no such job") : Reply.of(200, answer(id, over)));
         });
     }
 
     /** A job has ended, by the leader's word for a transaction that it saw applied: its users needn't ask the store. */
-    void over(String id, Records.Archived how) {
-        archive.learn(id, how);
+    void over(String id, Records.TerminalJob how) {
+        terminalJobs.learn(id, how);
     }
 
     private byte[] answer(JobView job) {
@@ -281,17 +284,17 @@
         }
         String mood = job.placedCount() > 0 ? "running" : "pending";
         return UserCodec.answer(new UserCodec.Answer(
-                id, mood, job.finishedCount(), job.placedCount(), job.spec().team(), why.apply(job)));
+                id, mood, job.finishedCount(), job.placedCount(), job.spec().team(), reason.apply(job)));
     }
 
-    private static byte[] answer(String id, Records.Archived a) {
+    private static byte[] answer(String id, Records.TerminalJob a) {
         boolean done = a.state() == JobState.DONE;
         return UserCodec.answer(new UserCodec.Answer(
                 id, done ? "done" : "withdrawn", a.finished(), 0, a.team(), done ? null : "cancelled by its user"));
     }
 
     private void cancel(String id, int tries, Consumer<Reply> answer) {
-        Records.Archived known = archive.known(id);
+        Records.TerminalJob known = terminalJobs.known(id);
         if (known != null) {
             answer.accept(Reply.of(200, answer(id, known)));
             return;
@@ -307,7 +310,7 @@
             if (!ok) {
                 answer.accept(later("state unknown"));
             } else if (job == null) {
-                archived(id, found -> answer.accept(found == null ? later("state unknown") : found));
+                terminalJob(id, found -> answer.accept(found == null ? later("state unknown") : found));
             } else if (!job.live()) {
                 answer.accept(Reply.of(200, answer(job)));
             } else {
@@ -319,11 +322,11 @@
     /** Done is written over the same key: only one of the two can win. */
     private void withdraw(JobView job, int tries, Consumer<Reply> answer) {
         String id = job.spec().id();
-        Txn txn = new Txn()
-                .guard(Keys.job(id), job.stamp())
+        Transaction transaction = new Transaction()
+                .guard(Keys.job(id), job.modRevision())
                 .put(Keys.job(id), Records.job(job.job().withState(JobState.CANCELLED)));
         waiting++;
-        state.submit(txn, (result, ledger) -> {
+        state.submit(transaction, (result, revision) -> {
             waiting--;
             switch (result) {
                 case OK -> {
--- a/src/main/java/garnetscale/app/LoadView.java
+++ b/src/main/java/garnetscale/controller/LoadView.java
@@ -1,4 +1,4 @@
-package garnetscale.app;
+package garnetscale.controller;
 
 import garnetscale.core.balance.GroupTotals;
 import garnetscale.core.balance.LoadSnapshot;
--- a/src/main/java/garnetscale/app/Node.java
+++ b/src/main/java/garnetscale/controller/Node.java
@@ -1,28 +1,31 @@
-package garnetscale.app;
-
-import garnetscale.core.Params;
-import garnetscale.core.bid.Estimator;
-import garnetscale.core.block.BlockHolder;
-import garnetscale.core.block.Blocks;
-import garnetscale.core.block.LeaderInfo;
-import garnetscale.core.fleet.CloudCall;
-import garnetscale.core.fleet.Fleet;
-import garnetscale.core.lead.Leader;
-import garnetscale.core.lead.Pipeline;
+package garnetscale.controller;
+
+import garnetscale.config.Settings;
+import garnetscale.core.SchedulerConfig;
+import garnetscale.core.autoscaling.Autoscaler;
+import garnetscale.core.autoscaling.CloudCall;
+import garnetscale.core.bidding.Estimator;
+import garnetscale.core.leader.Leader;
+import garnetscale.core.leader.TransactionPipeline;
 import garnetscale.core.machine.MachineType;
-import garnetscale.core.machine.Report;
-import garnetscale.core.store.JobView;
-import garnetscale.core.store.Keys;
-import garnetscale.core.store.Records;
-import garnetscale.core.store.StateReplica;
-import garnetscale.core.store.Txn;
-import garnetscale.core.store.TxnResult;
+import garnetscale.core.machine.WorkerHeartbeat;
+import garnetscale.core.partition.HeartbeatReply;
+import garnetscale.core.partition.LeaderInfo;
+import garnetscale.core.partition.OwnerEffect;
+import garnetscale.core.partition.PartitionMap;
+import garnetscale.core.partition.PartitionOwner;
+import garnetscale.core.state.JobView;
+import garnetscale.core.state.Keys;
+import garnetscale.core.state.Records;
+import garnetscale.core.state.StateReplica;
+import garnetscale.core.state.Transaction;
+import garnetscale.core.state.TransactionOutcome;
+import garnetscale.net.ConnectionLimiter;
 import garnetscale.net.HttpClient;
 import garnetscale.net.HttpResult;
 import garnetscale.net.HttpServer;
 import garnetscale.net.PeerLinks;
 import garnetscale.net.Reply;
-import garnetscale.net.Sockets;
 import garnetscale.peer.PeerMessage;
 import garnetscale.wire.WorkerCodec;
 import io.netty.channel.ChannelFuture;
@@ -50,7 +53,7 @@
  * One controller process: the roles of the core, wired to sockets and timers. All of it runs on one event loop;
  * the core's objects are touched by nothing else.
  */
-final class Node implements StateLink.Listener {
+public final class Node implements StateLink.Listener {
 
     private static final Logger LOG = LoggerFactory.getLogger(Node.class);
     private static final long TICK_MS = 250;
@@ -68,28 +71,28 @@
     private static final long DRAFTS_IN_REPORT = 80;
     private static final long LEAST_TURN_MS = 4;
     /** What the fleet lacks is worked out no more often than this while there is nothing to ask of the cloud. */
-    private static final long FLEET_MS = 2 * TICK_MS;
+    private static final long AUTOSCALER_INTERVAL_MS = 2 * TICK_MS;
     /** Drafts in a window; each goes through all that waits. */
     private static final int PLANS_IN_WINDOW = 10;
     /** After a draft that held nothing the next one waits this many times as long: batches rarely come alone. */
-    private static final long FRUITLESS = 3;
+    private static final long IDLE_BACKOFF = 3;
     /** The pause after a turn, in multiples of what it took. */
-    private static final long REST = 3;
+    private static final long PAUSE = 3;
     /** The pause after working out what the fleet lacks, likewise. */
-    private static final long FLEET_REST = 200;
+    private static final long AUTOSCALER_PAUSE = 200;
 
-    private record Peer(PeerMessage.Heartbeat last, long at) {}
+    private record Peer(PeerMessage.ControllerHeartbeat last, long at) {}
 
-    private final Params params;
+    private final SchedulerConfig config;
     private final EventLoopProfile profile = new EventLoopProfile();
     private final long turnMs;
     private final Settings settings;
     private final EventLoopGroup loop;
     private final StateReplica replica;
-    private final BlockHolder holder;
+    private final PartitionOwner owner;
     private final Leader leader;
-    private final Pipeline pipeline;
-    private final Fleet fleet;
+    private final TransactionPipeline pipeline;
+    private final Autoscaler autoscaler;
     private final StateLink state;
     private final CloudLink cloud;
     private final JobApi front;
@@ -97,50 +100,51 @@
     private final HttpClient workers;
     private final HttpServer server;
     private final Map<String, Peer> heard = new HashMap<>();
-    private long beatAt;
-    private boolean deaf;
+    private long heartbeatsSentAt;
+    private boolean isolatedFromWorkers;
     private boolean opened;
     private boolean workQueued;
     private boolean electing;
     private long ledTerm = -1;
     private long wakeAt = -1;
-    private long restUntil;
-    private long fleetAt = Long.MIN_VALUE / 2;
+    private long pauseUntil;
+    private long autoscaledAt = Long.MIN_VALUE / 2;
     private long plannedAt = Long.MIN_VALUE / 2;
-    private boolean fruitless;
+    private boolean idleBackoff;
     private List<MachineType> types = List.of();
     private long lease = -1;
-    private PeerMessage.Book lastBook;
+    private PeerMessage.MachineDirectory lastMachineDirectory;
 
-    Node(Settings settings) {
+    public Node(Settings settings) {
         this.settings = settings;
-        this.params = settings.params();
-        this.turnMs = Math.max(LEAST_TURN_MS, params.reportMs() / TURNS_IN_REPORT);
+        this.config = settings.config();
+        this.turnMs = Math.max(LEAST_TURN_MS, config.heartbeatIntervalMs() / TURNS_IN_REPORT);
         this.loop = new NioEventLoopGroup(1, new DefaultThreadFactory("loop"));
-        this.replica = new StateReplica(params.features().layouts());
-        Blocks blocks = new Blocks(params);
-        this.holder = new BlockHolder(params, replica, blocks, new Estimator(params.reportMs()));
-        this.leader = new Leader(params, replica, blocks, LOG::info);
-        this.pipeline = new Pipeline(replica, leader);
-        this.fleet = new Fleet(params, replica, LOG::info);
-        this.state = new StateLink(params, stateIo(), new SplittableRandom(), replica, this);
+        this.replica = new StateReplica(config.features().layouts());
+        PartitionMap partitions = new PartitionMap(config);
+        this.owner = new PartitionOwner(config, replica, partitions, new Estimator(config.heartbeatIntervalMs()));
+        this.leader = new Leader(config, replica, partitions, LOG::info);
+        this.pipeline = new TransactionPipeline(replica, leader);
+        this.autoscaler = new Autoscaler(config, replica, LOG::info);
+        this.state = new StateLink(config, stateIo(), new SplittableRandom(), replica, this);
         this.cloud = new CloudLink(
-                params,
+                config,
                 new HttpClient(loop, 1, 1000),
                 settings.cloud(),
-                fleet,
+                autoscaler,
                 this::onTypes,
-                this::onDead,
+                this::onTerminated,
                 this::onListed);
-        this.front = new JobApi(params, replica, state, this::why, this::onCancelled);
+        this.front = new JobApi(config, replica, state, this::reason, this::onCancelled);
         ClusterInspector inspector = new ClusterInspector(
-                params,
-                blocks,
-                new ClusterInspector.Sources(replica, leader, Node::now, this::process, this::why, front::ended));
+                config,
+                partitions,
+                new ClusterInspector.Sources(replica, leader, Node::now, this::process, this::reason, front::ended));
         this.peers = new PeerLinks(loop, this::onPeer, inspector, this::onLink, this::onRefused);
-        Sockets sockets = new Sockets(params.maxConnections(), params.features().sharedSocketsFrom());
+        ConnectionLimiter sockets =
+                new ConnectionLimiter(config.maxConnections(), config.features().sharedSocketsFrom());
         this.workers = new HttpClient(loop, 1, sockets, 1000);
-        this.server = new HttpServer(loop, sockets, params.maxConnections(), this::onRequest);
+        this.server = new HttpServer(loop, sockets, config.maxConnections(), this::onRequest);
     }
 
     static long now() {
@@ -177,20 +181,20 @@
      * Starts; throws when an address is in use. Users and workers are let in by {@link #open} only: before the replica is
      * complete there is nothing to tell them, and after the end of all controllers every worker asks once a second.
      */
-    void start() throws IOException {
+    public void start() throws IOException {
         requireFree(settings.listen());
         await(peers.listen(settings.back()), settings.back());
         loop.next().execute(() -> {
             state.start();
-            for (Params.Member m : params.members()) {
-                if (!m.name().equals(params.self())) {
+            for (SchedulerConfig.ControllerAddress m : config.controllers()) {
+                if (!m.name().equals(config.self())) {
                     peers.connect(m.name(), m.address());
                 }
             }
-            beatAt = now();
+            heartbeatsSentAt = now();
             // With a fixed delay: after a standstill a fixed rate would make up for every beat that it missed.
             loop.next().scheduleWithFixedDelay(this::work, TICK_MS, TICK_MS, TimeUnit.MILLISECONDS);
-            loop.next().scheduleWithFixedDelay(this::beat, HEARTBEAT_MS, HEARTBEAT_MS, TimeUnit.MILLISECONDS);
+            loop.next().scheduleWithFixedDelay(this::sendHeartbeats, HEARTBEAT_MS, HEARTBEAT_MS, TimeUnit.MILLISECONDS);
             loop.next()
                     .scheduleWithFixedDelay(
                             () -> LOG.info("turns: {}", profile.take()), TURNS_MS, TURNS_MS, TimeUnit.MILLISECONDS);
@@ -229,7 +233,7 @@
     }
 
     /** Ends all that the node does; the future tells when it has. */
-    Future<?> stop() {
+    public Future<?> stop() {
         loop.next().execute(state::stop);
         return loop.shutdownGracefully(0, 0, TimeUnit.SECONDS);
     }
@@ -245,7 +249,7 @@
     private void serve(String method, String path, byte[] body, Consumer<Reply> answer) {
         try {
             if (path.equals("/hello")) {
-                answer.accept(method.equals("POST") ? onReport(body) : Reply.of(405));
+                answer.accept(method.equals("POST") ? onHeartbeat(body) : Reply.of(405));
             } else if (path.equals("/ready")) {
                 answer.accept(Reply.of(!method.equals("GET") ? 405 : ready() ? 200 : 503));
             } else if (path.equals("/v2/runs") || path.startsWith("/v2/runs/")) {
@@ -279,10 +283,10 @@
         return false;
     }
 
-    private Reply onReport(byte[] body) {
-        Report report;
+    private Reply onHeartbeat(byte[] body) {
+        WorkerHeartbeat heartbeat;
         try {
-            report = WorkerCodec.report(body);
+            heartbeat = WorkerCodec.heartbeat(body);
         } catch (IOException | RuntimeException e) {
             LOG.info("malformed report: {}", e.getMessage());
             return Reply.of(400);
@@ -290,18 +294,18 @@
         if (!replica.loaded()) {
             return Reply.of(503);
         }
-        BlockHolder.Reply r = holder.onReport(now(), report);
+        HeartbeatReply r = owner.onHeartbeat(now(), heartbeat);
         queueWork();
-        if (r instanceof BlockHolder.Reply.Answer a) {
-            if (!a.orders().isEmpty()) {
-                LOG.debug("machine {} told {} under token {}", report.machine(), a.orders(), a.token());
+        if (r instanceof HeartbeatReply.Acknowledge a) {
+            if (!a.commands().isEmpty()) {
+                LOG.debug("machine {} told {} under token {}", heartbeat.machine(), a.commands(), a.fencingToken());
             }
-            return Reply.of(200, WorkerCodec.answer(a.token(), a.orders()));
+            return Reply.of(200, WorkerCodec.answer(a.fencingToken(), a.commands()));
         }
-        if (r instanceof BlockHolder.Reply.Redirect to) {
+        if (r instanceof HeartbeatReply.Redirect to) {
             return Reply.of(421, WorkerCodec.redirect(to.node()));
         }
-        LOG.debug("report of {} refused: {}", report.machine(), ((BlockHolder.Reply.Refuse) r).why());
+        LOG.debug("report of {} refused: {}", heartbeat.machine(), ((HeartbeatReply.Reject) r).reason());
         return Reply.of(503);
     }
 
@@ -318,14 +322,14 @@
 
     @Override
     public void confirmed(long sentAt) {
-        holder.confirmed(sentAt);
+        owner.confirmed(sentAt);
     }
 
     @Override
     public void leased(long newLease) {
         lease = newLease;
-        holder.incarnate(newLease);
-        leader.incarnate(newLease);
+        owner.onLeaseGranted(newLease);
+        leader.onLeaseGranted(newLease);
         queueWork();
     }
 
@@ -339,28 +343,29 @@
     private void onLink(String node) {
         leader.suspect(now(), node, false);
         if (leader.leadingTerm() >= 0) {
-            peers.send(node, book());
+            peers.send(node, machineDirectory());
         }
         peers.send(node, heartbeat());
         LeaderInfo l = replica.leader();
         if (l != null && l.node().equals(node)) {
-            holder.resynchronize(now());
+            owner.resynchronize(now());
             queueWork();
         }
     }
 
-    private PeerMessage.Heartbeat heartbeat() {
-        return new PeerMessage.Heartbeat(params.self(), lease, leader.leadingTerm(), state.ageMs(), holder.deaf());
+    private PeerMessage.ControllerHeartbeat heartbeat() {
+        return new PeerMessage.ControllerHeartbeat(
+                config.self(), lease, leader.leadingTerm(), state.ageMs(), owner.isolatedFromWorkers());
     }
 
-    private void beat() {
+    private void sendHeartbeats() {
         long now = now();
-        if (now - beatAt > 2 * HEARTBEAT_MS) {
+        if (now - heartbeatsSentAt > 2 * HEARTBEAT_MS) {
             // It is this process that stood still: its peers' signs of life are still to be read.
-            LOG.info("this process stood still for {} ms", now - beatAt - HEARTBEAT_MS);
+            LOG.info("this process stood still for {} ms", now - heartbeatsSentAt - HEARTBEAT_MS);
             heard.replaceAll((node, peer) -> new Peer(peer.last(), now));
         }
-        beatAt = now;
+        heartbeatsSentAt = now;
         heard.forEach((node, peer) -> {
             if (now() - peer.at() > 4 * HEARTBEAT_MS) {
                 leader.suspect(now(), node, true);
@@ -370,30 +375,30 @@
     }
 
     private void onPeer(PeerMessage m) {
-        profile.run(EventLoopProfile.Role.PEERS, () -> hear(m));
+        profile.run(EventLoopProfile.Role.PEERS, () -> onPeerMessage(m));
     }
 
-    private void hear(PeerMessage m) {
-        if (m instanceof PeerMessage.Heartbeat h) {
+    private void onPeerMessage(PeerMessage m) {
+        if (m instanceof PeerMessage.ControllerHeartbeat h) {
             Peer before = heard.put(h.node(), new Peer(h, now()));
             if (before == null || now() - before.at() < 2 * HEARTBEAT_MS) {
                 leader.suspect(now(), h.node(), false);
             }
-            leader.hears(now(), h.node(), h.deaf());
+            leader.onWorkerReachability(now(), h.node(), h.isolatedFromWorkers());
             if (h.leaderTerm() >= 0 && (before == null || before.last().leaderTerm() != h.leaderTerm())) {
-                holder.resynchronize(now());
+                owner.resynchronize(now());
                 queueWork();
             }
-        } else if (m instanceof PeerMessage.Cancelled c) {
-            holder.onCancelled(c.job());
+        } else if (m instanceof PeerMessage.JobCancelled c) {
+            owner.onCancelled(c.job());
             queueWork();
-        } else if (m instanceof PeerMessage.Over o) {
+        } else if (m instanceof PeerMessage.JobTerminated o) {
             front.over(o.job(), o.how());
-        } else if (m instanceof PeerMessage.Book b) {
-            holder.onBook(b.machines(), b.lateJobs(), b.suspects());
+        } else if (m instanceof PeerMessage.MachineDirectory b) {
+            owner.onMachineDirectory(b.machines(), b.lateJobs(), b.suspects());
             queueWork();
-        } else if (m instanceof PeerMessage.Seen s) {
-            leader.onObservation(now(), s.observation());
+        } else if (m instanceof PeerMessage.MachineStatusUpdate s) {
+            leader.onMachineStatus(now(), s.machineStatus());
             queueWork();
         } else if (m instanceof PeerMessage.Bids b) {
             leader.onBids(now(), b.batch());
@@ -406,13 +411,13 @@
     private void queueWork() {
         if (!workQueued) {
             workQueued = true;
-            long delay = Math.max(turnMs, restUntil - now());
+            long delay = Math.max(turnMs, pauseUntil - now());
             long due = now() + delay;
             loop.next()
                     .schedule(
                             () -> {
                                 workQueued = false;
-                                holder.lagging(now() - due > params.reportMs() / LAGS_IN_REPORT);
+                                owner.lagging(now() - due > config.heartbeatIntervalMs() / LAGS_IN_REPORT);
                                 work();
                             },
                             delay,
@@ -434,18 +439,20 @@
         }
         long now = now();
         try {
-            holder.wallClock(System.currentTimeMillis() - now);
-            fleet.wallClock(System.currentTimeMillis() - now);
+            owner.wallClock(System.currentTimeMillis() - now);
+            autoscaler.wallClock(System.currentTimeMillis() - now);
             leader.wallClock(System.currentTimeMillis() - now);
-            profile.run(EventLoopProfile.Role.HOLDER, () -> {
-                holder.tick(now);
-                holder.drain().forEach(this::carryOut);
+            profile.run(EventLoopProfile.Role.OWNER, () -> {
+                owner.tick(now);
+                owner.drain().forEach(this::carryOut);
             });
-            if (holder.deaf() != deaf) {
-                deaf = holder.deaf();
+            if (owner.isolatedFromWorkers() != isolatedFromWorkers) {
+                isolatedFromWorkers = owner.isolatedFromWorkers();
                 LOG.info(
-                        deaf ? "no worker reaches this node: it gives up its blocks" : "workers reach this node again");
-                leader.hears(now(), params.self(), deaf);
+                        isolatedFromWorkers
+                                ? "no worker reaches this node: it gives up its blocks"
+                                : "workers reach this node again");
+                leader.onWorkerReachability(now(), config.self(), isolatedFromWorkers);
                 peers.sendAll(heartbeat());
             }
             profile.run(EventLoopProfile.Role.LEADER, () -> lead(now));
@@ -453,26 +460,26 @@
             LOG.error("work failed", e);
         }
         // The more a turn has to go over, the longer the pause until the next, so that requests get their part.
-        restUntil = now() + Math.min(TICK_MS / 2, REST * (now() - now));
-        long offer = holder.nextOffer(now());
+        pauseUntil = now() + Math.min(TICK_MS / 2, PAUSE * (now() - now));
+        long offer = owner.nextOffer(now());
         if (offer > 0) {
             wakeAt(now() + offer);
         }
     }
 
-    private void carryOut(BlockHolder.Effect effect) {
-        if (effect instanceof BlockHolder.Effect.Command c) {
-            LOG.debug("machine {} told {} directly under token {}", c.machine(), c.orders(), c.token());
+    private void carryOut(OwnerEffect effect) {
+        if (effect instanceof OwnerEffect.SendCommands c) {
+            LOG.debug("machine {} told {} directly under token {}", c.machine(), c.commands(), c.fencingToken());
             workers.call(
                     c.address(),
                     HttpMethod.POST,
                     "/commands",
-                    WorkerCodec.commands(c.token(), c.shift(), c.orders()),
+                    WorkerCodec.commands(c.fencingToken(), c.agentEpoch(), c.commands()),
                     4000,
                     r -> profile.run(EventLoopProfile.Role.WORKERS, () -> onCommanded(c, r)));
             return;
         }
-        if (effect instanceof BlockHolder.Effect.Probe p) {
+        if (effect instanceof OwnerEffect.ProbeWorker p) {
             workers.call(
                     p.address(),
                     HttpMethod.GET,
@@ -486,14 +493,14 @@
         if (l == null) {
             return;
         }
-        boolean here = l.node().equals(params.self());
-        if (effect instanceof BlockHolder.Effect.Tell t) {
+        boolean here = l.node().equals(config.self());
+        if (effect instanceof OwnerEffect.PublishStatus t) {
             if (here) {
-                leader.onObservation(now(), t.observation());
+                leader.onMachineStatus(now(), t.machineStatus());
             } else {
-                peers.send(l.node(), new PeerMessage.Seen(t.observation()));
+                peers.send(l.node(), new PeerMessage.MachineStatusUpdate(t.machineStatus()));
             }
-        } else if (effect instanceof BlockHolder.Effect.Offer o) {
+        } else if (effect instanceof OwnerEffect.SubmitBids o) {
             if (here) {
                 leader.onBids(now(), o.batch());
             } else {
@@ -503,10 +510,10 @@
     }
 
     private void onProbed(HttpResult r) {
-        holder.onProbeEnded();
+        owner.onProbeEnded();
         try {
             if (r.is(200)) {
-                holder.onProbeAnswer(now(), WorkerCodec.report(r.body()));
+                owner.onProbeAnswer(now(), WorkerCodec.heartbeat(r.body()));
             }
         } catch (IOException | RuntimeException e) {
             LOG.info("malformed report: {}", e.getMessage());
@@ -514,16 +521,16 @@
         queueWork();
     }
 
-    private void onCommanded(BlockHolder.Effect.Command c, HttpResult r) {
+    private void onCommanded(OwnerEffect.SendCommands c, HttpResult r) {
         try {
             if (r.is(200) || r.is(409)) {
-                holder.onCommandAnswer(now(), c.machine(), c.token(), WorkerCodec.report(r.body()));
+                owner.onCommandAnswer(now(), c.machine(), c.fencingToken(), WorkerCodec.heartbeat(r.body()));
             } else {
                 LOG.info("command to machine {} unanswered: {} {}", c.machine(), r.outcome(), r.status());
-                holder.onCommandLost(now(), c.machine(), c.token());
+                owner.onCommandLost(now(), c.machine(), c.fencingToken());
             }
         } catch (IOException | RuntimeException e) {
-            holder.onCommandLost(now(), c.machine(), c.token());
+            owner.onCommandLost(now(), c.machine(), c.fencingToken());
         }
         queueWork();
     }
@@ -543,27 +550,28 @@
             ledTerm = leader.leadingTerm();
             LOG.info("this node leads under term {}", ledTerm);
             pipeline.restart();
-            fleet.start(now, ledTerm);
-            lastBook = null;
-            beat();
-            holder.resynchronize(now);
-            holder.drain().forEach(this::carryOut);
-        }
-        if (state.ageMs() < 3000 && cloud.ready(now) && now - fleetAt >= FLEET_MS) {
-            fleetAt = now;
+            autoscaler.start(now, ledTerm);
+            lastMachineDirectory = null;
+            sendHeartbeats();
+            owner.resynchronize(now);
+            owner.drain().forEach(this::carryOut);
+        }
+        if (state.ageMs() < 3000 && cloud.ready(now) && now - autoscaledAt >= AUTOSCALER_INTERVAL_MS) {
+            autoscaledAt = now;
             CloudCall[] next = new CloudCall[1];
             profile.run(
-                    EventLoopProfile.Role.FLEET,
-                    () -> next[0] = fleet.next(now, leader.machines(), leader.condemned(), leader.suspects()));
+                    EventLoopProfile.Role.AUTOSCALER,
+                    () -> next[0] =
+                            autoscaler.next(now, leader.machines(), leader.decommissioned(), leader.suspects()));
             CloudCall call = next[0];
-            fleetAt += Math.min(FLEET_MS, FLEET_REST * (now() - now));
+            autoscaledAt += Math.min(AUTOSCALER_INTERVAL_MS, AUTOSCALER_PAUSE * (now() - now));
             if (call != null) {
-                fleetAt = now - FLEET_MS;
+                autoscaledAt = now - AUTOSCALER_INTERVAL_MS;
                 cloud.call(now, call);
             }
         }
         if (leader.takeSuspectNews()) {
-            tellBook();
+            publishMachineDirectory();
         }
         transact(now);
     }
@@ -579,14 +587,14 @@
         loop.next()
                 .schedule(
                         () -> {
-                            Txn fresh = leader.election(now());
+                            Transaction fresh = leader.election(now());
                             if (fresh == null || lease < 0) {
                                 electing = false;
                                 return;
                             }
                             state.send(
                                     fresh,
-                                    (result, ledger) -> state.sync(ok -> {
+                                    (result, revision) -> state.sync(ok -> {
                                         electing = false;
                                         queueWork();
                                     }));
@@ -601,25 +609,25 @@
             // so.
             return;
         }
-        long gap = Math.max(params.windowMs() / PLANS_IN_WINDOW, params.reportMs() / DRAFTS_IN_REPORT)
-                * (fruitless ? FRUITLESS : 1);
+        long gap = Math.max(config.windowMs() / PLANS_IN_WINDOW, config.heartbeatIntervalMs() / DRAFTS_IN_REPORT)
+                * (idleBackoff ? IDLE_BACKOFF : 1);
         if (now - plannedAt < gap) {
             wakeAt(plannedAt + gap);
             return;
         }
-        Txn txn = pipeline.next(() -> nextChange(now));
-        if (txn == null) {
+        Transaction transaction = pipeline.next(() -> nextChange(now));
+        if (transaction == null) {
             long wait = leader.nextPlan(now);
             if (wait > 0) {
                 wakeAt(now + wait);
             }
             return;
         }
-        LOG.debug("{}", txn);
-        state.lead(txn, (result, ledger) -> {
-            pipeline.ended(result, ledger);
-            boolean good = result == TxnResult.OK || result == TxnResult.CONFLICT;
-            if (result != TxnResult.REFUSED) {
+        LOG.debug("{}", transaction);
+        state.lead(transaction, (result, revision) -> {
+            pipeline.ended(result, revision);
+            boolean good = result == TransactionOutcome.OK || result == TransactionOutcome.CONFLICT;
+            if (result != TransactionOutcome.REFUSED) {
                 state.sync(ok -> queueWork());
             }
             loop.next()
@@ -630,31 +638,33 @@
                             },
                             good ? 10 : 100 + ThreadLocalRandom.current().nextLong(100),
                             TimeUnit.MILLISECONDS);
-            if (result == TxnResult.OK) {
-                txn.ops().forEach(this::tellEnd);
+            if (result == TransactionOutcome.OK) {
+                transaction.ops().forEach(this::tellEnd);
             }
         });
     }
 
     /** Every node can answer for a job that is over without asking for it. */
-    private void tellEnd(Txn.Op op) {
-        String job = Keys.archivedJob(op.key());
+    private void tellEnd(Transaction.Op op) {
+        String job = Keys.terminalJobOfKey(op.key());
         if (job != null) {
-            Records.Archived how = Records.archived(op.value());
+            Records.TerminalJob how = Records.terminalJob(op.value());
             front.over(job, how);
-            peers.sendAll(new PeerMessage.Over(job, how));
+            peers.sendAll(new PeerMessage.JobTerminated(job, how));
         }
     }
 
-    private Txn nextChange(long now) {
+    private Transaction nextChange(long now) {
         plannedAt = now;
         if (!types.isEmpty() && replica.types().isEmpty()) {
-            return new Txn().guard(Keys.LEADER, replica.stamp(Keys.LEADER)).put(Keys.TYPES, Records.types(types));
+            return new Transaction()
+                    .guard(Keys.LEADER, replica.modRevision(Keys.LEADER))
+                    .put(Keys.TYPES, Records.types(types));
         }
-        Txn resignation = leader.leads(now) ? leader.resignation(now) : null;
-        Txn txn = resignation != null ? resignation : leader.plan(now);
-        fruitless = txn == null;
-        return txn;
+        Transaction resignation = leader.leads(now) ? leader.resignation(now) : null;
+        Transaction transaction = resignation != null ? resignation : leader.plan(now);
+        idleBackoff = transaction == null;
+        return transaction;
     }
 
     private void onTypes(List<MachineType> list) {
@@ -664,32 +674,34 @@
 
     /** Holders learn where their machines are, so that they can take over from a dead one at once. */
     private void onListed() {
-        fleet.vanished(now(), leader.machines()).forEach(leader::onMachineVanished);
-        tellBook();
+        autoscaler.vanished(now(), leader.machines()).forEach(leader::onMachineVanished);
+        publishMachineDirectory();
     }
 
-    private PeerMessage.Book book() {
-        return new PeerMessage.Book(fleet.book(), leader.lateJobs(), List.copyOf(leader.suspects()));
+    private PeerMessage.MachineDirectory machineDirectory() {
+        return new PeerMessage.MachineDirectory(
+                autoscaler.machineDirectory(), leader.lateJobs(), List.copyOf(leader.suspects()));
     }
 
-    private void tellBook() {
-        PeerMessage.Book book = book();
-        if (!book.equals(lastBook)) {
-            lastBook = book;
-            holder.onBook(book.machines(), book.lateJobs(), book.suspects());
-            peers.sendAll(book);
+    private void publishMachineDirectory() {
+        PeerMessage.MachineDirectory machineDirectory = machineDirectory();
+        if (!machineDirectory.equals(lastMachineDirectory)) {
+            lastMachineDirectory = machineDirectory;
+            owner.onMachineDirectory(
+                    machineDirectory.machines(), machineDirectory.lateJobs(), machineDirectory.suspects());
+            peers.sendAll(machineDirectory);
             queueWork();
         }
     }
 
-    private void onDead(String machine) {
-        leader.onMachineDead(machine);
+    private void onTerminated(String machine) {
+        leader.onMachineTerminated(machine);
         queueWork();
     }
 
     private void onCancelled(String job) {
-        holder.onCancelled(job);
-        peers.sendAll(new PeerMessage.Cancelled(job));
+        owner.onCancelled(job);
+        peers.sendAll(new PeerMessage.JobCancelled(job));
         queueWork();
     }
 
@@ -703,11 +715,11 @@
     }
 
     /** Why a job's work waits, for its user. */
-    private String why(JobView job) {
+    private String reason(JobView job) {
         if (job.unstarted() == 0) {
             return null;
         }
-        if (holder.isSuspect(job.spec().id())) {
+        if (owner.isSuspect(job.spec().id())) {
             return "its tasks fail on every machine; they are tried ever more rarely";
         }
         return job.unstarted() + " of " + job.spec().tasks() + " tasks wait for room";
--- a/src/main/java/garnetscale/app/StateLink.java
+++ b/src/main/java/garnetscale/controller/StateLink.java
@@ -1,15 +1,15 @@
-package garnetscale.app;
-
-import garnetscale.core.Params;
-import garnetscale.core.block.NodeInfo;
-import garnetscale.core.store.Change;
-import garnetscale.core.store.Keys;
-import garnetscale.core.store.Records;
-import garnetscale.core.store.StateReplica;
-import garnetscale.core.store.Txn;
-import garnetscale.core.store.TxnResult;
-import garnetscale.net.Budget;
+package garnetscale.controller;
+
+import garnetscale.core.SchedulerConfig;
+import garnetscale.core.partition.ControllerInfo;
+import garnetscale.core.state.KeyChange;
+import garnetscale.core.state.Keys;
+import garnetscale.core.state.Records;
+import garnetscale.core.state.StateReplica;
+import garnetscale.core.state.Transaction;
+import garnetscale.core.state.TransactionOutcome;
 import garnetscale.net.HttpResult;
+import garnetscale.net.TokenBucket;
 import garnetscale.wire.StateCodec;
 import io.netty.handler.codec.http.HttpMethod;
 import java.io.IOException;
@@ -69,16 +69,16 @@
 
     private static final double SUBMISSIONS_SAVED_S = 1.6;
 
-    private final Params params;
+    private final SchedulerConfig config;
     private final Io io;
     private final RandomGenerator random;
     private final StateReplica replica;
     private final Listener listener;
-    private final Budget watches;
-    private final Budget reads;
-    private final Budget writes;
-    private final Budget submissions;
-    private final WriteShares shares;
+    private final TokenBucket watches;
+    private final TokenBucket reads;
+    private final TokenBucket writes;
+    private final TokenBucket submissions;
+    private final WriteRateAllocator shares;
     private List<Consumer<Boolean>> waiting = new ArrayList<>();
     private boolean syncing;
     private boolean syncQueued;
@@ -89,19 +89,19 @@
     private boolean stopped;
     private long failingSince = -1;
 
-    StateLink(Params params, Io io, RandomGenerator random, StateReplica replica, Listener listener) {
-        this.params = params;
+    StateLink(SchedulerConfig config, Io io, RandomGenerator random, StateReplica replica, Listener listener) {
+        this.config = config;
         this.io = io;
         this.random = random;
         this.replica = replica;
         this.listener = listener;
         long now = now();
-        double node = params.stateRps() / params.members().size();
-        this.watches = new Budget(node * WATCHES, node * WATCHES, now);
-        this.reads = new Budget(node * READS, node * READS, now);
-        this.shares = new WriteShares(params.stateWritesPerS());
-        this.writes = new Budget(shares.leaderPerS(), SAVED_S * shares.leaderPerS(), now);
-        this.submissions = new Budget(1, 1, now);
+        double node = config.stateRps() / config.controllers().size();
+        this.watches = new TokenBucket(node * WATCHES, node * WATCHES, now);
+        this.reads = new TokenBucket(node * READS, node * READS, now);
+        this.shares = new WriteRateAllocator(config.stateWritesPerS());
+        this.writes = new TokenBucket(shares.leaderPerS(), SAVED_S * shares.leaderPerS(), now);
+        this.submissions = new TokenBucket(1, 1, now);
         this.confirmedAt = now - 1_000_000;
     }
 
@@ -112,7 +112,7 @@
     void start() {
         acquire();
         list();
-        every(params.nodeTtlMs() / 4, this::renew);
+        every(config.controllerLeaseMs() / 4, this::renew);
         every(CONFIRM_MS, () -> sync(ok -> {}));
     }
 
@@ -138,7 +138,7 @@
         return all;
     }
 
-    private Map<String, Object> budget(Budget budget) {
+    private Map<String, Object> budget(TokenBucket budget) {
         return Map.of("available", budget.available(now()), "per_s", budget.perS());
     }
 
@@ -173,7 +173,7 @@
     // ---- lease
 
     private void acquire() {
-        io.call(HttpMethod.POST, "/holds", StateCodec.lease(params.nodeTtlMs()), TIMEOUT_MS, r -> {
+        io.call(HttpMethod.POST, "/holds", StateCodec.lease(config.controllerLeaseMs()), TIMEOUT_MS, r -> {
             if (!r.is(200)) {
                 failed("lease", r);
                 after(400, this::acquire);
@@ -196,25 +196,27 @@
         }
         registering = true;
         long mine = lease;
-        String key = Keys.node(params.self());
-        NodeInfo info = new NodeInfo(
-                params.self(),
+        String key = Keys.node(config.self());
+        ControllerInfo info = new ControllerInfo(
+                config.self(),
                 mine,
-                params.zoneOfNode(params.self()),
-                params.features().layouts());
-        send(new Txn().guard(key, replica.stamp(key)).put(key, Records.node(info), mine), (result, ledger) -> {
-            registering = false;
-            if (result == TxnResult.NO_LEASE && lease == mine) {
-                lost();
-            } else if (result == TxnResult.OK) {
-                LOG.info("node {} is up as incarnation {}", params.self(), mine);
-            }
-            sync(ok -> register());
-        });
+                config.zoneOfNode(config.self()),
+                config.features().layouts());
+        send(
+                new Transaction().guard(key, replica.modRevision(key)).put(key, Records.node(info), mine),
+                (result, revision) -> {
+                    registering = false;
+                    if (result == TransactionOutcome.NO_LEASE && lease == mine) {
+                        lost();
+                    } else if (result == TransactionOutcome.OK) {
+                        LOG.info("node {} is up as incarnation {}", config.self(), mine);
+                    }
+                    sync(ok -> register());
+                });
     }
 
     private boolean registered() {
-        NodeInfo n = replica.node(params.self());
+        ControllerInfo n = replica.node(config.self());
         return n != null && n.incarnation() == lease;
     }
 
@@ -231,7 +233,7 @@
             return;
         }
         long mine = lease;
-        io.call(HttpMethod.POST, "/holds/" + mine + "/touch", null, params.nodeTtlMs() / 2, r -> {
+        io.call(HttpMethod.POST, "/holds/" + mine + "/touch", null, config.controllerLeaseMs() / 2, r -> {
             if (mine != lease) {
                 return;
             }
@@ -252,19 +254,19 @@
         listPage("", new ArrayList<>(), -1);
     }
 
-    private void listPage(String since, List<Change> sofar, long ledger) {
+    private void listPage(String since, List<KeyChange> sofar, long revision) {
         String path = "/keys?starts=" + Keys.MIRRORED + "&limit=" + PAGE + (since.isEmpty() ? "" : "&since=" + since);
         long sentAt = now();
         io.call(HttpMethod.GET, path, null, 2 * TIMEOUT_MS, r -> {
             if (!r.is(200)) {
                 failed("listing", r);
-                after(500, () -> listPage(since, sofar, ledger));
+                after(500, () -> listPage(since, sofar, revision));
                 return;
             }
             try {
                 StateCodec.Batch b = StateCodec.listing(r.body());
                 sofar.addAll(b.changes());
-                long first = ledger < 0 ? b.ledger() : ledger;
+                long first = revision < 0 ? b.revision() : revision;
                 if (b.more() && !b.changes().isEmpty()) {
                     listPage(b.changes().get(b.changes().size() - 1).key(), sofar, first);
                     return;
@@ -275,14 +277,14 @@
                     standAside();
                     return;
                 }
-                if (replica.torn()) {
+                if (replica.inconsistent()) {
                     LOG.info("the listing is of several moments, it is read again");
                     after(300, this::list);
                     return;
                 }
                 listing = false;
                 LOG.info("replica has {} keys as of revision {}", sofar.size(), first);
-                if (ledger < 0) {
+                if (revision < 0) {
                     confirm(sentAt);
                 }
                 advanced();
@@ -347,7 +349,7 @@
 
     private void follow(long waitMs, long timeoutMs, Consumer<Boolean> done) {
         long sentAt = now();
-        String path = "/follow?starts=" + Keys.MIRRORED + "&since=" + replica.ledger() + "&wait_ms=" + waitMs;
+        String path = "/follow?starts=" + Keys.MIRRORED + "&since=" + replica.revision() + "&wait_ms=" + waitMs;
         io.call(HttpMethod.GET, path, null, timeoutMs, r -> {
             // Too old, or more than this process takes at once: a listing comes in pages.
             if (r.is(410) || r.outcome() == HttpResult.Outcome.TOO_LONG) {
@@ -366,13 +368,13 @@
                 StateCodec.Batch b = StateCodec.log(r.body());
                 worked();
                 boolean news = !listing
-                        && replica.advance(b.changes(), b.ledger())
+                        && replica.advance(b.changes(), b.revision())
                         && !b.changes().isEmpty();
                 if (!listing && replica.unreadable() != null) {
                     listing = true;
                     standAside();
                 }
-                if (!listing && replica.torn()) {
+                if (!listing && replica.inconsistent()) {
                     LOG.info("the watch has lost entries, the replica is read anew");
                     list();
                 }
@@ -448,9 +450,9 @@
     @Override
     public void present(List<String> keys, Consumer<Set<String>> done) {
         reads.force(now(), 1);
-        Txn txn = new Txn();
-        keys.forEach(k -> txn.guard(k, 0));
-        io.call(HttpMethod.POST, "/multi", StateCodec.txn(txn), 1500, r -> {
+        Transaction transaction = new Transaction();
+        keys.forEach(k -> transaction.guard(k, 0));
+        io.call(HttpMethod.POST, "/multi", StateCodec.transaction(transaction), 1500, r -> {
             try {
                 done.accept(r.is(200) ? Set.of() : r.is(409) ? StateCodec.failed(r.body()) : null);
             } catch (IOException e) {
@@ -476,64 +478,64 @@
     }
 
     /** A leader's transaction; waits for its turn within the limits. */
-    void lead(Txn txn, BiConsumer<TxnResult, Long> done) {
+    void lead(Transaction transaction, BiConsumer<TransactionOutcome, Long> done) {
         if (shares.observe(now(), replica.jobsAdded())) {
             writes.resize(shares.leaderPerS(), SAVED_S * shares.leaderPerS());
         }
-        long wait = writes.waitMs(now(), txn.ops().size());
+        long wait = writes.waitMs(now(), transaction.ops().size());
         if (wait > 0) {
-            io.after(wait, () -> lead(txn, done));
+            io.after(wait, () -> lead(transaction, done));
             return;
         }
-        writes.force(now(), txn.ops().size());
-        send(txn, done);
+        writes.force(now(), transaction.ops().size());
+        send(transaction, done);
     }
 
     @Override
-    public void submit(Txn txn, BiConsumer<TxnResult, Long> done) {
+    public void submit(Transaction transaction, BiConsumer<TransactionOutcome, Long> done) {
         double mine = shares.submissionsPerS(replica.nodes().size());
         submissions.resize(mine, SUBMISSIONS_SAVED_S * mine);
-        if (!submissions.take(now(), txn.ops().size())) {
-            done.accept(TxnResult.REFUSED, -1L);
+        if (!submissions.take(now(), transaction.ops().size())) {
+            done.accept(TransactionOutcome.REFUSED, -1L);
             return;
         }
-        send(txn, done);
+        send(transaction, done);
     }
 
     /**
      * A transaction that can't wait, such as an election. Like every change it fails where another version of what is stored
      * has become active than the replica shows, and isn't sent at all by a controller that can't read what is stored.
      */
-    void send(Txn txn, BiConsumer<TxnResult, Long> done) {
+    void send(Transaction transaction, BiConsumer<TransactionOutcome, Long> done) {
         if (!replica.loaded()) {
-            done.accept(TxnResult.REFUSED, -1L);
+            done.accept(TransactionOutcome.REFUSED, -1L);
             return;
         }
-        replica.guardVersion(txn);
-        io.call(HttpMethod.POST, "/multi", StateCodec.txn(txn), TIMEOUT_MS, r -> {
+        replica.guardVersion(transaction);
+        io.call(HttpMethod.POST, "/multi", StateCodec.transaction(transaction), TIMEOUT_MS, r -> {
             try {
                 if (r.is(200)) {
                     worked();
-                    done.accept(TxnResult.OK, StateCodec.ledger(r.body()));
+                    done.accept(TransactionOutcome.OK, StateCodec.revision(r.body()));
                 } else if (r.is(409)) {
                     worked();
-                    done.accept(TxnResult.CONFLICT, StateCodec.ledger(r.body()));
+                    done.accept(TransactionOutcome.CONFLICT, StateCodec.revision(r.body()));
                 } else if (r.is(400)) {
-                    LOG.debug("refused as malformed: {}", txn);
-                    done.accept(TxnResult.NO_LEASE, -1L);
+                    LOG.debug("refused as malformed: {}", transaction);
+                    done.accept(TransactionOutcome.NO_LEASE, -1L);
                 } else if (r.outcome() == HttpResult.Outcome.NO_ANSWER || r.maybe()) {
                     failed("transaction", r);
-                    done.accept(TxnResult.MAYBE, -1L);
+                    done.accept(TransactionOutcome.MAYBE, -1L);
                 } else {
                     if (!r.is(429)) {
                         failed("transaction", r);
                     } else {
                         LOG.debug("state service: over the limit");
                     }
-                    done.accept(TxnResult.REFUSED, -1L);
+                    done.accept(TransactionOutcome.REFUSED, -1L);
                 }
             } catch (IOException e) {
-                done.accept(TxnResult.MAYBE, -1L);
+                done.accept(TransactionOutcome.MAYBE, -1L);
             }
         });
     }
--- a/src/main/java/garnetscale/app/Archive.java
+++ b/src/main/java/garnetscale/controller/TerminalJobIndex.java
@@ -1,7 +1,7 @@
-package garnetscale.app;
+package garnetscale.controller;
 
-import garnetscale.core.store.Keys;
-import garnetscale.core.store.Records;
+import garnetscale.core.state.Keys;
+import garnetscale.core.state.Records;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Deque;
@@ -18,7 +18,7 @@
  * nobody has submitted, too, and each such question would cost a request: so many questions are put as one, by comparing
  * all their keys with "isn't there" in a transaction that changes nothing. Only what is there is read by itself.
  */
-final class Archive {
+final class TerminalJobIndex {
 
     /** Conditions that a transaction may have, in multiples of its changes. */
     private static final int CONDITIONS = 4;
@@ -40,11 +40,11 @@
         void present(List<String> keys, Consumer<Set<String>> done);
     }
 
-    private interface Asker extends BiConsumer<Boolean, Records.Archived> {}
+    private interface Asker extends BiConsumer<Boolean, Records.TerminalJob> {}
 
     private record Question(String id, List<Asker> askers) {
-        void answer(boolean sure, Records.Archived archived) {
-            askers.forEach(a -> a.accept(sure, archived));
+        void answer(boolean sure, Records.TerminalJob terminalJob) {
+            askers.forEach(a -> a.accept(sure, terminalJob));
         }
     }
 
@@ -56,33 +56,33 @@
 
     private boolean busy;
     /** Jobs that are over; their state never changes again. */
-    private final Map<String, Records.Archived> over;
+    private final Map<String, Records.TerminalJob> over;
 
     /** At most {@code remembered} ends are kept, the latest asked for. */
-    Archive(int txnOps, int remembered, Store state) {
+    TerminalJobIndex(int transactionOps, int remembered, Store state) {
         this.state = state;
         this.over = new LinkedHashMap<>(64, 0.75f, true) {
             @Override
-            protected boolean removeEldestEntry(Map.Entry<String, Records.Archived> eldest) {
+            protected boolean removeEldestEntry(Map.Entry<String, Records.TerminalJob> eldest) {
                 return size() > remembered;
             }
         };
-        this.atOnce = CONDITIONS * txnOps;
+        this.atOnce = CONDITIONS * transactionOps;
     }
 
     /** How the job ended, if that is known here. */
-    Records.Archived known(String id) {
+    Records.TerminalJob known(String id) {
         return over.get(id);
     }
 
     /** The job is over, by a transaction that is known to be applied. */
-    void learn(String id, Records.Archived archived) {
-        over.put(id, archived);
+    void learn(String id, Records.TerminalJob terminalJob) {
+        over.put(id, terminalJob);
     }
 
     /** Calls back with how the job ended, or null when it isn't over; false when nobody can tell. */
-    void ask(String id, BiConsumer<Boolean, Records.Archived> answer) {
-        Records.Archived known = over.get(id);
+    void ask(String id, BiConsumer<Boolean, Records.TerminalJob> answer) {
+        Records.TerminalJob known = over.get(id);
         if (known != null) {
             answer.accept(true, known);
             return;
@@ -130,24 +130,24 @@
     }
 
     private void read(Question q) {
-        state.get(Keys.archived(q.id()), (sure, value) -> {
-            Records.Archived archived = value == null ? null : Records.archived(value);
-            if (archived != null) {
-                over.put(q.id(), archived);
+        state.get(Keys.terminalJob(q.id()), (sure, value) -> {
+            Records.TerminalJob terminalJob = value == null ? null : Records.terminalJob(value);
+            if (terminalJob != null) {
+                over.put(q.id(), terminalJob);
             }
-            q.answer(sure, archived);
+            q.answer(sure, terminalJob);
             done();
         });
     }
 
     private void compare(List<Question> batch) {
-        state.present(batch.stream().map(q -> Keys.archived(q.id())).toList(), present -> {
+        state.present(batch.stream().map(q -> Keys.terminalJob(q.id())).toList(), present -> {
             for (Question q : batch) {
                 if (present == null) {
                     q.answer(false, null);
                 } else if (present.isEmpty()) {
                     q.answer(true, null);
-                } else if (present.contains(Keys.archived(q.id()))) {
+                } else if (present.contains(Keys.terminalJob(q.id()))) {
                     there.add(q);
                 } else {
                     // The answer needn't name all that failed: asked again without those that it did name.
--- a/src/main/java/garnetscale/app/WriteShares.java
+++ b/src/main/java/garnetscale/controller/WriteRateAllocator.java
@@ -1,11 +1,11 @@
-package garnetscale.app;
+package garnetscale.controller;
 
 /**
  * How the state service's changes are shared between the leader and submissions. The leader makes room: what it writes
  * less often goes into larger transactions, while a submission that is refused comes a second late. It knows how many are
  * wanted from its replica, which shows every job that a node has accepted.
  */
-final class WriteShares {
+final class WriteRateAllocator {
 
     /** The part of the limit that is used at all. */
     private static final double USED = 0.9;
@@ -29,7 +29,7 @@
     private double submitted;
     private double last;
 
-    WriteShares(double writesPerS) {
+    WriteRateAllocator(double writesPerS) {
         all = writesPerS * USED;
     }
 
--- a/src/main/java/garnetscale/core/Features.java
+++ b/src/main/java/garnetscale/core/Features.java
@@ -1,7 +1,7 @@
 package garnetscale.core;
 
 import garnetscale.core.balance.BalanceSettings;
-import garnetscale.core.store.Layouts;
+import garnetscale.core.state.Layouts;
 import garnetscale.core.upgrade.VersionRange;
 
 /**
--- a/src/main/java/garnetscale/core/Params.java
+++ b/src/main/java/garnetscale/core/SchedulerConfig.java
@@ -8,16 +8,16 @@
  * The figures that the core decides by. All times are milliseconds. What isn't a setting is a ratio to one; the
  * ratios and their reasons are in docs/operations.md.
  */
-public record Params(
+public record SchedulerConfig(
         String self,
-        List<Member> members,
+        List<ControllerAddress> controllers,
         List<String> zones,
         Map<String, Team> teams,
-        List<Objective> objectives,
-        long reportMs,
+        List<ServiceLevelObjective> objectives,
+        long heartbeatIntervalMs,
         long leaseMs,
         long cancelMs,
-        int txnOps,
+        int transactionOps,
         double stateRps,
         double stateWritesPerS,
         int valueBytes,
@@ -31,17 +31,17 @@
     private static final double ENDS_REMEMBERED_S = 200;
 
     /** A controller node, this one included. */
-    public record Member(String name, String zone, String address) {}
+    public record ControllerAddress(String name, String zone, String address) {}
 
     /** What a team is guaranteed and may use at most; a limit of infinity is none. */
     public record Team(String name, double cpus, double cpusMax, double gpus, double gpusMax) {}
 
     /** An aim of the operators; fields that its kind has no use for are 0 or empty. */
-    public record Objective(String kind, String jobClass, double withinS, double share, double times) {}
+    public record ServiceLevelObjective(String kind, String jobClass, double withinS, double share, double times) {}
 
     /** Twenty times the drift that PROTOCOL allows, plus what a busy process may be late by. */
     public long driftMs(long span) {
-        return span / 100 + reportMs / 2;
+        return span / 100 + heartbeatIntervalMs / 2;
     }
 
     /**
@@ -67,7 +67,7 @@
      * Life of a node's state lease: an eighth of a worker's. Until it ends nobody starts work on a dead holder's
      * machines; a renewal that is late by more costs a new lease and a raised term, but no task.
      */
-    public long nodeTtlMs() {
+    public long controllerLeaseMs() {
         return Math.max(1500, leaseMs / 8);
     }
 
@@ -79,7 +79,7 @@
     /** How long the leader waits for better bids: a tenth of the tightest waiting objective, two seconds at most. */
     public long windowMs() {
         double tightest = 20.0;
-        for (Objective o : objectives) {
+        for (ServiceLevelObjective o : objectives) {
             if (o.withinS() > 0 && (o.kind().equals("wait") || o.kind().equals("guarantee"))) {
                 tightest = Math.min(tightest, o.withinS());
             }
@@ -109,7 +109,7 @@
     }
 
     public String zoneOfNode(String name) {
-        for (Member m : members) {
+        for (ControllerAddress m : controllers) {
             if (m.name().equals(name)) {
                 return m.zone();
             }
@@ -117,8 +117,8 @@
         return "";
     }
 
-    public Member member(String name) {
-        for (Member m : members) {
+    public ControllerAddress controller(String name) {
+        for (ControllerAddress m : controllers) {
             if (m.name().equals(name)) {
                 return m;
             }
--- a/src/main/java/garnetscale/core/fleet/Fleet.java
+++ b/src/main/java/garnetscale/core/autoscaling/Autoscaler.java
@@ -1,17 +1,17 @@
-package garnetscale.core.fleet;
+package garnetscale.core.autoscaling;
 
-import garnetscale.core.Params;
-import garnetscale.core.block.Observation;
+import garnetscale.core.SchedulerConfig;
 import garnetscale.core.job.JobSpec;
-import garnetscale.core.line.JobOrder;
-import garnetscale.core.line.JobQueue;
-import garnetscale.core.machine.Address;
 import garnetscale.core.machine.FreeCapacity;
+import garnetscale.core.machine.MachineAddress;
 import garnetscale.core.machine.MachineType;
-import garnetscale.core.quota.QuotaBook;
-import garnetscale.core.store.FreeCapacityCache;
-import garnetscale.core.store.JobView;
-import garnetscale.core.store.StateReplica;
+import garnetscale.core.partition.MachineStatus;
+import garnetscale.core.queue.JobOrder;
+import garnetscale.core.queue.JobQueue;
+import garnetscale.core.quota.QuotaUsage;
+import garnetscale.core.state.FreeCapacityCache;
+import garnetscale.core.state.JobView;
+import garnetscale.core.state.StateReplica;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Collection;
@@ -30,7 +30,7 @@
  * Rents and returns machines, for the leader. One call to the cloud is under way at a time; what to do next is
  * worked out from the demand that the replica shows and the machines that are there or coming.
  */
-public final class Fleet {
+public final class Autoscaler {
 
     private record Offer(String type, String zone, boolean spot) {}
 
@@ -46,20 +46,20 @@
     /** Calls' worth of time after which what was refused again and again is asked for once more. */
     private static final int REFUSED_CALLS = 40;
 
-    private static final int RENT_AT_ONCE = 50;
+    private static final int SCALE_OUT_BATCH = 50;
     private static final int DELETE_AT_ONCE = 100;
     private static final int RETURNED_OF_FLEET = 64;
 
-    private final Params params;
+    private final SchedulerConfig config;
     private final StateReplica replica;
     private final Consumer<String> log;
     private final JobOrder order;
     private final FreeCapacityCache capacities;
     private long wallOffset;
-    private final Map<String, Listed> listed = new TreeMap<>();
+    private final Map<String, CloudInstance> listed = new TreeMap<>();
     private final Map<String, Long> listedAt = new HashMap<>();
     /** Rented by this leader and not listed yet. */
-    private final Map<String, Listed> fresh = new LinkedHashMap<>();
+    private final Map<String, CloudInstance> fresh = new LinkedHashMap<>();
 
     private final Map<String, Long> freshAt = new HashMap<>();
     private final Set<String> deleted = new HashSet<>();
@@ -68,21 +68,21 @@
     private final Map<String, Long> idleSince = new HashMap<>();
     private final Deque<CloudCall> urgent = new ArrayDeque<>();
     private List<MachineType> prices = List.of();
-    private List<Listed> pages = new ArrayList<>();
+    private List<CloudInstance> pages = new ArrayList<>();
     private boolean everListed;
     private boolean deletedLast;
     private long listAt = Long.MIN_VALUE / 2;
     private long typesAt = Long.MIN_VALUE / 2;
-    private long rentAt = Long.MIN_VALUE / 2;
+    private long scaleOutAt = Long.MIN_VALUE / 2;
     private long startedAt;
     private long term;
     private int sequence;
 
-    public Fleet(Params params, StateReplica replica, Consumer<String> log) {
-        this.params = params;
+    public Autoscaler(SchedulerConfig config, StateReplica replica, Consumer<String> log) {
+        this.config = config;
         this.replica = replica;
         this.log = log;
-        this.order = new JobOrder(params);
+        this.order = new JobOrder(config);
         this.capacities = new FreeCapacityCache(replica);
     }
 
@@ -102,7 +102,7 @@
         pages = new ArrayList<>();
         everListed = false;
         listAt = Long.MIN_VALUE / 2;
-        rentAt = Long.MIN_VALUE / 2;
+        scaleOutAt = Long.MIN_VALUE / 2;
     }
 
     public void wallClock(long offset) {
@@ -111,46 +111,47 @@
 
     /** The time between two calls, so that the cloud never has to refuse one. */
     public long spacingMs() {
-        return Math.round(1200 / params.cloudRps());
+        return Math.round(1200 / config.cloudRps());
     }
 
-    /** The next call to make, or null; {@code condemned} are empty machines that are of no use, {@code suspects} jobs that fail wherever they run. */
-    public CloudCall next(long now, Collection<Observation> reporting, List<String> condemned, Set<String> suspects) {
+    /** The next call to make, or null; {@code decommissioned} are empty machines that are of no use, {@code suspects} jobs that fail wherever they run. */
+    public CloudCall next(
+            long now, Collection<MachineStatus> heartbeating, List<String> decommissioned, Set<String> suspects) {
         if (!urgent.isEmpty()) {
             return urgent.poll();
         }
         if (prices.isEmpty() || now - typesAt > 60_000) {
             typesAt = now;
-            return new CloudCall.Types();
+            return new CloudCall.ListTypes();
         }
-        if (now - listAt > Math.max(2000, params.listLagMs() / 2)) {
+        if (now - listAt > Math.max(2000, config.listLagMs() / 2)) {
             listAt = now;
             pages = new ArrayList<>();
-            return new CloudCall.Page("");
+            return new CloudCall.ListInstances("");
         }
         if (!everListed) {
             return null;
         }
-        Map<String, Observation> known = new HashMap<>();
-        reporting.forEach(o -> known.put(o.machine(), o));
-        List<Supply> supply = new ArrayList<>();
+        Map<String, MachineStatus> known = new HashMap<>();
+        heartbeating.forEach(o -> known.put(o.machine(), o));
+        List<Capacity> capacity = new ArrayList<>();
         CloudCall call = null;
         // In turns: a wave of lost machines brings deletes for half a minute, and what replaces them can't wait so
         // long.
         if (deletedLast) {
-            call = rent(now, known, supply, suspects);
+            call = scaleOut(now, known, capacity, suspects);
         }
         if (call == null) {
-            call = condemned.isEmpty()
+            call = decommissioned.isEmpty()
                     ? delete(now, known)
-                    : new CloudCall.Delete(
-                            List.copyOf(condemned.subList(0, Math.min(condemned.size(), DELETE_AT_ONCE))));
+                    : new CloudCall.ScaleIn(
+                            List.copyOf(decommissioned.subList(0, Math.min(decommissioned.size(), DELETE_AT_ONCE))));
         }
         if (call == null && !deletedLast) {
-            call = rent(now, known, supply, suspects);
+            call = scaleOut(now, known, capacity, suspects);
         }
-        deletedLast = call instanceof CloudCall.Delete;
-        return call != null || supply.isEmpty() ? call : giveBack(now, supply, known);
+        deletedLast = call instanceof CloudCall.ScaleIn;
+        return call != null || capacity.isEmpty() ? call : giveBack(now, capacity, known);
     }
 
     public void onTypes(List<MachineType> types) {
@@ -158,16 +159,17 @@
     }
 
     /** A page came; a full one asks for the next. */
-    public void onPage(long now, List<Listed> page, boolean more) {
+    public void onPage(long now, List<CloudInstance> page, boolean more) {
         pages.addAll(page);
         if (more && !page.isEmpty()) {
-            urgent.addFirst(new CloudCall.Page(page.get(page.size() - 1).id()));
+            urgent.addFirst(
+                    new CloudCall.ListInstances(page.get(page.size() - 1).id()));
             return;
         }
         everListed = true;
-        Map<String, Listed> before = new HashMap<>(listed);
+        Map<String, CloudInstance> before = new HashMap<>(listed);
         listed.clear();
-        for (Listed m : pages) {
+        for (CloudInstance m : pages) {
             if (!deleted.contains(m.id())) {
                 listed.put(m.id(), m);
                 listedAt.putIfAbsent(m.id(), now);
@@ -181,31 +183,31 @@
             refusals.remove(new Offer(m.type(), m.zone(), m.spot()));
         });
         goneSince.keySet().removeAll(listed.keySet());
-        fresh.keySet().removeIf(id -> now - freshAt.get(id) > 3 * params.listLagMs() + 60_000);
+        fresh.keySet().removeIf(id -> now - freshAt.get(id) > 3 * config.listLagMs() + 60_000);
     }
 
     /** Machines that are up by the list, with their addresses. */
-    public List<Address> book() {
-        List<Address> list = new ArrayList<>();
-        for (Listed m : listed.values()) {
-            if (!m.address().isEmpty() && m.state() == Listed.State.RUNNING) {
-                list.add(new Address(m.id(), m.address(), m.zone()));
+    public List<MachineAddress> machineDirectory() {
+        List<MachineAddress> list = new ArrayList<>();
+        for (CloudInstance m : listed.values()) {
+            if (!m.address().isEmpty() && m.state() == CloudInstance.State.RUNNING) {
+                list.add(new MachineAddress(m.id(), m.address(), m.zone()));
             }
         }
         return list;
     }
 
     /** Machines that left the list long ago: the cloud has taken them, and their worker would be long silent. */
-    public List<String> vanished(long now, Collection<Observation> reporting) {
+    public List<String> vanished(long now, Collection<MachineStatus> heartbeating) {
         Set<String> heard = new HashSet<>();
-        reporting.forEach(o -> {
+        heartbeating.forEach(o -> {
             if (!o.silent()) {
                 heard.add(o.machine());
             }
         });
         List<String> ids = new ArrayList<>();
         goneSince.forEach((id, since) -> {
-            if (!heard.contains(id) && now - since > 2 * params.fenceMs() + 10 * params.listLagMs()) {
+            if (!heard.contains(id) && now - since > 2 * config.fenceMs() + 10 * config.listLagMs()) {
                 ids.add(id);
             }
         });
@@ -216,14 +218,14 @@
     /** Machines that the cloud lists as failed: nothing is on them. */
     public List<String> failed() {
         return listed.values().stream()
-                .filter(m -> m.state() == Listed.State.FAILED)
-                .map(Listed::id)
+                .filter(m -> m.state() == CloudInstance.State.FAILED)
+                .map(CloudInstance::id)
                 .toList();
     }
 
-    public void onRented(long now, CloudCall.Rent r, List<String> ids) {
+    public void onScaledOut(long now, CloudCall.ScaleOut r, List<String> ids) {
         for (String id : ids) {
-            fresh.put(id, new Listed(id, "", r.type(), r.zone(), r.spot(), Listed.State.BOOTING, 0));
+            fresh.put(id, new CloudInstance(id, "", r.type(), r.zone(), r.spot(), CloudInstance.State.BOOTING, 0));
             freshAt.put(id, now);
         }
         log.accept("rented " + ids.size() + " of " + r.count() + " " + describe(r));
@@ -234,11 +236,11 @@
         }
     }
 
-    public void onRefused(long now, CloudCall.Rent r) {
+    public void onRefused(long now, CloudCall.ScaleOut r) {
         refuse(now, r);
     }
 
-    private void refuse(long now, CloudCall.Rent r) {
+    private void refuse(long now, CloudCall.ScaleOut r) {
         Refusal f = refusals.computeIfAbsent(new Offer(r.type(), r.zone(), r.spot()), k -> new Refusal());
         f.inARow++;
         f.until = now + Math.min(Math.min(30_000, REFUSED_CALLS * spacingMs()), 4000L << Math.min(3, f.inARow - 1));
@@ -247,7 +249,7 @@
         }
     }
 
-    private static String describe(CloudCall.Rent r) {
+    private static String describe(CloudCall.ScaleOut r) {
         return r.type() + " in " + r.zone() + (r.spot() ? ", spot" : ", ordinary");
     }
 
@@ -260,33 +262,33 @@
         });
     }
 
-    private CloudCall delete(long now, Map<String, Observation> known) {
+    private CloudCall delete(long now, Map<String, MachineStatus> known) {
         // Machines that are up by the list and not told of count, too: it may be the telling that fails.
-        long silent = known.values().stream().filter(Observation::silent).count()
+        long silent = known.values().stream().filter(MachineStatus::silent).count()
                 + listed.values().stream()
-                        .filter(m -> m.state() == Listed.State.RUNNING && !known.containsKey(m.id()))
+                        .filter(m -> m.state() == CloudInstance.State.RUNNING && !known.containsKey(m.id()))
                         .count();
         List<String> ids = new ArrayList<>();
-        for (Listed m : listed.values()) {
+        for (CloudInstance m : listed.values()) {
             MachineType type = type(m.type());
             double bootS = type == null ? 60 : type.bootS();
             double ageS = m.ageS() + (now - listedAt.getOrDefault(m.id(), now)) / 1000.0;
-            Observation o = known.get(m.id());
-            if (m.state() == Listed.State.FAILED) {
+            MachineStatus o = known.get(m.id());
+            if (m.state() == CloudInstance.State.FAILED) {
                 ids.add(m.id());
-            } else if (o == null && m.state() == Listed.State.BOOTING && ageS > STUCK * bootS + 10) {
+            } else if (o == null && m.state() == CloudInstance.State.BOOTING && ageS > STUCK * bootS + 10) {
                 log.accept("machine " + m.id() + " is not up after " + Math.round(ageS) + " s and is given up");
                 ids.add(m.id());
-            } else if (m.state() == Listed.State.RUNNING
+            } else if (m.state() == CloudInstance.State.RUNNING
                     && (o == null || o.silent())
-                    && now - startedAt > params.leaseMs()
+                    && now - startedAt > config.leaseMs()
                     && hopeless(now, m.id(), known.size(), silent)) {
                 log.accept("machine " + m.id() + " stays silent and is given up");
                 ids.add(m.id());
             }
         }
         for (String id : replica.placedMachines()) {
-            Observation o = known.get(id);
+            MachineStatus o = known.get(id);
             if (!replica.placements(id).isEmpty() && (o == null || o.silent()) && unlisted(now, id)) {
                 log.accept("machine " + id + " is silent and not listed any more: deleting it proves its work gone");
                 ids.add(id);
@@ -296,7 +298,7 @@
         if (ids.size() > DELETE_AT_ONCE) {
             ids = ids.subList(0, DELETE_AT_ONCE);
         }
-        return ids.isEmpty() ? null : new CloudCall.Delete(List.copyOf(ids));
+        return ids.isEmpty() ? null : new CloudCall.ScaleIn(List.copyOf(ids));
     }
 
     /**
@@ -309,7 +311,7 @@
             return false;
         }
         Long since = goneSince.get(id);
-        return since != null ? now - since > params.listLagMs() : now - startedAt > 4 * params.listLagMs();
+        return since != null ? now - since > config.listLagMs() : now - startedAt > 4 * config.listLagMs();
     }
 
     private final Map<String, Long> silentSince = new HashMap<>();
@@ -322,21 +324,22 @@
     private boolean hopeless(long now, String id, int machines, long silentMachines) {
         long silent = now - silentSince.computeIfAbsent(id, k -> now);
         boolean few = silentMachines <= Math.max(2, machines / 8);
-        return silent > params.fenceMs() + 2 * params.leaseMs()
-                || few && !replica.placements(id).isEmpty() && silent > params.leaseMs() / 4;
+        return silent > config.fenceMs() + 2 * config.leaseMs()
+                || few && !replica.placements(id).isEmpty() && silent > config.leaseMs() / 4;
     }
 
-    /** What to rent next, or null; {@code supply} is filled with what there is and what the demand uses of it. */
-    private CloudCall rent(long now, Map<String, Observation> known, List<Supply> supply, Set<String> suspects) {
+    /** What to rent next, or null; {@code capacity} is filled with what there is and what the demand uses of it. */
+    private CloudCall scaleOut(
+            long now, Map<String, MachineStatus> known, List<Capacity> capacity, Set<String> suspects) {
         silentSince
                 .keySet()
                 .removeIf(id -> known.get(id) != null && !known.get(id).silent());
         if (replica.types().isEmpty()) {
             return null;
         }
-        supply.addAll(supply(known));
-        QuotaBook quota = QuotaBook.of(params, replica);
-        List<Supply> open = new ArrayList<>(supply);
+        capacity.addAll(capacity(known));
+        QuotaUsage quota = QuotaUsage.of(config, replica);
+        List<Capacity> open = new ArrayList<>(capacity);
         double least = replica.jobs().stream()
                 .filter(JobView::live)
                 .mapToDouble(j -> j.spec().cpus())
@@ -360,27 +363,27 @@
                 cover(now, job.spec(), tasks, open, wanted);
             }
         }
-        if (now - rentAt >= Math.min(1000, 2 * spacingMs())) {
+        if (now - scaleOutAt >= Math.min(1000, 2 * spacingMs())) {
             for (Map.Entry<Offer, Integer> e : wanted.entrySet()) {
-                rentAt = now;
+                scaleOutAt = now;
                 Offer o = e.getKey();
-                return new CloudCall.Rent(
+                return new CloudCall.ScaleOut(
                         "r-" + term + "-" + ++sequence,
                         o.type(),
                         o.zone(),
                         o.spot(),
-                        Math.min(RENT_AT_ONCE, e.getValue()));
+                        Math.min(SCALE_OUT_BATCH, e.getValue()));
             }
         }
         return null;
     }
 
-    private List<Supply> supply(Map<String, Observation> known) {
-        List<Supply> list = new ArrayList<>();
-        for (Observation o : known.values()) {
+    private List<Capacity> capacity(Map<String, MachineStatus> known) {
+        List<Capacity> list = new ArrayList<>();
+        for (MachineStatus o : known.values()) {
             MachineType type = replica.type(o.type());
-            if (type != null && !o.silent() && o.noticeS() == null) {
-                Supply s = new Supply(
+            if (type != null && !o.silent() && o.evictionNoticeS() == null) {
+                Capacity s = new Capacity(
                         o.machine(),
                         type,
                         o.zone(),
@@ -390,29 +393,29 @@
                 list.add(s);
             }
         }
-        for (Listed m : listed.values()) {
+        for (CloudInstance m : listed.values()) {
             addComing(m, known, list);
         }
-        for (Listed m : fresh.values()) {
+        for (CloudInstance m : fresh.values()) {
             addComing(m, known, list);
         }
         return list;
     }
 
-    private void addComing(Listed m, Map<String, Observation> known, List<Supply> list) {
+    private void addComing(CloudInstance m, Map<String, MachineStatus> known, List<Capacity> list) {
         MachineType type = replica.type(m.type());
-        if (type != null && m.state() != Listed.State.FAILED && !known.containsKey(m.id())) {
-            Supply s = new Supply(m.id(), type, m.zone(), m.spot(), new FreeCapacity(type));
+        if (type != null && m.state() != CloudInstance.State.FAILED && !known.containsKey(m.id())) {
+            Capacity s = new Capacity(m.id(), type, m.zone(), m.spot(), new FreeCapacity(type));
             s.used = true;
             list.add(s);
         }
     }
 
     /** Puts tasks where there is room, and counts the machines to rent for those that find none. */
-    private void cover(long now, JobSpec job, int tasks, List<Supply> supply, Map<Offer, Integer> wanted) {
+    private void cover(long now, JobSpec job, int tasks, List<Capacity> capacity, Map<Offer, Integer> wanted) {
         int left = tasks;
-        for (int i = 0; i < supply.size() && left > 0; i++) {
-            left -= supply.get(i).fill(job, left);
+        for (int i = 0; i < capacity.size() && left > 0; i++) {
+            left -= capacity.get(i).fill(job, left);
         }
         while (left > 0) {
             Offer best = null;
@@ -435,13 +438,13 @@
                     }
                 }
             }
-            if (best == null || wanted.getOrDefault(best, 0) >= RENT_AT_ONCE) {
+            if (best == null || wanted.getOrDefault(best, 0) >= SCALE_OUT_BATCH) {
                 return;
             }
             wanted.merge(best, 1, Integer::sum);
             MachineType type = type(best.type());
-            Supply s = new Supply("", type, best.zone(), best.spot(), new FreeCapacity(type));
-            supply.add(s);
+            Capacity s = new Capacity("", type, best.zone(), best.spot(), new FreeCapacity(type));
+            capacity.add(s);
             left -= s.fill(job, left);
         }
     }
@@ -450,9 +453,9 @@
      * Returns machines that the demand has had no use for during a while: a few boots, so that bursts don't churn. A part
      * of the fleet at a time, since what else the cloud is to do waits meanwhile.
      */
-    private CloudCall giveBack(long now, List<Supply> supply, Map<String, Observation> known) {
+    private CloudCall giveBack(long now, List<Capacity> capacity, Map<String, MachineStatus> known) {
         List<String> idle = new ArrayList<>();
-        for (Supply s : supply) {
+        for (Capacity s : capacity) {
             if (s.used || !known.containsKey(s.id)) {
                 idleSince.remove(s.id);
             } else if (now - idleSince.computeIfAbsent(s.id, k -> now) > 1000 * (60 + 4 * s.type.bootS())) {
@@ -465,7 +468,7 @@
         idle.sort(Comparator.comparing(idleSince::get));
         List<String> most = List.copyOf(idle.subList(0, Math.min(idle.size(), 1 + known.size() / RETURNED_OF_FLEET)));
         log.accept("machines " + String.join(", ", most) + " are idle and are returned");
-        return new CloudCall.Delete(most);
+        return new CloudCall.ScaleIn(most);
     }
 
     private MachineType type(String name) {
--- a/src/main/java/garnetscale/core/fleet/Supply.java
+++ b/src/main/java/garnetscale/core/autoscaling/Capacity.java
@@ -1,12 +1,12 @@
-package garnetscale.core.fleet;
+package garnetscale.core.autoscaling;
 
 import garnetscale.core.job.JobSpec;
-import garnetscale.core.line.JobQueue;
 import garnetscale.core.machine.FreeCapacity;
 import garnetscale.core.machine.MachineType;
+import garnetscale.core.queue.JobQueue;
 
 /** A machine that is there, on its way, or only thought of, with the room that is left on it. */
-final class Supply {
+final class Capacity {
 
     final String id;
     final MachineType type;
@@ -16,7 +16,7 @@
     /** Whether the demand at hand puts anything on it. */
     boolean used;
 
-    Supply(String id, MachineType type, String zone, boolean spot, FreeCapacity room) {
+    Capacity(String id, MachineType type, String zone, boolean spot, FreeCapacity room) {
         this.id = id;
         this.type = type;
         this.zone = zone;
--- a/src/main/java/garnetscale/core/fleet/CloudCall.java
+++ b/src/main/java/garnetscale/core/autoscaling/CloudCall.java
@@ -1,4 +1,4 @@
-package garnetscale.core.fleet;
+package garnetscale.core.autoscaling;
 
 import java.util.List;
 
@@ -6,14 +6,14 @@
 public sealed interface CloudCall {
 
     /** The machine types with their current prices. */
-    record Types() implements CloudCall {}
+    record ListTypes() implements CloudCall {}
 
     /** One page of the machine list, after the named machine. */
-    record Page(String after) implements CloudCall {}
+    record ListInstances(String after) implements CloudCall {}
 
     /** A rental. The request's name is never used again, since a repeat of an answered one rents nothing. */
-    record Rent(String request, String type, String zone, boolean spot, int count) implements CloudCall {}
+    record ScaleOut(String request, String type, String zone, boolean spot, int count) implements CloudCall {}
 
     /** Deletes machines, which may be gone already. */
-    record Delete(List<String> machines) implements CloudCall {}
+    record ScaleIn(List<String> machines) implements CloudCall {}
 }
--- a/src/main/java/garnetscale/core/balance/MoveBudget.java
+++ b/src/main/java/garnetscale/core/balance/MoveBudget.java
@@ -140,7 +140,7 @@
      * Takes back moves whose transaction turned out not to have been applied, and returns those that were. Must be asked only
      * when no transaction is under way and none can be applied late.
      */
-    public List<Move> settle(Predicate<Move> isUnchanged) {
+    public List<Move> reconcile(Predicate<Move> isUnchanged) {
         List<Move> stored = new ArrayList<>();
         for (Move move : unconfirmed) {
             if (isUnchanged.test(move)) {
--- a/src/main/java/garnetscale/core/balance/MovePlanner.java
+++ b/src/main/java/garnetscale/core/balance/MovePlanner.java
@@ -1,9 +1,9 @@
 package garnetscale.core.balance;
 
-import garnetscale.core.bid.LateBids;
+import garnetscale.core.bidding.LateBids;
 import garnetscale.core.job.JobSpec;
-import garnetscale.core.line.JobQueue;
 import garnetscale.core.machine.FreeCapacity;
+import garnetscale.core.queue.JobQueue;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
@@ -191,7 +191,7 @@
 
     /** Tasks that are bound by where the others of their job are stay in their zone: anywhere else they might not be placed. */
     private boolean mayGo(SourceMachine from, JobSpec job, Offer offer) {
-        boolean isBound = job.oneZone() || job.spread();
+        boolean isBound = job.zoneAffinity() || job.zoneAntiAffinity();
         return input.load().isKnown(offer.machine())
                 && input.load().isKnown(offer.group())
                 && (!isBound || offer.group().zone().equals(from.group().zone()));
--- a/src/main/java/garnetscale/core/balance/Offer.java
+++ b/src/main/java/garnetscale/core/balance/Offer.java
@@ -1,8 +1,8 @@
 package garnetscale.core.balance;
 
 import garnetscale.core.job.JobSpec;
-import garnetscale.core.line.JobQueue;
 import garnetscale.core.machine.MachineType;
+import garnetscale.core.queue.JobQueue;
 
 /**
  * A bid for a task of a job, as the planner sees it.
--- a/src/main/java/garnetscale/core/balance/WaitForecast.java
+++ b/src/main/java/garnetscale/core/balance/WaitForecast.java
@@ -74,11 +74,11 @@
         int slots = free.slots(job);
         stopped.forEach(task -> free.giveBack(task.job()));
         slots = add(machine, free, slots, stopS, found);
-        Set<RunningTask> gone = new HashSet<>(stopped);
+        Set<RunningTask> terminated = new HashSet<>(stopped);
         List<RunningTask> byEnd = new ArrayList<>(machine.tasks());
         byEnd.sort(Comparator.comparingDouble(RunningTask::remainingS));
         for (RunningTask task : byEnd) {
-            if (!gone.contains(task)) {
+            if (!terminated.contains(task)) {
                 free.giveBack(task.job());
                 slots = add(machine, free, slots, Math.max(stopS, task.remainingS()), found);
             }
--- a/src/main/java/garnetscale/core/bid/Auction.java
+++ b/src/main/java/garnetscale/core/bidding/Auction.java
@@ -1,10 +1,10 @@
-package garnetscale.core.bid;
+package garnetscale.core.bidding;
 
 import com.google.common.collect.ArrayListMultimap;
 import com.google.common.collect.ListMultimap;
-import garnetscale.core.block.BlockLease;
-import garnetscale.core.store.JobView;
-import garnetscale.core.store.StateReplica;
+import garnetscale.core.partition.PartitionLease;
+import garnetscale.core.state.JobView;
+import garnetscale.core.state.StateReplica;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
@@ -37,7 +37,7 @@
 
     public void onBatch(long now, BidBatch batch) {
         BidBatch before = batches.get(batch.node());
-        if (before != null && before.incarnation() == batch.incarnation() && before.ledger() > batch.ledger()) {
+        if (before != null && before.incarnation() == batch.incarnation() && before.revision() > batch.revision()) {
             return;
         }
         batches.put(batch.node(), batch);
@@ -82,26 +82,26 @@
     private boolean allHaveBid(JobView job) {
         int speaking = 0;
         for (BidBatch s : batches.values()) {
-            if (s.ledger() >= job.stamp()) {
+            if (s.revision() >= job.modRevision()) {
                 for (Map.Entry<String, Long> e : s.terms().entrySet()) {
                     speaking += isCurrent(s, e.getKey(), e.getValue()) ? 1 : 0;
                 }
             }
         }
-        return speaking == replica.blockCount();
+        return speaking == replica.partitionCount();
     }
 
-    private boolean isCurrent(BidBatch batch, String block, long term) {
-        BlockLease lease = replica.block(block);
+    private boolean isCurrent(BidBatch batch, String partition, long term) {
+        PartitionLease lease = replica.partition(partition);
         return lease != null && lease.term() == term && lease.incarnation() == batch.incarnation();
     }
 
     /** Whether the node that speaks for the block has bid under its present term. */
-    public boolean speaksFor(String block) {
-        BlockLease lease = replica.block(block);
-        BidBatch s = lease == null ? null : batches.get(lease.holder());
-        Long term = s == null ? null : s.terms().get(block);
-        return term != null && isCurrent(s, block, term);
+    public boolean speaksFor(String partition) {
+        PartitionLease lease = replica.partition(partition);
+        BidBatch s = lease == null ? null : batches.get(lease.owner());
+        Long term = s == null ? null : s.terms().get(partition);
+        return term != null && isCurrent(s, partition, term);
     }
 
     /** Bids for a job, in no order. */
--- a/src/main/java/garnetscale/core/bid/BidBatch.java
+++ b/src/main/java/garnetscale/core/bidding/BidBatch.java
@@ -1,4 +1,4 @@
-package garnetscale.core.bid;
+package garnetscale.core.bidding;
 
 import java.util.List;
 import java.util.Map;
@@ -8,4 +8,4 @@
  *
  * @param terms the blocks that the holder speaks for, with their terms
  */
-public record BidBatch(String node, long incarnation, long ledger, Map<String, Long> terms, List<Bid> bids) {}
+public record BidBatch(String node, long incarnation, long revision, Map<String, Long> terms, List<Bid> bids) {}
--- a/src/main/java/garnetscale/core/bid/Bidding.java
+++ b/src/main/java/garnetscale/core/bidding/Bidding.java
@@ -1,12 +1,12 @@
-package garnetscale.core.bid;
+package garnetscale.core.bidding;
 
 import garnetscale.core.job.JobSpec;
-import garnetscale.core.line.JobQueue;
-import garnetscale.core.line.Scarcity;
 import garnetscale.core.machine.FreeCapacity;
 import garnetscale.core.machine.MachineType;
-import garnetscale.core.store.JobView;
-import garnetscale.core.store.StateReplica;
+import garnetscale.core.queue.JobQueue;
+import garnetscale.core.queue.ScarceTypeFilter;
+import garnetscale.core.state.JobView;
+import garnetscale.core.state.StateReplica;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.HashMap;
@@ -25,7 +25,7 @@
     /** A machine that may bid, and what is free on it. */
     public static final class Bidder {
         private final String machine;
-        private final long shift;
+        private final long agentEpoch;
         private final MachineType type;
         private final String zone;
         private final boolean spot;
@@ -37,9 +37,9 @@
         private int heads;
         private JobView last;
 
-        public Bidder(String machine, long shift, MachineType type, String zone, boolean spot, FreeCapacity room) {
+        public Bidder(String machine, long agentEpoch, MachineType type, String zone, boolean spot, FreeCapacity room) {
             this.machine = machine;
-            this.shift = shift;
+            this.agentEpoch = agentEpoch;
             this.type = type;
             this.zone = zone;
             this.spot = spot;
@@ -70,7 +70,7 @@
     private double overbooked;
     private final StateReplica replica;
     private final Estimator estimator;
-    private final Scarcity scarcity;
+    private final ScarceTypeFilter scarcity;
     private final long wallMs;
     private final Set<String> suspects;
     private final Map<List<Object>, Kind> kinds = new HashMap<>();
@@ -78,7 +78,8 @@
     private final List<Bidder> samples = new ArrayList<>();
 
     /** {@code suspects}: jobs that fail wherever they run, of which a task at a time is tried. */
-    public Bidding(StateReplica replica, Estimator estimator, Scarcity scarcity, long wallMs, Set<String> suspects) {
+    public Bidding(
+            StateReplica replica, Estimator estimator, ScarceTypeFilter scarcity, long wallMs, Set<String> suspects) {
         this.suspects = suspects;
         this.replica = replica;
         this.estimator = estimator;
@@ -169,7 +170,7 @@
         for (int i = 0; i < found && missing > 0; i++) {
             Bidder b = open[(int) (offers[i] & (1 << PLACE_BITS) - 1)];
             int slots = Math.min((taken ? b.whole : b.left).slots(spec), tasks);
-            bids.add(new Bid(b.machine, b.shift, spec.id(), slots, (offers[i] >> PLACE_BITS) / 10.0));
+            bids.add(new Bid(b.machine, b.agentEpoch, spec.id(), slots, (offers[i] >> PLACE_BITS) / 10.0));
             b.heads++;
             b.last = job;
             if (taken) {
--- a/src/main/java/garnetscale/core/bid/Estimator.java
+++ b/src/main/java/garnetscale/core/bidding/Estimator.java
@@ -1,4 +1,4 @@
-package garnetscale.core.bid;
+package garnetscale.core.bidding;
 
 import garnetscale.core.job.JobSpec;
 import garnetscale.core.machine.MachineType;
@@ -53,9 +53,9 @@
         }
     };
 
-    /** Run times are seen through reports; {@code reportMs} is how far apart these are. */
-    public Estimator(long reportMs) {
-        slackS = reportMs / 1000.0;
+    /** Run times are seen through reports; {@code heartbeatIntervalMs} is how far apart these are. */
+    public Estimator(long heartbeatIntervalMs) {
+        slackS = heartbeatIntervalMs / 1000.0;
     }
 
     /** A task of the job ran to completion on the machine in so many seconds. */
@@ -75,7 +75,7 @@
     }
 
     /** Judges a machine by what it completed and what runs on it now. */
-    public void judge(String machine, Iterable<UnderWay> running) {
+    public void evaluate(String machine, Iterable<UnderWay> running) {
         Account a = byMachine.computeIfAbsent(machine, k -> new Account());
         double took = a.took;
         double expected = a.expected;
@@ -122,7 +122,7 @@
      * ordinary machines while those have room.
      */
     public static double spotRiskS(JobSpec job, double runS) {
-        double lost = job.savesProgress() ? Math.min(runS, job.checkpointS()) : runS;
+        double lost = job.writesCheckpoints() ? Math.min(runS, job.checkpointS()) : runS;
         return runS / TAKEN_S * (lost / 2 + runS / 4);
     }
 
--- a/src/main/java/garnetscale/core/bid/LateBids.java
+++ b/src/main/java/garnetscale/core/bidding/LateBids.java
@@ -1,4 +1,4 @@
-package garnetscale.core.bid;
+package garnetscale.core.bidding;
 
 /**
  * The paper's late bid: a machine that could finish a task much earlier than the one that it runs on takes it
--- a/src/main/java/garnetscale/core/job/JobSpec.java
+++ b/src/main/java/garnetscale/core/job/JobSpec.java
@@ -17,14 +17,14 @@
         double memoryGb,
         List<String> types,
         String zone,
-        boolean oneZone,
-        boolean spread,
+        boolean zoneAffinity,
+        boolean zoneAntiAffinity,
         boolean spot,
         String image,
         double imageGb,
         double estimateS,
         double checkpointS,
-        double saveS,
+        double checkpointWriteS,
         Double deadlineS) {
 
     public boolean allowsType(String type) {
@@ -36,7 +36,7 @@
     }
 
     /** A task that never saves loses all its work when it is stopped. */
-    public boolean savesProgress() {
+    public boolean writesCheckpoints() {
         return checkpointS > 0;
     }
 }
--- a/src/main/java/garnetscale/core/lead/AttemptNumbers.java
+++ b/src/main/java/garnetscale/core/leader/AttemptNumbers.java
@@ -1,6 +1,6 @@
-package garnetscale.core.lead;
+package garnetscale.core.leader;
 
-import garnetscale.core.block.Terms;
+import garnetscale.core.partition.FencingTokens;
 
 /**
  * Numbers the attempts that a leader places. They are numbered inside its term; once those of a term are used up the leader
@@ -26,10 +26,10 @@
     }
 
     long next() {
-        if (sequence >= Terms.MOST_ATTEMPTS) {
+        if (sequence >= FencingTokens.MAX_ATTEMPTS) {
             throw new IllegalStateException("the attempts of term " + term + " are used up");
         }
-        return Terms.attempt(term, ++sequence);
+        return FencingTokens.attempt(term, ++sequence);
     }
 
     /** How many were given in this term. */
@@ -38,6 +38,6 @@
     }
 
     boolean isNearlyUsedUp() {
-        return sequence >= Terms.MOST_ATTEMPTS - RESERVED;
+        return sequence >= FencingTokens.MAX_ATTEMPTS - RESERVED;
     }
 }
--- a/src/main/java/garnetscale/core/lead/AwardTimes.java
+++ b/src/main/java/garnetscale/core/leader/AwardTimes.java
@@ -1,4 +1,4 @@
-package garnetscale.core.lead;
+package garnetscale.core.leader;
 
 import java.util.Map;
 import java.util.TreeMap;
--- a/src/main/java/garnetscale/core/lead/Balancer.java
+++ b/src/main/java/garnetscale/core/leader/Balancer.java
@@ -1,6 +1,6 @@
-package garnetscale.core.lead;
+package garnetscale.core.leader;
 
-import garnetscale.core.Params;
+import garnetscale.core.SchedulerConfig;
 import garnetscale.core.balance.BalanceSettings;
 import garnetscale.core.balance.LoadSnapshot;
 import garnetscale.core.balance.MachineGroup;
@@ -11,19 +11,19 @@
 import garnetscale.core.balance.RunningTask;
 import garnetscale.core.balance.SourceMachine;
 import garnetscale.core.balance.WaitingJob;
-import garnetscale.core.bid.Auction;
-import garnetscale.core.bid.Bid;
-import garnetscale.core.bid.Estimator;
+import garnetscale.core.bidding.Auction;
+import garnetscale.core.bidding.Bid;
+import garnetscale.core.bidding.Estimator;
 import garnetscale.core.job.JobSpec;
 import garnetscale.core.job.Priority;
-import garnetscale.core.line.JobOrder;
-import garnetscale.core.line.JobQueue;
 import garnetscale.core.machine.FreeCapacity;
 import garnetscale.core.machine.MachineType;
 import garnetscale.core.machine.Placement;
-import garnetscale.core.store.FreeCapacityCache;
-import garnetscale.core.store.JobView;
-import garnetscale.core.store.StateReplica;
+import garnetscale.core.queue.JobOrder;
+import garnetscale.core.queue.JobQueue;
+import garnetscale.core.state.FreeCapacityCache;
+import garnetscale.core.state.JobView;
+import garnetscale.core.state.StateReplica;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -41,17 +41,17 @@
     /** A start counts for its user's aims once it wasn't stopped for so long [PROTOCOL, "How aims are counted"]. */
     private static final double START_COUNTS_S = 30;
     /** A save may take longer than its job says. */
-    private static final double SAVE_SLACK = 1.5;
+    private static final double CHECKPOINT_SLACK = 1.5;
 
     private static final double MILLIS = 1000;
 
-    private final Params params;
+    private final SchedulerConfig config;
     private final BalanceSettings settings;
     private final StateReplica replica;
     private final Auction auction;
     private final Estimator estimator;
     private final JobOrder order;
-    private final Failures failures;
+    private final FailureTracker failures;
     private final Map<String, MachineState> machines;
     private final FreeCapacityCache capacities;
     private final AwardTimes awardTimes;
@@ -63,18 +63,18 @@
     private long dueAt = Long.MIN_VALUE / 2;
 
     Balancer(
-            Params params,
+            SchedulerConfig config,
             StateReplica replica,
             Auction auction,
             Estimator estimator,
             JobOrder order,
-            Failures failures,
+            FailureTracker failures,
             Map<String, MachineState> machines,
             FreeCapacityCache capacities,
             AwardTimes awardTimes,
             Consumer<String> log) {
-        this.params = params;
-        this.settings = params.features().balance();
+        this.config = config;
+        this.settings = config.features().balance();
         this.replica = replica;
         this.auction = auction;
         this.estimator = estimator;
@@ -84,9 +84,9 @@
         this.capacities = capacities;
         this.awardTimes = awardTimes;
         this.log = log;
-        this.observer = new LoadObserver(params, replica, auction, estimator);
-        this.budget = new MoveBudget(settings.moving(), params.leaseMs());
-        for (Params.Objective objective : params.objectives()) {
+        this.observer = new LoadObserver(config, replica, auction, estimator);
+        this.budget = new MoveBudget(settings.moving(), config.leaseMs());
+        for (SchedulerConfig.ServiceLevelObjective objective : config.objectives()) {
             if (objective.kind().equals("wait")) {
                 mustStartSoon.add(objective.jobClass());
             }
@@ -122,8 +122,8 @@
     }
 
     /** Takes back what was decided in a transaction that wasn't applied; called before each draft. */
-    void settle() {
-        for (Move move : budget.settle(this::isUnchanged)) {
+    void reconcile() {
+        for (Move move : budget.reconcile(this::isUnchanged)) {
             log.accept("task " + move.task() + " is moved from " + move.machine() + " (" + move.from() + "), for "
                     + (move.beneficiary() == null ? "an earlier end" : "job " + move.beneficiary())
                     + "; a bid from " + move.to() + " gains " + Math.round(move.gainCpuS()) + " CPU-s for "
@@ -138,11 +138,11 @@
     }
 
     /** Updates the picture and plans moves, once in a report interval. */
-    void plan(Turn turn) {
+    void plan(SchedulingCycle turn) {
         if (!settings.enabled() || turn.now() < dueAt) {
             return;
         }
-        dueAt = turn.now() + params.reportMs();
+        dueAt = turn.now() + config.heartbeatIntervalMs();
         LoadSnapshot load = observer.update(turn);
         wanted = Set.of();
         if (budget.isQuiet(turn.now())) {
@@ -165,11 +165,11 @@
         }
     }
 
-    private void stop(Turn turn, Move move) {
+    private void stop(SchedulingCycle turn, Move move) {
         for (Placement placement : turn.draft().placements(move.machine())) {
             if (placement.attempt() == move.attempt() && turn.draft().hasRoom(false)) {
                 JobView job = replica.job(placement.task().job());
-                Placement.Stop how = job.spec().savesProgress() ? Placement.Stop.SAVE : Placement.Stop.NOW;
+                Placement.Stop how = job.spec().writesCheckpoints() ? Placement.Stop.CHECKPOINT : Placement.Stop.NOW;
                 turn.draft().stop(move.machine(), placement, how);
                 return;
             }
@@ -179,7 +179,7 @@
     // ---- who waits
 
     /** Jobs that wait although no bidder has room, for a report interval or longer, while work of lower priority is placed. */
-    private List<WaitingJob> waitingForRoom(Turn turn) {
+    private List<WaitingJob> waitingForRoom(SchedulingCycle turn) {
         Priority lowest = null;
         for (JobView job : replica.jobs()) {
             Priority priority = job.spec().priority();
@@ -201,10 +201,10 @@
     }
 
     /** Jobs that are bound by where their other tasks are don't count: room in another zone might be of no use to them. */
-    private boolean findsNoRoom(Turn turn, JobView job) {
-        return !job.spec().oneZone()
-                && !job.spec().spread()
-                && turn.wallMs() - job.job().submittedMs() >= params.reportMs()
+    private boolean findsNoRoom(SchedulingCycle turn, JobView job) {
+        return !job.spec().zoneAffinity()
+                && !job.spec().zoneAntiAffinity()
+                && turn.wallMs() - job.job().submittedMs() >= config.heartbeatIntervalMs()
                 && auction.bids(job.spec().id()).stream().allMatch(bid -> slots(turn, bid, job.spec()) == 0)
                 && !failures.isSuspect(job.spec().id())
                 && turn.draft().quota().allows(job.spec());
@@ -213,10 +213,10 @@
     // ---- what runs where
 
     private boolean isSlow(MachineState machine) {
-        return !machine.condemned && estimator.machineFactor(machine.id) > 1;
+        return !machine.decommissioned && estimator.machineFactor(machine.id) > 1;
     }
 
-    private List<SourceMachine> sources(Turn turn, LoadSnapshot load) {
+    private List<SourceMachine> sources(SchedulingCycle turn, LoadSnapshot load) {
         List<SourceMachine> sources = new ArrayList<>();
         for (MachineState machine : turn.machines()) {
             if (load.isKnown(machine.id) && load.machines().get(machine.id).serving()) {
@@ -226,7 +226,7 @@
         return sources;
     }
 
-    private SourceMachine source(Turn turn, MachineState machine) {
+    private SourceMachine source(SchedulingCycle turn, MachineState machine) {
         MachineType type = replica.type(machine.last.type());
         FreeCapacity free = new FreeCapacity(type);
         List<RunningTask> tasks = new ArrayList<>();
@@ -257,15 +257,15 @@
                 placement.attempt(),
                 spec,
                 estimator.remainingS(spec, machine.id, ranAtMostS),
-                spec.savesProgress() ? seenRunningS : 0,
+                spec.writesCheckpoints() ? seenRunningS : 0,
                 stopS(spec),
                 job.live() && awardedAt != null && !isStartPending);
     }
 
     /** Until a stop that is decided now has freed the room: the holder's command, the save, and the report that proves it. */
     private double stopS(JobSpec job) {
-        double saving = job.savesProgress() ? job.saveS() * SAVE_SLACK + 1 : 0;
-        return saving + params.reportMs() / MILLIS;
+        double checkpointing = job.writesCheckpoints() ? job.checkpointWriteS() * CHECKPOINT_SLACK + 1 : 0;
+        return checkpointing + config.heartbeatIntervalMs() / MILLIS;
     }
 
     /** Jobs with a task that could leave room to one that waits, or a slow machine. */
@@ -288,13 +288,13 @@
         return jobs;
     }
 
-    private int placed(Turn turn) {
+    private int placed(SchedulingCycle turn) {
         return turn.machines().stream()
                 .mapToInt(machine -> turn.draft().placements(machine.id).size())
                 .sum();
     }
 
-    private int stopping(Turn turn) {
+    private int stopping(SchedulingCycle turn) {
         return (int) turn.machines().stream()
                 .flatMap(machine -> turn.draft().placements(machine.id).stream())
                 .filter(placement -> placement.stop() != Placement.Stop.KEEP)
@@ -303,7 +303,7 @@
 
     // ---- who bids
 
-    private Map<String, List<Offer>> offers(Turn turn) {
+    private Map<String, List<Offer>> offers(SchedulingCycle turn) {
         Map<String, List<Offer>> offers = new HashMap<>();
         for (String id : wanted) {
             JobSpec job = replica.job(id).spec();
@@ -329,7 +329,7 @@
      * How many tasks of the job a bidder has room for, by its bid and by what is stored: a batch that takes its bids back may
      * have been lost with its connection.
      */
-    private int slots(Turn turn, Bid bid, JobSpec job) {
+    private int slots(SchedulingCycle turn, Bid bid, JobSpec job) {
         MachineState machine = machines.get(bid.machine());
         if (machine == null || !isUsable(turn.now(), machine, bid)) {
             return 0;
@@ -341,9 +341,9 @@
     private boolean isUsable(long now, MachineState machine, Bid bid) {
         return replica.type(machine.last.type()) != null
                 && !machine.last.silent()
-                && machine.last.noticeS() == null
-                && machine.last.shift() == bid.shift()
+                && machine.last.evictionNoticeS() == null
+                && machine.last.agentEpoch() == bid.agentEpoch()
                 && now >= machine.avoidUntil
-                && !machine.condemned;
+                && !machine.decommissioned;
     }
 }
--- a/src/main/java/garnetscale/core/lead/DrainStops.java
+++ b/src/main/java/garnetscale/core/leader/DrainStops.java
@@ -1,10 +1,10 @@
-package garnetscale.core.lead;
+package garnetscale.core.leader;
 
-import garnetscale.core.bid.Estimator;
+import garnetscale.core.bidding.Estimator;
 import garnetscale.core.job.JobSpec;
 import garnetscale.core.machine.Placement;
-import garnetscale.core.store.JobView;
-import garnetscale.core.store.StateReplica;
+import garnetscale.core.state.JobView;
+import garnetscale.core.state.StateReplica;
 import java.util.function.Consumer;
 
 /**
@@ -16,30 +16,30 @@
     /** Estimates are rough: a task is given up for lost only when it would need this many times what is left. */
     private static final double SURELY = 1.3;
     /** A save may take longer than its job says. */
-    private static final double SAVE_SLACK = 1.5;
+    private static final double CHECKPOINT_SLACK = 1.5;
 
     private final StateReplica replica;
     private final Estimator estimator;
-    private final double reportS;
+    private final double heartbeatIntervalS;
     private final Consumer<String> log;
 
-    DrainStops(StateReplica replica, Estimator estimator, long reportMs, Consumer<String> log) {
+    DrainStops(StateReplica replica, Estimator estimator, long heartbeatIntervalMs, Consumer<String> log) {
         this.replica = replica;
         this.estimator = estimator;
-        this.reportS = reportMs / 1000.0;
+        this.heartbeatIntervalS = heartbeatIntervalMs / 1000.0;
         this.log = log;
     }
 
-    void plan(Turn turn) {
+    void plan(SchedulingCycle turn) {
         for (MachineState machine : turn.machines()) {
-            if (machine.last.noticeS() != null && !machine.last.silent()) {
+            if (machine.last.evictionNoticeS() != null && !machine.last.silent()) {
                 drain(turn, machine);
             }
         }
     }
 
-    private void drain(Turn turn, MachineState machine) {
-        double left = machine.last.noticeS() - (turn.now() - machine.seen) / 1000.0;
+    private void drain(SchedulingCycle turn, MachineState machine) {
+        double left = machine.last.evictionNoticeS() - (turn.now() - machine.seen) / 1000.0;
         for (Placement placement : replica.placements(machine.id)) {
             JobView job = replica.job(placement.task().job());
             if (job == null
@@ -49,11 +49,11 @@
                 continue;
             }
             JobSpec spec = job.spec();
-            double saving = spec.saveS() * SAVE_SLACK + 1 + reportS;
+            double checkpointing = spec.checkpointWriteS() * CHECKPOINT_SLACK + 1 + heartbeatIntervalS;
             boolean isLost = remainingS(turn.now(), machine, placement, spec) > left * SURELY;
-            if (isLost && (!spec.savesProgress() || left < 2 * saving)) {
-                boolean saves = spec.savesProgress() && left > spec.saveS();
-                turn.draft().stop(machine.id, placement, saves ? Placement.Stop.SAVE : Placement.Stop.NOW);
+            if (isLost && (!spec.writesCheckpoints() || left < 2 * checkpointing)) {
+                boolean saves = spec.writesCheckpoints() && left > spec.checkpointWriteS();
+                turn.draft().stop(machine.id, placement, saves ? Placement.Stop.CHECKPOINT : Placement.Stop.NOW);
                 log.accept("task " + placement.task() + " is stopped on " + machine.id + ", which is taken in "
                         + Math.round(left) + " s");
             }
--- a/src/main/java/garnetscale/core/lead/Failures.java
+++ b/src/main/java/garnetscale/core/leader/FailureTracker.java
@@ -1,4 +1,4 @@
-package garnetscale.core.lead;
+package garnetscale.core.leader;
 
 import garnetscale.core.job.TaskId;
 import java.util.HashMap;
@@ -16,7 +16,7 @@
  * tried ever more rarely, with a task at a time, until one of its tasks completes or its user cancels it. Of a job that
  * has completed tasks, single tasks are told from machines in the same way.
  */
-public final class Failures {
+public final class FailureTracker {
 
     /** Machines that a job must fail on, without completing a task, before it is the suspect. */
     private static final int SUSPECT = 3;
--- a/src/main/java/garnetscale/core/lead/Reserve.java
+++ b/src/main/java/garnetscale/core/leader/HeadroomReserve.java
@@ -1,9 +1,9 @@
-package garnetscale.core.lead;
+package garnetscale.core.leader;
 
-import garnetscale.core.Params;
+import garnetscale.core.SchedulerConfig;
 import garnetscale.core.job.JobSpec;
 import garnetscale.core.job.Priority;
-import garnetscale.core.store.JobView;
+import garnetscale.core.state.JobView;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.Map;
@@ -14,7 +14,7 @@
  * can't be met by room that has yet to come free, so less urgent work leaves as much free as such jobs usually
  * take when they come. Work that has itself waited for long isn't held back any more.
  */
-final class Reserve {
+final class HeadroomReserve {
 
     private static final double GAIN = 0.1;
     /** What comes is averaged over this time. */
@@ -33,10 +33,10 @@
     private final double aheadS;
     private long observedAt = Long.MIN_VALUE;
 
-    Reserve(Params params) {
-        aheadS = 3 * params.reportMs() / 1000.0;
-        for (Params.Objective o : params.objectives()) {
-            if (o.kind().equals("wait") && o.withinS() * 1000 <= 2 * params.reportMs()) {
+    HeadroomReserve(SchedulerConfig config) {
+        aheadS = 3 * config.heartbeatIntervalMs() / 1000.0;
+        for (SchedulerConfig.ServiceLevelObjective o : config.objectives()) {
+            if (o.kind().equals("wait") && o.withinS() * 1000 <= 2 * config.heartbeatIntervalMs()) {
                 tight.put(o.jobClass(), o.withinS());
             } else if (o.kind().equals("finished")) {
                 patience.merge(o.jobClass(), o.withinS() / 6, Math::min);
--- a/src/main/java/garnetscale/core/lead/LateBidStops.java
+++ b/src/main/java/garnetscale/core/leader/LateBidStops.java
@@ -1,12 +1,12 @@
-package garnetscale.core.lead;
+package garnetscale.core.leader;
 
-import garnetscale.core.bid.Auction;
-import garnetscale.core.bid.Bid;
-import garnetscale.core.bid.Estimator;
-import garnetscale.core.bid.LateBids;
+import garnetscale.core.bidding.Auction;
+import garnetscale.core.bidding.Bid;
+import garnetscale.core.bidding.Estimator;
+import garnetscale.core.bidding.LateBids;
 import garnetscale.core.machine.Placement;
-import garnetscale.core.store.JobView;
-import garnetscale.core.store.StateReplica;
+import garnetscale.core.state.JobView;
+import garnetscale.core.state.StateReplica;
 import java.util.Map;
 import java.util.function.Consumer;
 
@@ -32,15 +32,15 @@
         this.log = log;
     }
 
-    void plan(Turn turn) {
+    void plan(SchedulingCycle turn) {
         for (MachineState machine : turn.machines()) {
-            if (machine.condemned && !machine.last.silent()) {
+            if (machine.decommissioned && !machine.last.silent()) {
                 replica.placements(machine.id).forEach(placement -> restart(turn, machine, placement));
             }
         }
     }
 
-    private void restart(Turn turn, MachineState machine, Placement placement) {
+    private void restart(SchedulingCycle turn, MachineState machine, Placement placement) {
         Long since = machine.runningSince.get(placement.attempt());
         JobView job = replica.job(placement.task().job());
         if (since == null || job == null || !job.live() || placement.stop() != Placement.Stop.KEEP) {
@@ -52,7 +52,10 @@
                 && LateBids.accepts(earlier, bid.finishS())
                 && turn.draft().hasRoom(false)) {
             turn.draft()
-                    .stop(machine.id, placement, job.spec().savesProgress() ? Placement.Stop.SAVE : Placement.Stop.NOW);
+                    .stop(
+                            machine.id,
+                            placement,
+                            job.spec().writesCheckpoints() ? Placement.Stop.CHECKPOINT : Placement.Stop.NOW);
             log.accept("task " + placement.task() + " is stopped on " + machine.id + ": a late bid of " + bid.machine()
                     + " is better by " + Math.round(100 * LateBids.improvement(earlier, bid.finishS())) + "%");
         }
@@ -60,6 +63,6 @@
 
     private boolean mayTake(long now, Bid bid) {
         MachineState other = machines.get(bid.machine());
-        return other != null && !other.condemned && now >= other.avoidUntil;
+        return other != null && !other.decommissioned && now >= other.avoidUntil;
     }
 }
--- a/src/main/java/garnetscale/core/lead/Leader.java
+++ b/src/main/java/garnetscale/core/leader/Leader.java
@@ -1,29 +1,29 @@
-package garnetscale.core.lead;
+package garnetscale.core.leader;
 
-import garnetscale.core.Params;
+import garnetscale.core.SchedulerConfig;
 import garnetscale.core.balance.LoadSnapshot;
 import garnetscale.core.balance.Move;
-import garnetscale.core.bid.Auction;
-import garnetscale.core.bid.BidBatch;
-import garnetscale.core.bid.Estimator;
-import garnetscale.core.block.BlockLease;
-import garnetscale.core.block.Blocks;
-import garnetscale.core.block.LeaderInfo;
-import garnetscale.core.block.Observation;
+import garnetscale.core.bidding.Auction;
+import garnetscale.core.bidding.BidBatch;
+import garnetscale.core.bidding.Estimator;
 import garnetscale.core.job.TaskId;
-import garnetscale.core.line.JobOrder;
 import garnetscale.core.machine.ExitCause;
 import garnetscale.core.machine.Placement;
-import garnetscale.core.machine.ReportedTask;
-import garnetscale.core.quota.QuotaBook;
-import garnetscale.core.store.FreeCapacityCache;
-import garnetscale.core.store.JobView;
-import garnetscale.core.store.Keys;
-import garnetscale.core.store.Layouts;
-import garnetscale.core.store.LogWriter;
-import garnetscale.core.store.Records;
-import garnetscale.core.store.StateReplica;
-import garnetscale.core.store.Txn;
+import garnetscale.core.machine.TaskStatus;
+import garnetscale.core.partition.LeaderInfo;
+import garnetscale.core.partition.MachineStatus;
+import garnetscale.core.partition.PartitionLease;
+import garnetscale.core.partition.PartitionMap;
+import garnetscale.core.queue.JobOrder;
+import garnetscale.core.quota.QuotaUsage;
+import garnetscale.core.state.FreeCapacityCache;
+import garnetscale.core.state.JobView;
+import garnetscale.core.state.Keys;
+import garnetscale.core.state.Layouts;
+import garnetscale.core.state.LogWriter;
+import garnetscale.core.state.Records;
+import garnetscale.core.state.StateReplica;
+import garnetscale.core.state.Transaction;
 import garnetscale.core.upgrade.ClusterVersion;
 import garnetscale.core.upgrade.UpgradeCoordinator;
 import garnetscale.core.upgrade.UpgradeDecision;
@@ -49,32 +49,32 @@
     /** A machine this many times slower than its peers is given back. */
     private static final double SLOW = 2.2;
     /** Tasks of jobs that succeed elsewhere that fail on a machine in a row before it is given back. */
-    private static final int SICK = 4;
+    private static final int FAILURES_TO_DECOMMISSION = 4;
 
     /** What a holder says of an attempt, under a block's term; {@code task} is null when it is gone without an exit. */
-    private record Exit(String machine, String block, long term, long attempt, ReportedTask task) {}
+    private record Exit(String machine, String partition, long term, long attempt, TaskStatus task) {}
 
-    private final Params params;
+    private final SchedulerConfig config;
     private final StateReplica replica;
     private final Auction auction;
     private Set<String> lateJobs = Set.of();
-    private long judgedAt = Long.MIN_VALUE / 2;
+    private long evaluatedAt = Long.MIN_VALUE / 2;
     private final JobOrder order;
     private final Estimator estimator;
-    private final Reserve reserve;
+    private final HeadroomReserve reserve;
     private final FreeCapacityCache capacities;
     private final Consumer<String> log;
     private final Map<String, MachineState> machines = new LinkedHashMap<>();
     private final Long2ObjectHashMap<Exit> exits = new Long2ObjectHashMap<>();
     /** Attempts that a holder calls gone, with the block term that it says so under. */
-    private final Long2ObjectHashMap<Exit> gone = new Long2ObjectHashMap<>();
+    private final Long2ObjectHashMap<Exit> terminated = new Long2ObjectHashMap<>();
     /** Machines that the cloud says are gone for good. */
-    private final Set<String> dead = new HashSet<>();
+    private final Set<String> terminatedMachines = new HashSet<>();
 
-    private final Failures failures = new Failures();
+    private final FailureTracker failures = new FailureTracker();
     private boolean suspectNews;
-    private final PeerHealth health;
-    private final BlockAssignment assignment;
+    private final PeerFailureDetector health;
+    private final PartitionAssigner assignment;
 
     private long notBefore = Long.MIN_VALUE;
     private long leaderSeenAt;
@@ -95,28 +95,28 @@
 
     private long wallOffset;
 
-    public Leader(Params params, StateReplica replica, Blocks blocks, Consumer<String> log) {
-        this.params = params;
+    public Leader(SchedulerConfig config, StateReplica replica, PartitionMap partitions, Consumer<String> log) {
+        this.config = config;
         this.replica = replica;
-        this.health = new PeerHealth(params, replica, log);
-        this.assignment = new BlockAssignment(params, replica, blocks, health, machines.values(), log);
+        this.health = new PeerFailureDetector(config, replica, log);
+        this.assignment = new PartitionAssigner(config, replica, partitions, health, machines.values(), log);
         this.log = log;
-        this.order = new JobOrder(params);
-        this.estimator = new Estimator(params.reportMs());
-        this.reserve = new Reserve(params);
+        this.order = new JobOrder(config);
+        this.estimator = new Estimator(config.heartbeatIntervalMs());
+        this.reserve = new HeadroomReserve(config);
         this.capacities = new FreeCapacityCache(replica);
-        this.auction = new Auction(replica, params.windowMs());
-        this.awardTimes = new AwardTimes(params.reportMs());
-        this.drainStops = new DrainStops(replica, estimator, params.reportMs(), log);
-        this.preemptionStops = new PreemptionStops(params, replica, auction, estimator, order, reserve, failures, log);
+        this.auction = new Auction(replica, config.windowMs());
+        this.awardTimes = new AwardTimes(config.heartbeatIntervalMs());
+        this.drainStops = new DrainStops(replica, estimator, config.heartbeatIntervalMs(), log);
+        this.preemptionStops = new PreemptionStops(config, replica, auction, estimator, order, reserve, failures, log);
         this.lateBidStops = new LateBidStops(replica, auction, estimator, machines, log);
         this.balancer = new Balancer(
-                params, replica, auction, estimator, order, failures, machines, capacities, awardTimes, log);
+                config, replica, auction, estimator, order, failures, machines, capacities, awardTimes, log);
         this.upgrades =
-                new UpgradeCoordinator(replica, params.features().layouts(), params.settleMs(), params.valueBytes());
+                new UpgradeCoordinator(replica, config.features().layouts(), config.settleMs(), config.valueBytes());
     }
 
-    public void incarnate(long lease) {
+    public void onLeaseGranted(long lease) {
         incarnation = lease;
     }
 
@@ -127,12 +127,12 @@
     /** The term that this process leads under by the replica, or -1. */
     public long leadingTerm() {
         LeaderInfo l = replica.leader();
-        return l != null && l.node().equals(params.self()) && l.incarnation() == incarnation ? l.term() : -1;
+        return l != null && l.node().equals(config.self()) && l.incarnation() == incarnation ? l.term() : -1;
     }
 
     /** What the holders last said of each machine. */
-    public Collection<Observation> machines() {
-        List<Observation> list = new ArrayList<>(machines.size());
+    public Collection<MachineStatus> machines() {
+        List<MachineStatus> list = new ArrayList<>(machines.size());
         machines.values().forEach(m -> list.add(m.last));
         return list;
     }
@@ -153,8 +153,8 @@
             requested = null;
             machines.clear();
             exits.clear();
-            gone.clear();
-            dead.clear();
+            terminated.clear();
+            terminatedMachines.clear();
             assignment.begin(now);
             preemptionStops.clear();
             auction.clear();
@@ -170,8 +170,8 @@
     }
 
     /** A node says whether workers reach it. */
-    public void hears(long now, String node, boolean deaf) {
-        health.hears(node, deaf);
+    public void onWorkerReachability(long now, String node, boolean isolatedFromWorkers) {
+        health.onWorkerReachability(node, isolatedFromWorkers);
         balancer.heard(now, node);
     }
 
@@ -194,14 +194,14 @@
      * The transaction by which it steps down, or null. A leader that no machine is heard of under, although there are some,
      * makes room for one that may do better; one whose term has no numbers left needs a new term, its own or another's.
      */
-    public Txn resignation(long now) {
+    public Transaction resignation(long now) {
         if (attempts.isNearlyUsedUp() || assignment.isNearlyUsedUp()) {
             log.accept("steps down: the numbers of term " + acting.term() + " are used up");
             return stepDown();
         }
-        long patience = 2 * params.nodeTtlMs() + 4 * params.reportMs();
-        boolean deaf = machines.values().stream().allMatch(m -> m.last.silent());
-        if (!deaf
+        long patience = 2 * config.controllerLeaseMs() + 4 * config.heartbeatIntervalMs();
+        boolean isolatedFromWorkers = machines.values().stream().allMatch(m -> m.last.silent());
+        if (!isolatedFromWorkers
                 || machines.isEmpty()
                 || replica.nodes().size() < 2
                 || now - actingSince < patience
@@ -213,8 +213,10 @@
         return stepDown();
     }
 
-    private Txn stepDown() {
-        return new Txn().guard(Keys.LEADER, replica.stamp(Keys.LEADER)).delete(Keys.LEADER);
+    private Transaction stepDown() {
+        return new Transaction()
+                .guard(Keys.LEADER, replica.modRevision(Keys.LEADER))
+                .delete(Keys.LEADER);
     }
 
     /**
@@ -231,19 +233,20 @@
             leaderSeenAt = now;
         }
         if (l == null
-                || !health.isDeaf(l.node()) && (health.suspectsAll() || health.wasFalselySuspected(now, l.node()))) {
+                || !health.isIsolatedFromWorkers(l.node())
+                        && (health.suspectsAll() || health.wasFalselySuspected(now, l.node()))) {
             return false;
         }
-        return health.isFreshlySuspected(now, l.node()) && now - leaderSeenAt > 4 * params.nodeTtlMs();
+        return health.isFreshlySuspected(now, l.node()) && now - leaderSeenAt > 4 * config.controllerLeaseMs();
     }
 
     /**
      * The transaction that makes this node the leader, or null when there is one. The term comes from a counter
      * that the same transaction raises, so no two leaders share one.
      */
-    public Txn election(long now) {
+    public Transaction election(long now) {
         LeaderInfo l = replica.leader();
-        boolean stale = l != null && l.node().equals(params.self()) && l.incarnation() != incarnation;
+        boolean stale = l != null && l.node().equals(config.self()) && l.incarnation() != incarnation;
         boolean down = leaderIsDown(now);
         if (now < notBefore && replica.nodes().size() > 1) {
             return null;
@@ -253,40 +256,40 @@
         }
         // A leader key of this node's earlier process is replaced at once: a node runs one process at a time.
         long term = replica.termCounter() + 1;
-        return new Txn()
-                .guard(Keys.LEADER, replica.stamp(Keys.LEADER))
-                .guard(Keys.TERM, replica.stamp(Keys.TERM))
+        return new Transaction()
+                .guard(Keys.LEADER, replica.modRevision(Keys.LEADER))
+                .guard(Keys.TERM, replica.modRevision(Keys.TERM))
                 .put(Keys.TERM, Records.term(term))
-                .put(Keys.LEADER, Records.leader(new LeaderInfo(params.self(), incarnation, term)), incarnation);
+                .put(Keys.LEADER, Records.leader(new LeaderInfo(config.self(), incarnation, term)), incarnation);
     }
 
     /**
      * A transaction that changes nothing but the leader key's stamp. Sent after one whose outcome is unknown: once
      * it is in, the unknown one has either been applied, and the replica will show it, or never will be.
      */
-    public Txn fence() {
-        return new Txn()
-                .guard(Keys.LEADER, replica.stamp(Keys.LEADER))
+    public Transaction fence() {
+        return new Transaction()
+                .guard(Keys.LEADER, replica.modRevision(Keys.LEADER))
                 .put(Keys.LEADER, Records.leader(replica.leader()), incarnation);
     }
 
-    public void onObservation(long now, Observation o) {
-        BlockLease lease = replica.block(o.block());
+    public void onMachineStatus(long now, MachineStatus o) {
+        PartitionLease lease = replica.partition(o.partition());
         if (acting == null || lease == null || lease.term() != o.term() || lease.incarnation() != o.incarnation()) {
             return;
         }
         balancer.heard(now, o.node());
-        for (long attempt : o.gone()) {
-            gone.put(attempt, new Exit(o.machine(), o.block(), o.term(), attempt, null));
+        for (long attempt : o.terminated()) {
+            terminated.put(attempt, new Exit(o.machine(), o.partition(), o.term(), attempt, null));
         }
-        if (o.type().isEmpty() || dead.contains(o.machine())) {
+        if (o.type().isEmpty() || terminatedMachines.contains(o.machine())) {
             return;
         }
         MachineState m = machines.computeIfAbsent(o.machine(), MachineState::new);
         m.observe(now, o, replica, estimator);
-        for (ReportedTask t : o.tasks()) {
+        for (TaskStatus t : o.tasks()) {
             if (t.exited()) {
-                exits.put(t.attempt(), new Exit(o.machine(), o.block(), o.term(), t.attempt(), t));
+                exits.put(t.attempt(), new Exit(o.machine(), o.partition(), o.term(), t.attempt(), t));
             }
         }
     }
@@ -298,15 +301,15 @@
     }
 
     /** The cloud answered a delete with 200, or lists the machine as failed: nothing is on it any more. */
-    public void onMachineDead(String machine) {
-        dead.add(machine);
+    public void onMachineTerminated(String machine) {
+        terminatedMachines.add(machine);
         machines.remove(machine);
     }
 
     /** A machine left the cloud's list long ago. Lists are late, so this frees nothing: it only ends an empty record. */
     public void onMachineVanished(String machine) {
         if (replica.placements(machine).isEmpty()) {
-            onMachineDead(machine);
+            onMachineTerminated(machine);
         }
     }
 
@@ -317,42 +320,42 @@
     private void forgetSilent(long now) {
         machines.values()
                 .removeIf(m ->
-                        m.last.silent() && replica.placements(m.id).isEmpty() && now - m.seen > 2 * params.leaseMs());
+                        m.last.silent() && replica.placements(m.id).isEmpty() && now - m.seen > 2 * config.leaseMs());
     }
 
     /** The next transaction, or null when there is nothing to change. */
-    public Txn plan(long now) {
+    public Transaction plan(long now) {
         if (!leads(now)) {
             return null;
         }
-        balancer.settle();
-        Txn upgrade = upgradeDue(now);
+        balancer.reconcile();
+        Transaction upgrade = upgradeDue(now);
         if (upgrade != null) {
             return upgrade;
         }
-        Txn leases = assignment.plan(now, acting.term());
+        Transaction leases = assignment.plan(now, acting.term());
         if (leases != null) {
             return leases;
         }
         LogWriter.Limits limits = logLimits();
-        Draft draft = new Draft(replica, QuotaBook.of(params, replica), limits);
-        settle(now, draft);
-        int perMachine = Math.max(8, params.valueBytes() / 64);
+        TransactionDraft draft = new TransactionDraft(replica, QuotaUsage.of(config, replica), limits);
+        reconcile(now, draft);
+        int perMachine = Math.max(8, config.valueBytes() / 64);
         int before = attempts.given();
-        new Awards(replica, auction, machines, perMachine, order, reserve, capacities, balancer.load())
+        new TaskPlacer(replica, auction, machines, perMachine, order, reserve, capacities, balancer.load())
                 .award(now, now + wallOffset, draft, failures, () -> nextAttempt(now));
-        if (now - judgedAt >= params.reportMs() / 2) {
-            judgedAt = now;
+        if (now - evaluatedAt >= config.heartbeatIntervalMs() / 2) {
+            evaluatedAt = now;
             forgetSilent(now);
-            judgeSpeed(now);
+            evaluateSpeed(now);
         }
-        planStops(new Turn(now, now + wallOffset, machines.values(), draft), attempts.given() == before);
+        planStops(new SchedulingCycle(now, now + wallOffset, machines.values(), draft), attempts.given() == before);
         for (JobView job : replica.jobs()) {
             if (!job.live() && job.placedCount() == 0 && draft.hasRoomForEnd()) {
-                draft.archiveCancelled(job);
+                draft.recordCancelled(job);
             }
         }
-        return draft.isEmpty() ? null : draft.toTxn();
+        return draft.isEmpty() ? null : draft.toTransaction();
     }
 
     private long nextAttempt(long now) {
@@ -362,7 +365,7 @@
     }
 
     /** Stops tasks for whatever reason there is; {@code awardedNothing}: nothing was placed in this turn. */
-    private void planStops(Turn turn, boolean awardedNothing) {
+    private void planStops(SchedulingCycle turn, boolean awardedNothing) {
         drainStops.plan(turn);
         preemptionStops.plan(turn, awardedNothing);
         if (awardedNothing) {
@@ -375,8 +378,8 @@
     private LogWriter.Limits logLimits() {
         ClusterVersion version = replica.version();
         return new LogWriter.Limits(
-                params.valueBytes(),
-                params.txnOps(),
+                config.valueBytes(),
+                config.transactionOps(),
                 version.active(),
                 version.isFinal() && version.active() > Layouts.FIRST);
     }
@@ -395,7 +398,7 @@
     }
 
     /** The change of the cluster's version that is due, or null. */
-    private Txn upgradeDue(long now) {
+    private Transaction upgradeDue(long now) {
         upgrades.observe(now);
         if (requested != null) {
             UpgradeStep step = requested;
@@ -403,14 +406,14 @@
             if (upgrades.decide(now, step) instanceof UpgradeDecision.Commit commit) {
                 log.accept("an operator's " + step + ": version "
                         + commit.next().active() + ", floor " + commit.next().floor());
-                return commit.txn();
+                return commit.transaction();
             }
         }
-        if (!params.features().activatesWhenNeeded() || now - upgradeCheckedAt < params.leaseMs()) {
+        if (!config.features().activatesWhenNeeded() || now - upgradeCheckedAt < config.leaseMs()) {
             return null;
         }
         upgradeCheckedAt = now;
-        Txn activation = upgrades.automatic(now);
+        Transaction activation = upgrades.automatic(now);
         if (activation != null) {
             log.accept("activates version " + (replica.version().active() + 1) + ": the present one is about to be too"
                     + " small for what is stored");
@@ -419,7 +422,7 @@
     }
 
     /** Finds the machines that are slow, and the jobs with tasks on them. */
-    private void judgeSpeed(long now) {
+    private void evaluateSpeed(long now) {
         Set<String> jobs = new HashSet<>();
         for (MachineState m : machines.values()) {
             List<Estimator.UnderWay> running = new ArrayList<>();
@@ -430,7 +433,7 @@
                     running.add(new Estimator.UnderWay(job.spec(), (now - since) / 1000.0));
                 }
             }
-            estimator.judge(m.id, running);
+            estimator.evaluate(m.id, running);
             if (estimator.machineFactor(m.id) > SLOW) {
                 running.forEach(t -> jobs.add(t.job().id()));
                 condemn(m, "is slow, about " + Math.round(10 * estimator.machineFactor(m.id)) / 10.0 + " times");
@@ -440,11 +443,11 @@
     }
 
     /** Takes a machine out of service, unless that would be one of too many: then it is rather something else. */
-    private void condemn(MachineState m, String why) {
-        long out = machines.values().stream().filter(o -> o.condemned).count();
-        if (!m.condemned && out < Math.max(1, machines.size() / 8)) {
-            m.condemned = true;
-            log.accept("machine " + m.id + " " + why + ", and is given back");
+    private void condemn(MachineState m, String reason) {
+        long out = machines.values().stream().filter(o -> o.decommissioned).count();
+        if (!m.decommissioned && out < Math.max(1, machines.size() / 8)) {
+            m.decommissioned = true;
+            log.accept("machine " + m.id + " " + reason + ", and is given back");
         }
     }
 
@@ -456,10 +459,10 @@
     }
 
     /** Machines to be given back, with nothing on them any more. */
-    public List<String> condemned() {
+    public List<String> decommissioned() {
         List<String> ids = new ArrayList<>();
         for (MachineState m : machines.values()) {
-            if (m.condemned && replica.placements(m.id).isEmpty()) {
+            if (m.decommissioned && replica.placements(m.id).isEmpty()) {
                 ids.add(m.id);
             }
         }
@@ -472,7 +475,7 @@
     }
 
     /** Frees what is proved to be over, and records what is done; whatever doesn't fit waits for the next transaction. */
-    private void settle(long now, Draft draft) {
+    private void reconcile(long now, TransactionDraft draft) {
         for (Exit e : oldestFirst(exits)) {
             Placement p = placement(e.machine(), e.attempt());
             if (p == null) {
@@ -489,13 +492,13 @@
                         && p.task().index() < job.spec().tasks()) {
                     draft.finish(job, p.task().index());
                 }
-                judge(now, e.machine(), p, e.task());
+                evaluate(now, e.machine(), p, e.task());
             }
         }
-        for (Exit e : oldestFirst(gone)) {
+        for (Exit e : oldestFirst(terminated)) {
             Placement p = placement(e.machine(), e.attempt());
             if (p == null) {
-                gone.remove(e.attempt());
+                terminated.remove(e.attempt());
             } else if (isCurrent(e) && draft.placements(e.machine()).contains(p)) {
                 if (!draft.hasRoom(true)) {
                     return;
@@ -504,7 +507,7 @@
                 log.accept("task " + p.task() + " is gone from " + e.machine());
             }
         }
-        for (String machine : dead) {
+        for (String machine : terminatedMachines) {
             if (replica.placedZone(machine) == null) {
                 continue;
             }
@@ -537,11 +540,11 @@
     }
 
     private boolean isCurrent(Exit e) {
-        BlockLease lease = replica.block(e.block());
+        PartitionLease lease = replica.partition(e.partition());
         return lease != null && lease.term() == e.term();
     }
 
-    private void judge(long now, String machine, Placement p, ReportedTask t) {
+    private void evaluate(long now, String machine, Placement p, TaskStatus t) {
         if (!failures.firstSight(p.attempt())) {
             return;
         }
@@ -554,7 +557,8 @@
             }
             return;
         }
-        log.accept("task " + p.task() + " ended on " + machine + ": " + t.cause() + (t.saved() ? ", saved" : ""));
+        log.accept(
+                "task " + p.task() + " ended on " + machine + ": " + t.cause() + (t.checkpointed() ? ", saved" : ""));
         if (m == null) {
             return;
         }
@@ -570,11 +574,11 @@
                 } else if (!known) {
                     log.accept("job " + p.task().job() + " fails wherever it runs, at last " + p.task() + " on "
                             + machine + ": it is tried rarely from now on");
-                    machines.values().forEach(this::forgive);
+                    machines.values().forEach(this::uncordon);
                     suspectNews = true;
                 }
             }
-            case NO_ROOM, BUSY, OTHER -> m.avoidUntil = Math.max(m.avoidUntil, now + params.reportMs());
+            case NO_ROOM, BUSY, OTHER -> m.avoidUntil = Math.max(m.avoidUntil, now + config.heartbeatIntervalMs());
             default -> {}
         }
     }
@@ -588,15 +592,15 @@
         m.failed.add(task);
         if (now >= m.avoidUntil) {
             m.avoided++;
-            m.avoidUntil = now + Math.min(32, 1L << m.avoided) * params.reportMs();
+            m.avoidUntil = now + Math.min(32, 1L << m.avoided) * config.heartbeatIntervalMs();
         }
-        if (m.failed.stream().filter(t -> failures.isSound(t.job())).count() >= SICK) {
+        if (m.failed.stream().filter(t -> failures.isSound(t.job())).count() >= FAILURES_TO_DECOMMISSION) {
             condemn(m, "fails its tasks");
         }
     }
 
     /** Takes back what was held against a machine for tasks that turn out to fail by themselves. */
-    private void forgive(MachineState m) {
+    private void uncordon(MachineState m) {
         if (m.failed.removeIf(failures::isSuspect) && m.failed.isEmpty()) {
             m.avoided = 0;
             m.avoidUntil = Long.MIN_VALUE;
--- a/src/main/java/garnetscale/core/lead/LoadObserver.java
+++ b/src/main/java/garnetscale/core/leader/LoadObserver.java
@@ -1,22 +1,22 @@
-package garnetscale.core.lead;
+package garnetscale.core.leader;
 
-import garnetscale.core.Params;
+import garnetscale.core.SchedulerConfig;
 import garnetscale.core.balance.Demand;
 import garnetscale.core.balance.LoadSnapshot;
 import garnetscale.core.balance.LoadTracker;
 import garnetscale.core.balance.MachineGroup;
 import garnetscale.core.balance.MachineLoad;
 import garnetscale.core.balance.UnknownReason;
-import garnetscale.core.bid.Auction;
-import garnetscale.core.bid.Estimator;
-import garnetscale.core.block.BlockLease;
-import garnetscale.core.block.Observation;
+import garnetscale.core.bidding.Auction;
+import garnetscale.core.bidding.Estimator;
 import garnetscale.core.job.JobSpec;
-import garnetscale.core.line.JobQueue;
 import garnetscale.core.machine.MachineType;
 import garnetscale.core.machine.Placement;
-import garnetscale.core.store.JobView;
-import garnetscale.core.store.StateReplica;
+import garnetscale.core.partition.MachineStatus;
+import garnetscale.core.partition.PartitionLease;
+import garnetscale.core.queue.JobQueue;
+import garnetscale.core.state.JobView;
+import garnetscale.core.state.StateReplica;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -36,7 +36,7 @@
 
     /** What a machine's load was last worked out from. */
     private record Inputs(
-            Observation observation,
+            MachineStatus machineStatus,
             List<Placement> placements,
             MachineType type,
             UnknownReason unknown,
@@ -46,7 +46,7 @@
         @SuppressWarnings("ReferenceEquality")
         boolean isSame(Inputs other) {
             return other != null
-                    && observation == other.observation
+                    && machineStatus == other.machineStatus
                     && placements == other.placements
                     && type == other.type
                     && unknown == other.unknown
@@ -54,7 +54,7 @@
         }
     }
 
-    private final Params params;
+    private final SchedulerConfig config;
     private final StateReplica replica;
     private final Auction auction;
     private final Estimator estimator;
@@ -63,12 +63,12 @@
     private final Map<String, Inputs> inputs = new HashMap<>();
     private LoadSnapshot snapshot = LoadSnapshot.EMPTY;
 
-    LoadObserver(Params params, StateReplica replica, Auction auction, Estimator estimator) {
-        this.params = params;
+    LoadObserver(SchedulerConfig config, StateReplica replica, Auction auction, Estimator estimator) {
+        this.config = config;
         this.replica = replica;
         this.auction = auction;
         this.estimator = estimator;
-        this.tracker = new LoadTracker(SMOOTHING_REPORTS * params.reportMs());
+        this.tracker = new LoadTracker(SMOOTHING_REPORTS * config.heartbeatIntervalMs());
     }
 
     /** A new leadership begins: what was heard before doesn't count. */
@@ -90,13 +90,13 @@
     }
 
     /** Brings the picture up to date. */
-    LoadSnapshot update(Turn turn) {
-        Map<String, UnknownReason> blocks = new HashMap<>();
+    LoadSnapshot update(SchedulingCycle turn) {
+        Map<String, UnknownReason> partitions = new HashMap<>();
         Map<String, MachineState> present = new HashMap<>();
         for (MachineState machine : turn.machines()) {
             if (replica.type(machine.last.type()) != null) {
                 present.put(machine.id, machine);
-                update(turn.now(), machine, blocks);
+                update(turn.now(), machine, partitions);
             }
         }
         inputs.keySet().retainAll(present.keySet());
@@ -105,10 +105,12 @@
         return snapshot;
     }
 
-    private void update(long now, MachineState machine, Map<String, UnknownReason> blocks) {
-        UnknownReason unknown = unknown(now, machine, blocks);
-        boolean serving =
-                unknown == null && machine.last.noticeS() == null && now >= machine.avoidUntil && !machine.condemned;
+    private void update(long now, MachineState machine, Map<String, UnknownReason> partitions) {
+        UnknownReason unknown = unknown(now, machine, partitions);
+        boolean serving = unknown == null
+                && machine.last.evictionNoticeS() == null
+                && now >= machine.avoidUntil
+                && !machine.decommissioned;
         MachineType type = replica.type(machine.last.type());
         Inputs next = new Inputs(machine.last, replica.placements(machine.id), type, unknown, serving);
         if (next.isSame(inputs.get(machine.id))) {
@@ -131,25 +133,25 @@
         return new MachineGroup(machine.last.zone(), machine.last.type());
     }
 
-    private UnknownReason unknown(long now, MachineState machine, Map<String, UnknownReason> blocks) {
-        String block = machine.last.block();
-        BlockLease lease = replica.block(block);
+    private UnknownReason unknown(long now, MachineState machine, Map<String, UnknownReason> partitions) {
+        String partition = machine.last.partition();
+        PartitionLease lease = replica.partition(partition);
         if (lease == null || lease.term() != machine.last.term() || lease.incarnation() != machine.last.incarnation()) {
-            return UnknownReason.BLOCK_REASSIGNED;
+            return UnknownReason.PARTITION_REASSIGNED;
         }
-        if (!blocks.containsKey(block)) {
-            blocks.put(block, unknownHolder(now, block, lease.holder()));
+        if (!partitions.containsKey(partition)) {
+            partitions.put(partition, unknownOwner(now, partition, lease.owner()));
         }
-        UnknownReason ofHolder = blocks.get(block);
-        return ofHolder == null && machine.last.silent() ? UnknownReason.MACHINE_SILENT : ofHolder;
+        UnknownReason ofOwner = partitions.get(partition);
+        return ofOwner == null && machine.last.silent() ? UnknownReason.MACHINE_SILENT : ofOwner;
     }
 
-    private UnknownReason unknownHolder(long now, String block, String holder) {
-        long heard = holder.equals(params.self()) ? now : heardAt.getOrDefault(holder, Long.MIN_VALUE / 2);
-        if (now - heard > HEARD_WITHIN_LEASES * params.leaseMs()) {
-            return UnknownReason.HOLDER_UNHEARD;
+    private UnknownReason unknownOwner(long now, String partition, String owner) {
+        long heard = owner.equals(config.self()) ? now : heardAt.getOrDefault(owner, Long.MIN_VALUE / 2);
+        if (now - heard > HEARD_WITHIN_LEASES * config.leaseMs()) {
+            return UnknownReason.OWNER_UNHEARD;
         }
-        return auction.speaksFor(block) ? null : UnknownReason.HOLDER_NOT_BIDDING;
+        return auction.speaksFor(partition) ? null : UnknownReason.OWNER_NOT_BIDDING;
     }
 
     // ---- demand
--- a/src/main/java/garnetscale/core/lead/MachineState.java
+++ b/src/main/java/garnetscale/core/leader/MachineState.java
@@ -1,13 +1,13 @@
-package garnetscale.core.lead;
+package garnetscale.core.leader;
 
-import garnetscale.core.bid.Estimator;
-import garnetscale.core.block.Observation;
+import garnetscale.core.bidding.Estimator;
 import garnetscale.core.job.TaskId;
 import garnetscale.core.machine.ExitCause;
-import garnetscale.core.machine.ReportedTask;
 import garnetscale.core.machine.TaskState;
-import garnetscale.core.store.JobView;
-import garnetscale.core.store.StateReplica;
+import garnetscale.core.machine.TaskStatus;
+import garnetscale.core.partition.MachineStatus;
+import garnetscale.core.state.JobView;
+import garnetscale.core.state.StateReplica;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.Map;
@@ -17,7 +17,7 @@
 final class MachineState {
 
     final String id;
-    Observation last;
+    MachineStatus last;
     long seen;
     /** When the leader first heard that an attempt runs. */
     final Map<Long, Long> runningSince = new HashMap<>();
@@ -28,18 +28,18 @@
     /** How often it was avoided for that in a row. */
     int avoided;
     /** To be given back as soon as nothing is on it: it fails or is slow. */
-    boolean condemned;
+    boolean decommissioned;
 
     MachineState(String id) {
         this.id = id;
     }
 
     /** Takes a new observation; tells the estimator of tasks that completed. */
-    void observe(long now, Observation o, StateReplica replica, Estimator estimator) {
+    void observe(long now, MachineStatus o, StateReplica replica, Estimator estimator) {
         last = o;
         seen = now;
         Set<Long> present = new HashSet<>();
-        for (ReportedTask t : o.tasks()) {
+        for (TaskStatus t : o.tasks()) {
             present.add(t.attempt());
             if (t.state() == TaskState.RUNNING) {
                 runningSince.putIfAbsent(t.attempt(), now);
--- a/src/main/java/garnetscale/core/lead/PeerHealth.java
+++ b/src/main/java/garnetscale/core/leader/PeerFailureDetector.java
@@ -1,8 +1,8 @@
-package garnetscale.core.lead;
+package garnetscale.core.leader;
 
-import garnetscale.core.Params;
-import garnetscale.core.block.NodeInfo;
-import garnetscale.core.store.StateReplica;
+import garnetscale.core.SchedulerConfig;
+import garnetscale.core.partition.ControllerInfo;
+import garnetscale.core.state.StateReplica;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.Map;
@@ -13,12 +13,12 @@
  * What this controller thinks of the others: which of them it can't speak with, and which say that no worker reaches them. Only
  * a reason to act sooner, never a proof.
  */
-final class PeerHealth {
+final class PeerFailureDetector {
 
     /** How long a controller that was wrongly suspected isn't again, in lives of a session lease. */
     private static final int TRUSTED_AFTER_FALSE_ALARM = 8;
 
-    private final Params params;
+    private final SchedulerConfig config;
     private final StateReplica replica;
     private final Consumer<String> log;
     /** Since when this controller can't speak with another. */
@@ -28,10 +28,10 @@
     /** When a suspicion last turned out to be wrong. */
     private final Map<String, Long> falseAlarms = new HashMap<>();
 
-    private final Set<String> deaf = new HashSet<>();
+    private final Set<String> isolatedFromWorkers = new HashSet<>();
 
-    PeerHealth(Params params, StateReplica replica, Consumer<String> log) {
-        this.params = params;
+    PeerFailureDetector(SchedulerConfig config, StateReplica replica, Consumer<String> log) {
+        this.config = config;
         this.replica = replica;
         this.log = log;
     }
@@ -39,7 +39,7 @@
     /** A controller's process seems to be down, or is heard of again. */
     void suspect(long now, String node, boolean down) {
         boolean news = down ? suspects.putIfAbsent(node, now) == null : suspects.remove(node) != null;
-        NodeInfo info = replica.node(node);
+        ControllerInfo info = replica.node(node);
         if (news && down) {
             suspectedAs.put(node, info == null ? -1 : info.incarnation());
         } else if (news && info != null && info.incarnation() == suspectedAs.get(node)) {
@@ -52,9 +52,9 @@
     }
 
     /** A controller says whether workers reach it. */
-    void hears(String node, boolean isDeaf) {
-        if (isDeaf ? deaf.add(node) : deaf.remove(node)) {
-            log.accept("node " + node + (isDeaf ? " hears no worker" : " hears workers again"));
+    void onWorkerReachability(String node, boolean isIsolatedFromWorkers) {
+        if (isIsolatedFromWorkers ? isolatedFromWorkers.add(node) : isolatedFromWorkers.remove(node)) {
+            log.accept("node " + node + (isIsolatedFromWorkers ? " hears no worker" : " hears workers again"));
         }
     }
 
@@ -65,22 +65,22 @@
     /** Suspected for less than the life of a session lease: who outlives that wasn't down. */
     boolean isFreshlySuspected(long now, String node) {
         Long since = suspects.get(node);
-        return since != null && now - since < params.nodeTtlMs();
+        return since != null && now - since < config.controllerLeaseMs();
     }
 
     /** Whether a suspicion of the controller was wrong a while ago. */
     boolean wasFalselySuspected(long now, String node) {
         return now - falseAlarms.getOrDefault(node, Long.MIN_VALUE / 2)
-                < TRUSTED_AFTER_FALSE_ALARM * params.nodeTtlMs();
+                < TRUSTED_AFTER_FALSE_ALARM * config.controllerLeaseMs();
     }
 
     /** Whether all others are suspected, several of them: then it is the network, or this controller. */
     boolean suspectsAll() {
-        int others = params.members().size() - 1;
+        int others = config.controllers().size() - 1;
         return others > 1 && suspects.size() >= others;
     }
 
-    boolean isDeaf(String node) {
-        return deaf.contains(node);
+    boolean isIsolatedFromWorkers(String node) {
+        return isolatedFromWorkers.contains(node);
     }
 }
--- a/src/main/java/garnetscale/core/lead/Preemption.java
+++ b/src/main/java/garnetscale/core/leader/Preemption.java
@@ -1,15 +1,15 @@
-package garnetscale.core.lead;
+package garnetscale.core.leader;
 
-import garnetscale.core.bid.Estimator;
+import garnetscale.core.bidding.Estimator;
 import garnetscale.core.job.JobSpec;
 import garnetscale.core.job.Priority;
 import garnetscale.core.job.TaskId;
-import garnetscale.core.line.JobQueue;
 import garnetscale.core.machine.FreeCapacity;
 import garnetscale.core.machine.MachineType;
 import garnetscale.core.machine.Placement;
-import garnetscale.core.store.JobView;
-import garnetscale.core.store.StateReplica;
+import garnetscale.core.queue.JobQueue;
+import garnetscale.core.state.JobView;
+import garnetscale.core.state.StateReplica;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
@@ -41,7 +41,7 @@
     private final StateReplica replica;
     private final Estimator estimator;
     private final Set<TaskId> stoppedOnce;
-    private final Draft draft;
+    private final TransactionDraft draft;
     private final long now;
     private final List<Candidate> candidates = new ArrayList<>();
 
@@ -51,7 +51,7 @@
             Iterable<MachineState> machines,
             Estimator estimator,
             Set<TaskId> stoppedOnce,
-            Draft draft,
+            TransactionDraft draft,
             long now) {
         this.stoppedOnce = stoppedOnce;
         this.replica = replica;
@@ -60,7 +60,11 @@
         this.now = now;
         for (MachineState m : machines) {
             MachineType type = m.last == null ? null : replica.type(m.last.type());
-            if (type != null && !m.last.silent() && m.last.noticeS() == null && now >= m.avoidUntil && !m.condemned) {
+            if (type != null
+                    && !m.last.silent()
+                    && m.last.evictionNoticeS() == null
+                    && now >= m.avoidUntil
+                    && !m.decommissioned) {
                 lookAt(new Candidate(m, type, new FreeCapacity(type), new ArrayList<>()));
             }
         }
@@ -87,7 +91,7 @@
     private boolean hasSaved(MachineState m, Placement p, JobView job) {
         Long since = m.runningSince.get(p.attempt());
         return since != null
-                && job.spec().savesProgress()
+                && job.spec().writesCheckpoints()
                 && (now - since) / 1000.0 >= job.spec().checkpointS();
     }
 
@@ -160,7 +164,8 @@
         on.victims().remove(v);
         on.room().giveBack(s);
         stoppedOnce.add(v.placement().task());
-        draft.stop(on.machine().id, v.placement(), s.savesProgress() ? Placement.Stop.SAVE : Placement.Stop.NOW);
+        draft.stop(
+                on.machine().id, v.placement(), s.writesCheckpoints() ? Placement.Stop.CHECKPOINT : Placement.Stop.NOW);
     }
 
     private static boolean allows(Candidate c, JobSpec job) {
@@ -172,8 +177,8 @@
     private double lostS(long now, MachineState m, Placement p, JobView job) {
         Long since = m.runningSince.get(p.attempt());
         double ran = since == null ? 0 : (now - since) / 1000.0;
-        if (job.spec().savesProgress()) {
-            return Math.min(ran, job.spec().saveS());
+        if (job.spec().writesCheckpoints()) {
+            return Math.min(ran, job.spec().checkpointWriteS());
         }
         return ran > YOUNG * estimator.runS(job.spec(), m.id) ? -1 : ran;
     }
--- a/src/main/java/garnetscale/core/lead/PreemptionStops.java
+++ b/src/main/java/garnetscale/core/leader/PreemptionStops.java
@@ -1,14 +1,14 @@
-package garnetscale.core.lead;
+package garnetscale.core.leader;
 
-import garnetscale.core.Params;
-import garnetscale.core.bid.Auction;
-import garnetscale.core.bid.Estimator;
+import garnetscale.core.SchedulerConfig;
+import garnetscale.core.bidding.Auction;
+import garnetscale.core.bidding.Estimator;
 import garnetscale.core.job.Priority;
 import garnetscale.core.job.TaskId;
-import garnetscale.core.line.JobOrder;
-import garnetscale.core.line.JobQueue;
-import garnetscale.core.store.JobView;
-import garnetscale.core.store.StateReplica;
+import garnetscale.core.queue.JobOrder;
+import garnetscale.core.queue.JobQueue;
+import garnetscale.core.state.JobView;
+import garnetscale.core.state.StateReplica;
 import java.util.HashSet;
 import java.util.Set;
 import java.util.function.Consumer;
@@ -24,13 +24,13 @@
     /** Jobs at the head that others are stopped for at a time: where they find nobody, those behind won't either. */
     private static final int MOST_JOBS = 4;
 
-    private final Params params;
+    private final SchedulerConfig config;
     private final StateReplica replica;
     private final Auction auction;
     private final Estimator estimator;
     private final JobOrder order;
-    private final Reserve reserve;
-    private final Failures failures;
+    private final HeadroomReserve reserve;
+    private final FailureTracker failures;
     private final Consumer<String> log;
     /** Tasks that made room for others once. */
     private final Set<TaskId> stoppedOnce = new HashSet<>();
@@ -38,15 +38,15 @@
     private long dueAt = Long.MIN_VALUE / 2;
 
     PreemptionStops(
-            Params params,
+            SchedulerConfig config,
             StateReplica replica,
             Auction auction,
             Estimator estimator,
             JobOrder order,
-            Reserve reserve,
-            Failures failures,
+            HeadroomReserve reserve,
+            FailureTracker failures,
             Consumer<String> log) {
-        this.params = params;
+        this.config = config;
         this.replica = replica;
         this.auction = auction;
         this.estimator = estimator;
@@ -67,7 +67,7 @@
     }
 
     /** {@code awardedNothing}: nothing was placed in this turn. */
-    void plan(Turn turn, boolean awardedNothing) {
+    void plan(SchedulingCycle turn, boolean awardedNothing) {
         if (turn.now() < dueAt) {
             return;
         }
@@ -76,7 +76,7 @@
         if (!hasIdleWork && !awardedNothing) {
             return;
         }
-        dueAt = turn.now() + (hasIdleWork ? params.windowMs() : params.windowMs() / 2);
+        dueAt = turn.now() + (hasIdleWork ? config.windowMs() : config.windowMs() / 2);
         int looked = 0;
         boolean found = false;
         Preemption preemption = null;
@@ -101,15 +101,15 @@
         }
         if (looked > 0 && !found) {
             // A full fleet without anybody to stop: it was gone over for nothing, and soon would be again.
-            dueAt = turn.now() + (hasIdleWork ? 4 : 2) * params.windowMs();
+            dueAt = turn.now() + (hasIdleWork ? 4 : 2) * config.windowMs();
         }
     }
 
-    private static int waiting(Turn turn, JobView job) {
+    private static int waiting(SchedulingCycle turn, JobView job) {
         return job.unstarted() - turn.draft().awarded(job.spec().id());
     }
 
-    private boolean findsNoRoom(Turn turn, JobView job) {
+    private boolean findsNoRoom(SchedulingCycle turn, JobView job) {
         String id = job.spec().id();
         boolean isOpen = !auction.closed(turn.now(), job) && !auction.bids(id).isEmpty();
         return waiting(turn, job) > 0
