--- a/src/main/java/garnetscale/core/lead/Turn.java
+++ b/src/main/java/garnetscale/core/leader/SchedulingCycle.java
@@ -1,4 +1,4 @@
-package garnetscale.core.lead;
+package garnetscale.core.leader;
 
 import java.util.Collection;
 
@@ -10,4 +10,4 @@
  * @param machines all machines that the leader knows of
  * @param draft    the transaction that the plan leads to
  */
-record Turn(long now, long wallMs, Collection<MachineState> machines, Draft draft) {}
+record SchedulingCycle(long now, long wallMs, Collection<MachineState> machines, TransactionDraft draft) {}
--- a/src/main/java/garnetscale/core/lead/Awards.java
+++ b/src/main/java/garnetscale/core/leader/TaskPlacer.java
@@ -1,22 +1,22 @@
-package garnetscale.core.lead;
+package garnetscale.core.leader;
 
 import com.google.common.collect.HashMultiset;
 import com.google.common.collect.Multiset;
 import garnetscale.core.balance.LoadSnapshot;
 import garnetscale.core.balance.SpreadOrder;
-import garnetscale.core.bid.Auction;
-import garnetscale.core.bid.Bid;
+import garnetscale.core.bidding.Auction;
+import garnetscale.core.bidding.Bid;
 import garnetscale.core.job.JobSpec;
 import garnetscale.core.job.Priority;
 import garnetscale.core.job.TaskId;
-import garnetscale.core.line.JobOrder;
-import garnetscale.core.line.JobQueue;
 import garnetscale.core.machine.FreeCapacity;
 import garnetscale.core.machine.MachineType;
 import garnetscale.core.machine.Placement;
-import garnetscale.core.store.FreeCapacityCache;
-import garnetscale.core.store.JobView;
-import garnetscale.core.store.StateReplica;
+import garnetscale.core.queue.JobOrder;
+import garnetscale.core.queue.JobQueue;
+import garnetscale.core.state.FreeCapacityCache;
+import garnetscale.core.state.JobView;
+import garnetscale.core.state.StateReplica;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.HashMap;
@@ -28,7 +28,7 @@
  * Gives waiting tasks to the best bids, jobs in line order. Every restriction is checked again here against the
  * draft, whatever a bid says: a bid is an offer as of an older revision.
  */
-final class Awards {
+final class TaskPlacer {
 
     private static final int PLACE_BITS = 22;
     private static final int TENTHS_BITS = 18;
@@ -38,7 +38,7 @@
     private final Map<String, MachineState> machines;
     private final int perMachine;
     private final JobOrder order;
-    private final Reserve reserve;
+    private final HeadroomReserve reserve;
     private final FreeCapacityCache counted;
     private final LoadSnapshot load;
     private final Map<String, FreeCapacity> capacities = new HashMap<>();
@@ -47,13 +47,13 @@
     /** Tasks of a job by zone, for jobs that are bound by where their other tasks are. */
     private final Map<String, Multiset<String>> zonesOfJob = new HashMap<>();
 
-    Awards(
+    TaskPlacer(
             StateReplica replica,
             Auction auction,
             Map<String, MachineState> machines,
             int perMachine,
             JobOrder order,
-            Reserve reserve,
+            HeadroomReserve reserve,
             FreeCapacityCache counted,
             LoadSnapshot load) {
         this.counted = counted;
@@ -67,14 +67,14 @@
     }
 
     /** Adds awards to the draft; returns how many. */
-    int award(long now, long wallMs, Draft draft, Failures failures, LongSupplier attempts) {
+    int award(long now, long wallMs, TransactionDraft draft, FailureTracker failures, LongSupplier attempts) {
         int awarded = 0;
         reserve.observe(now, replica.jobs());
         double free = 0;
         double fleet = 0;
         for (MachineState m : machines.values()) {
             MachineType type = replica.type(m.last.type());
-            if (!m.last.silent() && m.last.noticeS() == null && type != null) {
+            if (!m.last.silent() && m.last.evictionNoticeS() == null && type != null) {
                 free += draft.changes(m.id)
                         ? room(draft, m).cpus()
                         : counted.of(m.id, type).cpus();
@@ -114,7 +114,10 @@
                         break;
                     }
                     Placement p = new Placement(
-                            new TaskId(job.spec().id(), next), attempts.getAsLong(), bid.shift(), Placement.Stop.KEEP);
+                            new TaskId(job.spec().id(), next),
+                            attempts.getAsLong(),
+                            bid.agentEpoch(),
+                            Placement.Stop.KEEP);
                     draft.place(m.id, replica.type(m.last.type()), m.last.zone(), p, job.spec());
                     room.take(job.spec());
                     free -= job.spec().cpus();
@@ -130,12 +133,12 @@
     }
 
     /** Whether the job is of low priority and its team beyond its guarantee, if it has one: such work waits for ever. */
-    private static boolean borrowed(Draft draft, JobView job) {
+    private static boolean borrowed(TransactionDraft draft, JobView job) {
         return job.spec().priority() == Priority.LOW && !draft.quota().guarantees(job.spec());
     }
 
     /** The first task from there on that isn't started and may be, or -1. */
-    private static int next(long now, JobView job, int from, Failures failures) {
+    private static int next(long now, JobView job, int from, FailureTracker failures) {
         int next = job.nextUnstarted(from);
         while (next >= 0 && !failures.mayStart(now, new TaskId(job.spec().id(), next))) {
             next = job.nextUnstarted(next + 1);
@@ -192,12 +195,12 @@
     private boolean usable(long now, MachineState m, Bid bid) {
         return m != null
                 && !m.last.silent()
-                && m.last.noticeS() == null
-                && m.last.shift() == bid.shift()
+                && m.last.evictionNoticeS() == null
+                && m.last.agentEpoch() == bid.agentEpoch()
                 && now >= m.avoidUntil
-                && !m.condemned
+                && !m.decommissioned
                 && replica.type(m.last.type()) != null
-                && spokenFor.computeIfAbsent(m.last.block(), auction::speaksFor);
+                && spokenFor.computeIfAbsent(m.last.partition(), auction::speaksFor);
     }
 
     private boolean allowed(MachineState m, JobSpec job) {
@@ -205,7 +208,7 @@
         return type.fits(job) && job.allowsZone(m.last.zone()) && (!m.last.spot() || job.spot());
     }
 
-    private FreeCapacity room(Draft draft, MachineState m) {
+    private FreeCapacity room(TransactionDraft draft, MachineState m) {
         return capacities.computeIfAbsent(m.id, id -> {
             MachineType type = replica.type(m.last.type());
             if (!draft.changes(id)) {
@@ -218,22 +221,22 @@
     }
 
     private static boolean bound(JobSpec job) {
-        return job.oneZone() || job.spread();
+        return job.zoneAffinity() || job.zoneAntiAffinity();
     }
 
-    private boolean zoneAllows(Draft draft, JobView job, MachineState m) {
+    private boolean zoneAllows(TransactionDraft draft, JobView job, MachineState m) {
         if (!bound(job.spec())) {
             return true;
         }
         Multiset<String> zones = zones(draft, job);
         int here = zones.count(m.last.zone());
-        if (job.spec().oneZone() && zones.size() != here) {
+        if (job.spec().zoneAffinity() && zones.size() != here) {
             return false;
         }
-        return !job.spec().spread() || here + 1 <= (job.spec().tasks() + 1) / 2;
+        return !job.spec().zoneAntiAffinity() || here + 1 <= (job.spec().tasks() + 1) / 2;
     }
 
-    private Multiset<String> zones(Draft draft, JobView job) {
+    private Multiset<String> zones(TransactionDraft draft, JobView job) {
         return zonesOfJob.computeIfAbsent(job.spec().id(), id -> {
             Multiset<String> count = HashMultiset.create();
             for (String machine : replica.placedMachines()) {
--- a/src/main/java/garnetscale/core/lead/Draft.java
+++ b/src/main/java/garnetscale/core/leader/TransactionDraft.java
@@ -1,18 +1,18 @@
-package garnetscale.core.lead;
+package garnetscale.core.leader;
 
 import garnetscale.core.job.JobSpec;
 import garnetscale.core.job.JobState;
 import garnetscale.core.machine.MachineType;
 import garnetscale.core.machine.Placement;
-import garnetscale.core.quota.QuotaBook;
-import garnetscale.core.store.JobView;
-import garnetscale.core.store.Keys;
-import garnetscale.core.store.LogWriter;
-import garnetscale.core.store.MachineRecord;
-import garnetscale.core.store.Records;
-import garnetscale.core.store.StateReplica;
-import garnetscale.core.store.Txn;
-import garnetscale.core.store.WorkLog;
+import garnetscale.core.quota.QuotaUsage;
+import garnetscale.core.state.JobView;
+import garnetscale.core.state.Keys;
+import garnetscale.core.state.LogWriter;
+import garnetscale.core.state.MachineRecord;
+import garnetscale.core.state.Records;
+import garnetscale.core.state.StateReplica;
+import garnetscale.core.state.Transaction;
+import garnetscale.core.state.WorkLog;
 import java.util.ArrayList;
 import java.util.BitSet;
 import java.util.HashMap;
@@ -29,7 +29,7 @@
  * applied at once or not at all, so room and quota that it frees may be used by it. All of it but the ends of jobs
  * goes into one entry of the work log.
  */
-final class Draft {
+final class TransactionDraft {
 
     /** An image with a longer name isn't noted: a few of them would fill a machine's record. */
     private static final int LONGEST_IMAGE = 100;
@@ -37,7 +37,7 @@
     private static final int MOST_IMAGES = 16;
 
     private final StateReplica replica;
-    private final QuotaBook quota;
+    private final QuotaUsage quota;
     private final LogWriter log;
     private final int opLimit;
     private final Map<String, List<Placement>> machines = new LinkedHashMap<>();
@@ -50,7 +50,7 @@
     private final Set<String> over = new LinkedHashSet<>();
     private int ops;
 
-    Draft(StateReplica replica, QuotaBook quota, LogWriter.Limits limits) {
+    TransactionDraft(StateReplica replica, QuotaUsage quota, LogWriter.Limits limits) {
         this.replica = replica;
         this.quota = quota;
         this.log = new LogWriter(replica, limits);
@@ -58,7 +58,7 @@
         this.ops = log.ops();
     }
 
-    QuotaBook quota() {
+    QuotaUsage quota() {
         return quota;
     }
 
@@ -175,7 +175,7 @@
     }
 
     /** A cancelled job without placements leaves the mirrored part of the store. */
-    void archiveCancelled(JobView job) {
+    void recordCancelled(JobView job) {
         if (over.add(job.spec().id())) {
             ops += 2;
         }
@@ -185,8 +185,8 @@
      * The transaction. It is guarded by the leader's key, by the work log's last entry, and by the keys of the jobs
      * that it ends: a cancellation in between makes it fail, and it is drafted anew.
      */
-    Txn toTxn() {
-        Txn txn = new Txn().guard(Keys.LEADER, replica.stamp(Keys.LEADER));
+    Transaction toTransaction() {
+        Transaction transaction = new Transaction().guard(Keys.LEADER, replica.modRevision(Keys.LEADER));
         Map<String, MachineRecord> records = new LinkedHashMap<>();
         machines.forEach((id, list) -> records.put(
                 id,
@@ -200,19 +200,19 @@
                 done.put(part, WorkLog.bitsOf(finished.get(job), part));
             }
         }
-        log.write(txn, records, done);
+        log.write(transaction, records, done);
         for (String id : over) {
             JobView job = replica.job(id);
-            txn.guard(Keys.job(id), job.stamp());
-            txn.delete(Keys.job(id));
+            transaction.guard(Keys.job(id), job.modRevision());
+            transaction.delete(Keys.job(id));
             BitSet set = finished.get(id);
             int count = set == null ? job.finishedCount() : set.cardinality();
             JobState state = job.live() ? JobState.DONE : job.job().state();
-            txn.put(
-                    Keys.archived(id),
-                    Records.archived(new Records.Archived(
+            transaction.put(
+                    Keys.terminalJob(id),
+                    Records.terminalJob(new Records.TerminalJob(
                             state, job.spec().tasks(), count, job.spec().team())));
         }
-        return txn;
+        return transaction;
     }
 }
--- a/src/main/java/garnetscale/core/lead/Pipeline.java
+++ b/src/main/java/garnetscale/core/leader/TransactionPipeline.java
@@ -1,9 +1,9 @@
-package garnetscale.core.lead;
+package garnetscale.core.leader;
 
-import garnetscale.core.store.Keys;
-import garnetscale.core.store.StateReplica;
-import garnetscale.core.store.Txn;
-import garnetscale.core.store.TxnResult;
+import garnetscale.core.state.Keys;
+import garnetscale.core.state.StateReplica;
+import garnetscale.core.state.Transaction;
+import garnetscale.core.state.TransactionOutcome;
 import java.util.function.Supplier;
 
 /**
@@ -12,7 +12,7 @@
  * key's stamp, so the unknown one has then either been applied, and the replica shows it, or never will be.
  * Without this, a late one could free a placement that a later one's holder has started again.
  */
-public final class Pipeline {
+public final class TransactionPipeline {
 
     private final StateReplica replica;
     private final Leader leader;
@@ -21,7 +21,7 @@
     private long unknown = -1;
     private long awaited = -1;
 
-    public Pipeline(StateReplica replica, Leader leader) {
+    public TransactionPipeline(StateReplica replica, Leader leader) {
         this.replica = replica;
         this.leader = leader;
     }
@@ -33,25 +33,25 @@
     }
 
     /** The transaction to send now, or null; {@code drafts} is asked only when it is safe to go on. */
-    public Txn next(Supplier<Txn> drafts) {
-        if (underWay || replica.ledger() < awaited) {
+    public Transaction next(Supplier<Transaction> drafts) {
+        if (underWay || replica.revision() < awaited) {
             return null;
         }
-        if (unknown >= 0 && replica.stamp(Keys.LEADER) != unknown) {
+        if (unknown >= 0 && replica.modRevision(Keys.LEADER) != unknown) {
             unknown = -1;
         }
-        Txn txn = unknown >= 0 ? leader.fence() : drafts.get();
-        if (txn != null) {
+        Transaction transaction = unknown >= 0 ? leader.fence() : drafts.get();
+        if (transaction != null) {
             underWay = true;
-            guardedBy = replica.stamp(Keys.LEADER);
+            guardedBy = replica.modRevision(Keys.LEADER);
         }
-        return txn;
+        return transaction;
     }
 
     /** The transaction ended; the replica must have caught up with the revision before the next. */
-    public void ended(TxnResult result, long ledger) {
+    public void ended(TransactionOutcome result, long revision) {
         switch (result) {
-            case OK, CONFLICT -> awaited = ledger;
+            case OK, CONFLICT -> awaited = revision;
             case MAYBE, NO_LEASE -> unknown = guardedBy;
             // Nothing was carried out, so nothing is to be waited for.
             case REFUSED -> {}
--- a/src/main/java/garnetscale/core/machine/Placement.java
+++ b/src/main/java/garnetscale/core/machine/Placement.java
@@ -5,20 +5,20 @@
 /**
  * The stored right of one attempt to be on one machine, written before any start is sent.
  *
- * @param shift the worker's session that it was awarded in; in a later one the attempt can't be there
+ * @param agentEpoch the worker's session that it was awarded in; in a later one the attempt can't be there
  * @param stop  whether and how the leader wants the attempt stopped
  */
-public record Placement(TaskId task, long attempt, long shift, Stop stop) {
+public record Placement(TaskId task, long attempt, long agentEpoch, Stop stop) {
 
     /** What the leader wants of a placed attempt. */
     public enum Stop {
         KEEP,
-        SAVE,
+        CHECKPOINT,
         NOW
     }
 
     public Placement withStop(Stop next) {
-        return new Placement(task, attempt, shift, next);
+        return new Placement(task, attempt, agentEpoch, next);
     }
 
     /** Explicit because it is on the hot path; see the package documentation of {@code garnetscale.core}. */
@@ -26,7 +26,7 @@
     public boolean equals(Object o) {
         return o instanceof Placement other
                 && attempt == other.attempt
-                && shift == other.shift
+                && agentEpoch == other.agentEpoch
                 && stop == other.stop
                 && task.equals(other.task);
     }
--- a/src/main/java/garnetscale/core/machine/TaskState.java
+++ b/src/main/java/garnetscale/core/machine/TaskState.java
@@ -4,7 +4,7 @@
 public enum TaskState {
     FETCHING,
     RUNNING,
-    SAVING,
+    CHECKPOINTING,
     EXITED,
     UNKNOWN
 }
--- a/src/main/java/garnetscale/core/machine/ReportedTask.java
+++ b/src/main/java/garnetscale/core/machine/TaskStatus.java
@@ -3,7 +3,7 @@
 import garnetscale.core.job.TaskId;
 
 /** One task of a worker's report; {@code cause} is null until the task has exited. */
-public record ReportedTask(TaskId task, long attempt, TaskState state, ExitCause cause, boolean saved) {
+public record TaskStatus(TaskId task, long attempt, TaskState state, ExitCause cause, boolean checkpointed) {
 
     public boolean exited() {
         return state == TaskState.EXITED;
@@ -12,11 +12,11 @@
     /** Explicit because it is on the hot path; see the package documentation of {@code garnetscale.core}. */
     @Override
     public boolean equals(Object o) {
-        return o instanceof ReportedTask other
+        return o instanceof TaskStatus other
                 && attempt == other.attempt
                 && state == other.state
                 && cause == other.cause
-                && saved == other.saved
+                && checkpointed == other.checkpointed
                 && task.equals(other.task);
     }
 
--- a/src/main/java/garnetscale/core/package-info.java
+++ b/src/main/java/garnetscale/core/package-info.java
@@ -1,8 +1,8 @@
 /**
  * Decides. A message and the time go in, effects come out; nothing in here waits, sends, reads a clock or keeps a
  * thread. Its packages own one thing each: {@code job}, {@code machine} and {@code store} the records, {@code line}
- * the order of work, {@code bid} bids and estimates, {@code quota} what teams use, {@code block} the holder's part,
- * {@code lead} the leader's, {@code fleet} renting. Times are milliseconds of one steady clock; callers bring
+ * the order of work, {@code bid} bids and estimates, {@code quota} what teams use, {@code partition} the holder's part,
+ * {@code lead} the leader's, {@code autoscaler} renting. Times are milliseconds of one steady clock; callers bring
  * messages one at a time.
  *
  * <p>Records that are compared or hashed in every turn implement {@code equals} and {@code hashCode} explicitly. The
--- a/src/main/java/garnetscale/core/block/NodeInfo.java
+++ b/src/main/java/garnetscale/core/partition/ControllerInfo.java
@@ -1,4 +1,4 @@
-package garnetscale.core.block;
+package garnetscale.core.partition;
 
 import garnetscale.core.upgrade.VersionRange;
 
@@ -7,4 +7,4 @@
  *
  * @param layouts the versions of what is stored that it reads and writes
  */
-public record NodeInfo(String name, long incarnation, String zone, VersionRange layouts) {}
+public record ControllerInfo(String name, long incarnation, String zone, VersionRange layouts) {}
--- a/src/main/java/garnetscale/core/block/LeaderInfo.java
+++ b/src/main/java/garnetscale/core/partition/LeaderInfo.java
@@ -1,4 +1,4 @@
-package garnetscale.core.block;
+package garnetscale.core.partition;
 
 /** The leader by the state service. {@code term} comes from the stored counter and only rises. */
 public record LeaderInfo(String node, long incarnation, long term) {
--- a/src/main/java/garnetscale/core/block/Observation.java
+++ b/src/main/java/garnetscale/core/partition/MachineStatus.java
@@ -1,6 +1,6 @@
-package garnetscale.core.block;
+package garnetscale.core.partition;
 
-import garnetscale.core.machine.ReportedTask;
+import garnetscale.core.machine.TaskStatus;
 import java.util.List;
 import java.util.Objects;
 
@@ -9,46 +9,46 @@
  *
  * @param term   the block term that the holder speaks by; the leader drops what comes from an older one
  * @param silent no report for a while, so the machine neither bids nor counts as room
- * @param gone   attempts that the holder has proof of that they are not on the machine and never will be
+ * @param terminated   attempts that the holder has proof of that they are not on the machine and never will be
  */
-public record Observation(
+public record MachineStatus(
         String node,
         long incarnation,
-        String block,
+        String partition,
         long term,
         String machine,
         String address,
         String type,
         String zone,
         boolean spot,
-        long shift,
-        Double noticeS,
+        long agentEpoch,
+        Double evictionNoticeS,
         boolean silent,
-        List<ReportedTask> tasks,
-        List<Long> gone) {
+        List<TaskStatus> tasks,
+        List<Long> terminated) {
 
     /** Explicit because it is on the hot path; see the package documentation of {@code garnetscale.core}. */
     @Override
     public boolean equals(Object o) {
-        return o instanceof Observation other
+        return o instanceof MachineStatus other
                 && incarnation == other.incarnation
                 && term == other.term
-                && shift == other.shift
+                && agentEpoch == other.agentEpoch
                 && spot == other.spot
                 && silent == other.silent
                 && machine.equals(other.machine)
                 && node.equals(other.node)
-                && block.equals(other.block)
+                && partition.equals(other.partition)
                 && address.equals(other.address)
                 && type.equals(other.type)
                 && zone.equals(other.zone)
-                && Objects.equals(noticeS, other.noticeS)
+                && Objects.equals(evictionNoticeS, other.evictionNoticeS)
                 && tasks.equals(other.tasks)
-                && gone.equals(other.gone);
+                && terminated.equals(other.terminated);
     }
 
     @Override
     public int hashCode() {
-        return 31 * machine.hashCode() + Long.hashCode(shift);
+        return 31 * machine.hashCode() + Long.hashCode(agentEpoch);
     }
 }
--- a/src/main/java/garnetscale/core/block/MachineView.java
+++ b/src/main/java/garnetscale/core/partition/MachineView.java
@@ -1,6 +1,6 @@
-package garnetscale.core.block;
+package garnetscale.core.partition;
 
-import garnetscale.core.machine.Report;
+import garnetscale.core.machine.WorkerHeartbeat;
 import java.util.HashMap;
 import java.util.Map;
 import java.util.Set;
@@ -11,11 +11,11 @@
 final class MachineView {
 
     final String id;
-    final String block;
+    final String partition;
     /** The newest report, also from answers to direct commands. */
-    Report last;
+    WorkerHeartbeat last;
 
-    long lastReportAt;
+    long lastHeartbeatAt;
     /** When a report of the current session was last answered with 200; the worker's lease ends after that. */
     long answeredAt;
     /** When a report first showed this term's token: from then on no older holder can have renewed the lease. */
@@ -28,19 +28,19 @@
     /** When the worker was last asked for its report. */
     long probedAt = Long.MIN_VALUE / 2;
     /** The token that this machine gets now; raised within the term when a command may arrive late. */
-    long token;
+    long fencingToken;
     /** The highest token of a direct command that went unanswered, or -1. */
-    long lostToken = -1;
+    long lostFencingToken = -1;
 
     boolean commandInFlight;
     /** Sessions up to this one are known to have ended. */
-    long lapsedShift = -1;
+    long expiredEpoch = -1;
     /** Starts given in the answer to the newest report: the worker may have taken or dropped them. */
     final LongHashSet startsInAnswer = new LongHashSet();
     /** The token under which an attempt's start was last sent directly; such a command may come late or twice. */
     final Map<Long, Long> directStarts = new HashMap<>();
     /** Attempts of placements that will never be started here, told to the leader until it has freed them. */
-    final Set<Long> gone = new TreeSet<>();
+    final Set<Long> terminated = new TreeSet<>();
     /** When each running attempt was first seen to run, for the estimates. */
     final Map<Long, Long> runningSince = new HashMap<>();
     /** When a direct stop was last sent for an attempt, so that it is not sent with every change. */
@@ -56,18 +56,18 @@
     /** When it was last gone over something was left to do, say again or wait for. */
     boolean restless;
     /** What the leader was last told of it; null when it has to be told again. */
-    Observation observed;
+    MachineStatus observed;
 
     long observedAt = Long.MIN_VALUE / 2;
 
     /** Whether a command went unanswered and no report has yet shown that the machine hears this node. */
     boolean unreachable() {
-        return last != null && lostToken >= last.token();
+        return last != null && lostFencingToken >= last.fencingToken();
     }
 
-    MachineView(String id, String block, long token) {
+    MachineView(String id, String partition, long fencingToken) {
         this.id = id;
-        this.block = block;
-        this.token = token;
+        this.partition = partition;
+        this.fencingToken = fencingToken;
     }
 }
--- a/src/main/java/garnetscale/core/block/Blocks.java
+++ b/src/main/java/garnetscale/core/partition/PartitionMap.java
@@ -1,6 +1,6 @@
-package garnetscale.core.block;
+package garnetscale.core.partition;
 
-import garnetscale.core.Params;
+import garnetscale.core.SchedulerConfig;
 import java.util.ArrayList;
 import java.util.List;
 
@@ -9,15 +9,15 @@
  * that each can hold one at home. The mapping is a function of the machine's name and zone alone: every node
  * finds the holder for a worker that it has never heard of.
  */
-public final class Blocks {
+public final class PartitionMap {
 
-    private final Params params;
+    private final SchedulerConfig config;
     private final List<String> all = new ArrayList<>();
 
-    public Blocks(Params params) {
-        this.params = params;
-        for (String zone : params.zones()) {
-            for (int i = 0; i < blocksIn(zone); i++) {
+    public PartitionMap(SchedulerConfig config) {
+        this.config = config;
+        for (String zone : config.zones()) {
+            for (int i = 0; i < partitionsIn(zone); i++) {
                 all.add(zone + "/" + i);
             }
         }
@@ -27,18 +27,18 @@
         return all;
     }
 
-    public static String zoneOf(String block) {
-        return block.substring(0, block.lastIndexOf('/'));
+    public static String zoneOf(String partition) {
+        return partition.substring(0, partition.lastIndexOf('/'));
     }
 
-    public String blockOf(String machine, String zone) {
-        String home = params.zones().contains(zone) ? zone : params.zones().get(0);
-        return home + "/" + Math.floorMod(number(machine), blocksIn(home));
+    public String partitionOf(String machine, String zone) {
+        String home = config.zones().contains(zone) ? zone : config.zones().get(0);
+        return home + "/" + Math.floorMod(number(machine), partitionsIn(home));
     }
 
-    private int blocksIn(String zone) {
+    private int partitionsIn(String zone) {
         int nodes = 0;
-        for (Params.Member m : params.members()) {
+        for (SchedulerConfig.ControllerAddress m : config.controllers()) {
             if (m.zone().equals(zone)) {
                 nodes++;
             }
--- a/src/main/java/garnetscale/core/block/BlockHolder.java
+++ b/src/main/java/garnetscale/core/partition/PartitionOwner.java
@@ -1,26 +1,26 @@
-package garnetscale.core.block;
-
-import garnetscale.core.Params;
-import garnetscale.core.bid.Bid;
-import garnetscale.core.bid.BidBatch;
-import garnetscale.core.bid.Bidding;
-import garnetscale.core.bid.Estimator;
-import garnetscale.core.line.JobOrder;
-import garnetscale.core.line.JobQueue;
-import garnetscale.core.line.Scarcity;
-import garnetscale.core.machine.Address;
+package garnetscale.core.partition;
+
+import garnetscale.core.SchedulerConfig;
+import garnetscale.core.bidding.Bid;
+import garnetscale.core.bidding.BidBatch;
+import garnetscale.core.bidding.Bidding;
+import garnetscale.core.bidding.Estimator;
 import garnetscale.core.machine.ExitCause;
 import garnetscale.core.machine.FreeCapacity;
+import garnetscale.core.machine.MachineAddress;
 import garnetscale.core.machine.MachineType;
 import garnetscale.core.machine.Placement;
-import garnetscale.core.machine.Report;
-import garnetscale.core.machine.ReportedTask;
 import garnetscale.core.machine.TaskState;
+import garnetscale.core.machine.TaskStatus;
 import garnetscale.core.machine.WorkerCommand;
-import garnetscale.core.quota.QuotaBook;
-import garnetscale.core.store.FreeCapacityCache;
-import garnetscale.core.store.JobView;
-import garnetscale.core.store.StateReplica;
+import garnetscale.core.machine.WorkerHeartbeat;
+import garnetscale.core.queue.JobOrder;
+import garnetscale.core.queue.JobQueue;
+import garnetscale.core.queue.ScarceTypeFilter;
+import garnetscale.core.quota.QuotaUsage;
+import garnetscale.core.state.FreeCapacityCache;
+import garnetscale.core.state.JobView;
+import garnetscale.core.state.StateReplica;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.HashMap;
@@ -39,39 +39,11 @@
  *
  * <p>It acts by state, not by events: whatever was lost, late or repeated, the next report and the next revision
  * lead to the same orders. An attempt that the store doesn't place is stopped and cleared, one that it places is
- * started, and one that must not run any more is called gone only on proof (see {@link #proveGone}).
+ * started, and one that must not run any more is called gone only on proof (see {@link #proveTerminated}).
  */
-public final class BlockHolder {
-
-    /** How the holder answers a report. */
-    public sealed interface Reply {
-        /** Accepted: the token and the commands that the worker gets. */
-        record Answer(long token, List<WorkerCommand> orders) implements Reply {}
-
-        /** Another node is responsible; null when nobody is known to be. */
-        record Redirect(String node) implements Reply {}
-
-        /** Not entitled to act at the moment, or the report was overtaken. */
-        record Refuse(String why) implements Reply {}
-    }
-
-    /** What the holder wants done outside. */
-    public sealed interface Effect {
-        /** Send commands to a worker directly. */
-        record Command(String machine, String address, long token, long shift, List<WorkerCommand> orders)
-                implements Effect {}
-
-        /** Ask the worker for its report: it would only come here by itself when its next one is due. */
-        record Probe(String machine, String address) implements Effect {}
-
-        /** Notify the leader of what was observed of a machine. */
-        record Tell(Observation observation) implements Effect {}
-
-        /** Send the bids of this holder's machines to the leader. */
-        record Offer(BidBatch batch) implements Effect {}
-    }
+public final class PartitionOwner {
 
-    private record Held(long term, long since) {}
+    private record OwnedPartition(long term, long since) {}
 
     /** Sheets that fit into a window: often enough to close it early, and not for each change of a busy moment. */
     private static final int OFFERS_IN_WINDOW = 6;
@@ -79,16 +51,16 @@
     /** As long as an answer to such a question is waited for. */
     private static final long ASK_AGAIN_MS = 2000;
 
-    private final Params params;
+    private final SchedulerConfig config;
     private final StateReplica replica;
-    private final Blocks blocks;
+    private final PartitionMap partitions;
     private final Estimator estimator;
     private final JobOrder order;
-    private final Scarcity scarcity;
-    private final Map<String, Held> held = new TreeMap<>();
+    private final ScarceTypeFilter scarcity;
+    private final Map<String, OwnedPartition> owned = new TreeMap<>();
     private final Map<String, MachineView> machines = new TreeMap<>();
-    private final List<Effect> effects = new ArrayList<>();
-    private final Map<String, Address> book = new TreeMap<>();
+    private final List<OwnerEffect> effects = new ArrayList<>();
+    private final Map<String, MachineAddress> machineDirectory = new TreeMap<>();
     /** Jobs that a peer says are cancelled; news that the replica may not bring while this node is cut off. */
     private final Set<String> cancelledByPeers = new LinkedHashSet<>();
     /** Started jobs that the leader takes late bids for. */
@@ -100,34 +72,34 @@
     private long confirmedAt = Long.MIN_VALUE / 2;
     private BidBatch lastBatch;
     private final FreeCapacityCache capacities;
-    private final Outbound outbound;
+    private final WorkerRequestLimiter outbound;
     private final Reachability reachability;
     private long sweptAt = Long.MIN_VALUE / 2;
     private long offeredAt = Long.MIN_VALUE / 2;
     private boolean offerDue = true;
-    private long offeredLedger = -1;
+    private long offeredRevision = -1;
     private LeaderInfo notifiedLeader;
 
-    public BlockHolder(Params params, StateReplica replica, Blocks blocks, Estimator estimator) {
-        this.params = params;
+    public PartitionOwner(SchedulerConfig config, StateReplica replica, PartitionMap partitions, Estimator estimator) {
+        this.config = config;
         this.replica = replica;
-        this.blocks = blocks;
+        this.partitions = partitions;
         this.estimator = estimator;
-        this.order = new JobOrder(params);
-        this.scarcity = new Scarcity(params);
+        this.order = new JobOrder(config);
+        this.scarcity = new ScarceTypeFilter(config);
         this.capacities = new FreeCapacityCache(replica);
-        this.outbound = new Outbound(params.directAtOnce());
-        this.reachability = new Reachability(params);
+        this.outbound = new WorkerRequestLimiter(config.directAtOnce());
+        this.reachability = new Reachability(config);
     }
 
-    public List<Effect> drain() {
-        List<Effect> out = List.copyOf(effects);
+    public List<OwnerEffect> drain() {
+        List<OwnerEffect> out = List.copyOf(effects);
         effects.clear();
         return out;
     }
 
     /** The process has a (new) state lease; what it held under an earlier one is no longer its own. */
-    public void incarnate(long lease) {
+    public void onLeaseGranted(long lease) {
         incarnation = lease;
     }
 
@@ -142,7 +114,7 @@
      * cancellation may have been promised.
      */
     public boolean entitled(long now) {
-        return now - confirmedAt <= params.graceMs();
+        return now - confirmedAt <= config.graceMs();
     }
 
     /**
@@ -158,56 +130,57 @@
     }
 
     /** Follows the block leases; a new term means new tokens and nothing known of what an older one sent. */
-    private void refreshBlocks(long now) {
-        for (String block : blocks.all()) {
-            BlockLease lease = replica.block(block);
-            Held mine = held.get(block);
-            boolean ours = lease != null && lease.holder().equals(params.self()) && lease.incarnation() == incarnation;
+    private void refreshPartitions(long now) {
+        for (String partition : partitions.all()) {
+            PartitionLease lease = replica.partition(partition);
+            OwnedPartition mine = owned.get(partition);
+            boolean ours = lease != null && lease.owner().equals(config.self()) && lease.incarnation() == incarnation;
             if (!ours && mine != null || ours && mine != null && mine.term() != lease.term()) {
-                held.remove(block);
+                owned.remove(partition);
                 outbound.clearQuestions();
-                machines.values().removeIf(m -> m.block.equals(block));
+                machines.values().removeIf(m -> m.partition.equals(partition));
                 mine = null;
             }
             if (ours && mine == null) {
-                held.put(block, new Held(lease.term(), now));
+                owned.put(partition, new OwnedPartition(lease.term(), now));
                 sweptAt = Long.MIN_VALUE / 2;
             }
         }
     }
 
-    public Reply onReport(long now, Report r) {
+    public HeartbeatReply onHeartbeat(long now, WorkerHeartbeat r) {
         reachability.heard(now);
-        refreshBlocks(now);
-        String block = blocks.blockOf(r.machine(), r.zone());
-        Held mine = held.get(block);
+        refreshPartitions(now);
+        String partition = partitions.partitionOf(r.machine(), r.zone());
+        OwnedPartition mine = owned.get(partition);
         if (mine == null) {
-            BlockLease lease = replica.block(block);
-            return new Reply.Redirect(lease == null || lease.holder().equals(params.self()) ? null : lease.holder());
+            PartitionLease lease = replica.partition(partition);
+            return new HeartbeatReply.Redirect(
+                    lease == null || lease.owner().equals(config.self()) ? null : lease.owner());
         }
         if (!entitled(now)) {
-            return new Reply.Refuse("term not confirmed within the grace");
+            return new HeartbeatReply.Reject("term not confirmed within the grace");
         }
-        MachineView m =
-                machines.computeIfAbsent(r.machine(), id -> new MachineView(id, block, Terms.firstToken(mine.term())));
-        if (!r.isNewerThan(m.last) || r.shift() <= m.lapsedShift) {
-            return new Reply.Refuse("report overtaken");
+        MachineView m = machines.computeIfAbsent(
+                r.machine(), id -> new MachineView(id, partition, FencingTokens.firstToken(mine.term())));
+        if (!r.isNewerThan(m.last) || r.agentEpoch() <= m.expiredEpoch) {
+            return new HeartbeatReply.Reject("report overtaken");
         }
-        if (r.token() > m.token) {
-            if (Terms.blockTermOf(r.token()) != mine.term()) {
-                return new Reply.Refuse("the worker has seen a newer term");
+        if (r.fencingToken() > m.fencingToken) {
+            if (FencingTokens.partitionTermOf(r.fencingToken()) != mine.term()) {
+                return new HeartbeatReply.Reject("the worker has seen a newer term");
             }
-            m.token = r.token();
+            m.fencingToken = r.fencingToken();
         }
         m.startsInAnswer.clear();
         boolean couldBid = mayBid(now, m);
-        boolean alike = m.last != null && m.last.saysTheSame(r);
+        boolean alike = m.last != null && m.last.hasSameContentAs(r);
         accept(now, m, r);
-        m.lastReportAt = now;
-        proveGone(m, mine);
-        List<WorkerCommand> orders = orders(now, m, mine, true);
+        m.lastHeartbeatAt = now;
+        proveTerminated(m, mine);
+        List<WorkerCommand> commands = commandsFor(now, m, mine, true);
         m.answeredAt = now;
-        for (WorkerCommand o : orders) {
+        for (WorkerCommand o : commands) {
             if (o instanceof WorkerCommand.Start s) {
                 m.startsInAnswer.add(s.attempt());
             }
@@ -217,15 +190,15 @@
         // answer is
         // lost. Most reports bring nothing new, and bids are made anew only for those that do.
         m.dirty = false;
-        m.restless = !orders.isEmpty() || m.commandInFlight || m.unreachable();
+        m.restless = !commands.isEmpty() || m.commandInFlight || m.unreachable();
         observe(now, m, mine);
-        judge(now, m);
+        evaluate(now, m);
         offerDue |= !alike || couldBid != mayBid(now, m);
-        return new Reply.Answer(m.token, orders);
+        return new HeartbeatReply.Acknowledge(m.fencingToken, commands);
     }
 
     /** A direct command was answered, with 200 or 409, by the worker's report. */
-    public void onCommandAnswer(long now, String machine, long token, Report r) {
+    public void onCommandAnswer(long now, String machine, long fencingToken, WorkerHeartbeat r) {
         reachability.heard(now);
         outbound.commandEnded();
         MachineView m = machines.get(machine);
@@ -235,11 +208,11 @@
         m.commandInFlight = false;
         m.answers = true;
         m.dirty = true;
-        if (r.isNewerThan(m.last) && r.shift() > m.lapsedShift) {
+        if (r.isNewerThan(m.last) && r.agentEpoch() > m.expiredEpoch) {
             accept(now, m, r);
-            m.lastReportAt = now;
+            m.lastHeartbeatAt = now;
         }
-        Held mine = held.get(m.block);
+        OwnedPartition mine = owned.get(m.partition);
         if (mine != null) {
             observe(now, m, mine);
         }
@@ -249,7 +222,7 @@
      * A direct command went unanswered: it may still arrive, minutes from now. From here on the machine gets a
      * higher token, and nothing more is sent directly until a report shows it.
      */
-    public void onCommandLost(long now, String machine, long token) {
+    public void onCommandLost(long now, String machine, long fencingToken) {
         outbound.commandEnded();
         MachineView m = machines.get(machine);
         if (m == null || !m.commandInFlight) {
@@ -257,14 +230,14 @@
         }
         m.commandInFlight = false;
         m.dirty = true;
-        m.lostToken = Math.max(m.lostToken, token);
-        raise(m, token);
+        m.lostFencingToken = Math.max(m.lostFencingToken, fencingToken);
+        raise(m, fencingToken);
     }
 
     /** Moves a machine's token above the given one; when a term's tokens are used up it stays where it is. */
     private static void raise(MachineView m, long above) {
-        if (m.token <= above && Terms.sameTerm(above + 1, above)) {
-            m.token = above + 1;
+        if (m.fencingToken <= above && FencingTokens.sameTerm(above + 1, above)) {
+            m.fencingToken = above + 1;
         }
     }
 
@@ -275,12 +248,12 @@
      * the task a second time. Starts in the answer to a report are dropped after four seconds and so before the
      * next report. What older holders sent is behind this term's first token.
      */
-    private boolean settled(MachineView m, Held mine, long attempt) {
-        if (m.last.token() < Terms.firstToken(mine.term()) || m.startsInAnswer.contains(attempt)) {
+    private boolean settled(MachineView m, OwnedPartition mine, long attempt) {
+        if (m.last.fencingToken() < FencingTokens.firstToken(mine.term()) || m.startsInAnswer.contains(attempt)) {
             return false;
         }
         Long sent = m.directStarts.get(attempt);
-        if (sent == null || m.last.token() > sent) {
+        if (sent == null || m.last.fencingToken() > sent) {
             return true;
         }
         raise(m, sent);
@@ -288,19 +261,19 @@
     }
 
     /** The leader's list of machines and their addresses. */
-    public void onBook(List<Address> list, List<String> lateJobs, List<String> suspectJobs) {
+    public void onMachineDirectory(List<MachineAddress> list, List<String> lateJobs, List<String> suspectJobs) {
         suspects.clear();
         suspects.addAll(suspectJobs);
-        machines.values().forEach(this::forgive);
+        machines.values().forEach(this::uncordon);
         late.clear();
         late.addAll(lateJobs);
-        book.clear();
-        list.forEach(a -> book.put(a.machine(), a));
+        machineDirectory.clear();
+        list.forEach(a -> machineDirectory.put(a.machine(), a));
         sweptAt = Long.MIN_VALUE / 2;
     }
 
     /** Takes back what was held against a machine for jobs that fail everywhere; the news comes after their failures. */
-    private void forgive(MachineView m) {
+    private void uncordon(MachineView m) {
         if (m.failedJobs.removeAll(suspects) && m.failedJobs.size() <= 1) {
             m.noBidsUntil = Long.MIN_VALUE;
             m.dirty = true;
@@ -318,39 +291,39 @@
     }
 
     /** A worker answered the question for its report; this doesn't renew its lease. */
-    public void onProbeAnswer(long now, Report r) {
+    public void onProbeAnswer(long now, WorkerHeartbeat r) {
         reachability.heard(now);
-        String block = blocks.blockOf(r.machine(), r.zone());
-        Held mine = held.get(block);
-        if (mine == null || Terms.blockTermOf(r.token()) > mine.term()) {
+        String partition = partitions.partitionOf(r.machine(), r.zone());
+        OwnedPartition mine = owned.get(partition);
+        if (mine == null || FencingTokens.partitionTermOf(r.fencingToken()) > mine.term()) {
             return;
         }
-        MachineView m =
-                machines.computeIfAbsent(r.machine(), id -> new MachineView(id, block, Terms.firstToken(mine.term())));
+        MachineView m = machines.computeIfAbsent(
+                r.machine(), id -> new MachineView(id, partition, FencingTokens.firstToken(mine.term())));
         m.answers = true;
         m.dirty = true;
-        if (r.isNewerThan(m.last) && r.shift() > m.lapsedShift) {
-            m.token = Math.max(m.token, r.token());
+        if (r.isNewerThan(m.last) && r.agentEpoch() > m.expiredEpoch) {
+            m.fencingToken = Math.max(m.fencingToken, r.fencingToken());
             accept(now, m, r);
-            m.lastReportAt = now;
+            m.lastHeartbeatAt = now;
             observe(now, m, mine);
         }
     }
 
     /** Asks machines that should report here and don't, as after a change of holder. */
     private void probe(long now) {
-        for (Address a : book.values()) {
-            String block = blocks.blockOf(a.machine(), a.zone());
-            Held mine = held.get(block);
+        for (MachineAddress a : machineDirectory.values()) {
+            String partition = partitions.partitionOf(a.machine(), a.zone());
+            OwnedPartition mine = owned.get(partition);
             MachineView m = machines.get(a.machine());
             if (mine == null || m != null && m.last != null && !silent(now, m)) {
                 continue;
             }
             if (m == null) {
-                m = new MachineView(a.machine(), block, Terms.firstToken(mine.term()));
+                m = new MachineView(a.machine(), partition, FencingTokens.firstToken(mine.term()));
                 machines.put(a.machine(), m);
             }
-            if (now - m.probedAt > Math.max(2000, params.reportMs())) {
+            if (now - m.probedAt > Math.max(2000, config.heartbeatIntervalMs())) {
                 m.probedAt = now;
                 outbound.ask(a);
             }
@@ -359,12 +332,12 @@
 
     /** Sends the questions that there is room for; whoever reports meanwhile and hears this node needs none. */
     private void sendQuestions(long now) {
-        for (Address a = next(now); a != null; a = next(now)) {
-            effects.add(new Effect.Probe(a.machine(), a.address()));
+        for (MachineAddress a = next(now); a != null; a = next(now)) {
+            effects.add(new OwnerEffect.ProbeWorker(a.machine(), a.address()));
         }
     }
 
-    private Address next(long now) {
+    private MachineAddress next(long now) {
         return outbound.next(id -> {
             MachineView m = machines.get(id);
             return m != null && (!m.answers || silent(now, m));
@@ -375,13 +348,13 @@
     private void ask(long now, MachineView m, String address) {
         if (!m.answers && now - m.probedAt > ASK_AGAIN_MS) {
             m.probedAt = now;
-            outbound.ask(new Address(m.id, address, Blocks.zoneOf(m.block)));
+            outbound.ask(new MachineAddress(m.id, address, PartitionMap.zoneOf(m.partition)));
             sendQuestions(now);
         }
     }
 
-    private void accept(long now, MachineView m, Report r) {
-        if (m.last != null && r.shift() > m.last.shift()) {
+    private void accept(long now, MachineView m, WorkerHeartbeat r) {
+        if (m.last != null && r.agentEpoch() > m.last.agentEpoch()) {
             m.runningSince.clear();
             m.startsInAnswer.clear();
             // A new session has a whole lease of its own. Without this a machine whose new session was first seen
@@ -389,7 +362,7 @@
             m.answeredAt = now;
         }
         Set<Long> seen = new HashSet<>();
-        for (ReportedTask t : r.tasks()) {
+        for (TaskStatus t : r.tasks()) {
             seen.add(t.attempt());
             JobView job = replica.job(t.task().job());
             if (t.state() == TaskState.RUNNING) {
@@ -403,7 +376,7 @@
                     m.failedJobs.add(t.task().job());
                 }
                 if (m.failed.add(t.attempt()) && !suspect && m.failedJobs.size() > 1) {
-                    m.noBidsUntil = now + 8 * params.reportMs();
+                    m.noBidsUntil = now + 8 * config.heartbeatIntervalMs();
                 }
             } else if (t.exited() && t.cause() == ExitCause.DONE) {
                 Long since = m.runningSince.remove(t.attempt());
@@ -415,10 +388,11 @@
         }
         m.runningSince.keySet().retainAll(seen);
         m.failed.retainAll(seen);
-        m.directStarts.values().removeIf(token -> token < r.token());
+        m.directStarts.values().removeIf(fencingToken -> fencingToken < r.fencingToken());
         m.stopsSent.keySet().retainAll(seen);
         m.last = r;
-        if (m.oursAt < 0 && r.token() >= Terms.firstToken(Terms.blockTermOf(m.token))) {
+        if (m.oursAt < 0
+                && r.fencingToken() >= FencingTokens.firstToken(FencingTokens.partitionTermOf(m.fencingToken))) {
             // It has the token from an answer or a command of this term: it hears this node.
             m.oursAt = now;
             m.answers = true;
@@ -429,23 +403,26 @@
      * Finds placements that must not or can't run any more and surely don't: those of an earlier session, and
      * unwanted ones that the newest report lacks while nothing that could still start them is under way.
      */
-    private void proveGone(MachineView m, Held mine) {
+    private void proveTerminated(MachineView m, OwnedPartition mine) {
         List<Placement> placed = replica.placements(m.id);
         Set<Long> attempts = new HashSet<>();
         for (Placement p : placed) {
             attempts.add(p.attempt());
-            if (p.shift() <= m.lapsedShift || m.last != null && p.shift() < m.last.shift()) {
-                m.gone.add(p.attempt());
+            if (p.agentEpoch() <= m.expiredEpoch || m.last != null && p.agentEpoch() < m.last.agentEpoch()) {
+                m.terminated.add(p.attempt());
                 continue;
             }
-            if (m.last == null || p.shift() != m.last.shift() || wanted(p) || m.last.find(p.attempt()) != null) {
+            if (m.last == null
+                    || p.agentEpoch() != m.last.agentEpoch()
+                    || wanted(p)
+                    || m.last.find(p.attempt()) != null) {
                 continue;
             }
             if (settled(m, mine, p.attempt())) {
-                m.gone.add(p.attempt());
+                m.terminated.add(p.attempt());
             }
         }
-        m.gone.retainAll(attempts);
+        m.terminated.retainAll(attempts);
     }
 
     /** A peer has cancelled a job for its user. A cancelled job stays cancelled, so its word is enough. */
@@ -456,7 +433,7 @@
             }
         }
         cancelledByPeers.add(job);
-        if (cancelledByPeers.size() > params.cancellationsRemembered()) {
+        if (cancelledByPeers.size() > config.cancellationsRemembered()) {
             Iterator<String> oldest = cancelledByPeers.iterator();
             oldest.next();
             oldest.remove();
@@ -473,46 +450,46 @@
     }
 
     /** What brings the machine from its newest report to what is stored. */
-    private List<WorkerCommand> orders(long now, MachineView m, Held mine, boolean answering) {
-        List<WorkerCommand> orders = new ArrayList<>();
+    private List<WorkerCommand> commandsFor(long now, MachineView m, OwnedPartition mine, boolean answering) {
+        List<WorkerCommand> commands = new ArrayList<>();
         Map<Long, Placement> placed = new HashMap<>();
         for (Placement p : replica.placements(m.id)) {
             placed.put(p.attempt(), p);
         }
-        for (ReportedTask t : m.last.tasks()) {
+        for (TaskStatus t : m.last.tasks()) {
             Placement p = placed.get(t.attempt());
             if (t.exited()) {
                 if (p == null && answering && settled(m, mine, t.attempt())) {
-                    orders.add(new WorkerCommand.Clear(t.task(), t.attempt()));
+                    commands.add(new WorkerCommand.Clear(t.task(), t.attempt()));
                 }
             } else if (p == null || !wanted(p)) {
-                double grace = p != null && p.stop() == Placement.Stop.SAVE ? saveGrace(t) : 0;
-                if (t.state() != TaskState.SAVING || grace == 0) {
-                    orders.add(new WorkerCommand.Stop(t.task(), t.attempt(), grace));
+                double grace = p != null && p.stop() == Placement.Stop.CHECKPOINT ? checkpointGrace(t) : 0;
+                if (t.state() != TaskState.CHECKPOINTING || grace == 0) {
+                    commands.add(new WorkerCommand.Stop(t.task(), t.attempt(), grace));
                 }
             }
         }
         for (Placement p : placed.values()) {
             if (wanted(p)
-                    && p.shift() == m.last.shift()
+                    && p.agentEpoch() == m.last.agentEpoch()
                     && m.last.find(p.attempt()) == null
-                    && !m.gone.contains(p.attempt())
+                    && !m.terminated.contains(p.attempt())
                     && !m.startsInAnswer.contains(p.attempt())) {
-                orders.add(new WorkerCommand.Start(p.task(), p.attempt()));
+                commands.add(new WorkerCommand.Start(p.task(), p.attempt()));
             }
         }
-        return orders;
+        return commands;
     }
 
-    private double saveGrace(ReportedTask t) {
+    private double checkpointGrace(TaskStatus t) {
         JobView job = replica.job(t.task().job());
-        return job == null || !job.live() || !job.spec().savesProgress()
+        return job == null || !job.live() || !job.spec().writesCheckpoints()
                 ? 0
-                : job.spec().saveS() * 1.5 + 1;
+                : job.spec().checkpointWriteS() * 1.5 + 1;
     }
 
     private boolean silent(long now, MachineView m) {
-        return now - m.lastReportAt > params.reportMs() * 3 / 2 + 2000;
+        return now - m.lastHeartbeatAt > config.heartbeatIntervalMs() * 3 / 2 + 2000;
     }
 
     /**
@@ -521,7 +498,7 @@
      * tells and bids.
      */
     public void tick(long now) {
-        refreshBlocks(now);
+        refreshPartitions(now);
         if (!entitled(now)) {
             return;
         }
@@ -540,7 +517,7 @@
                 adopt(id);
             }
         }
-        boolean sweep = now - sweptAt >= params.reportMs() / 4;
+        boolean sweep = now - sweptAt >= config.heartbeatIntervalMs() / 4;
         if (sweep) {
             sweptAt = now;
             // Time alone opens scarce types, ends pauses of machines that failed and moves the order of lines.
@@ -552,7 +529,7 @@
         listen(now);
         for (MachineView m : machines.values()) {
             if (m.dirty || sweep && (m.restless || silent(now, m))) {
-                goOver(now, m, held.get(m.block));
+                reconcileMachine(now, m, owned.get(m.partition));
             }
         }
         offer(now);
@@ -567,61 +544,63 @@
         for (MachineView m : machines.values()) {
             due += m.last != null && m.oursAt >= 0 && !silent(now, m) ? 1 : 0;
         }
-        reachability.lookAt(now, due, held.keySet());
+        reachability.lookAt(now, due, owned.keySet());
         for (String id : reachability.toAsk(
-                now, book.keySet(), id -> blocks.blockOf(id, book.get(id).zone()))) {
-            effects.add(new Effect.Probe(id, book.get(id).address()));
+                now,
+                machineDirectory.keySet(),
+                id -> partitions.partitionOf(id, machineDirectory.get(id).zone()))) {
+            effects.add(new OwnerEffect.ProbeWorker(id, machineDirectory.get(id).address()));
             outbound.askAside();
         }
     }
 
     /** Whether no worker can reach this node, as far as it can tell; its blocks are better off elsewhere. */
-    public boolean deaf() {
-        return reachability.deaf();
+    public boolean isolatedFromWorkers() {
+        return reachability.isolatedFromWorkers();
     }
 
-    private void goOver(long now, MachineView m, Held mine) {
+    private void reconcileMachine(long now, MachineView m, OwnedPartition mine) {
         offerDue |= m.dirty;
         m.dirty = false;
         m.restless = false;
-        lapse(now, m, mine);
-        proveGone(m, mine);
-        if (m.last != null && m.last.shift() > m.lapsedShift) {
-            judge(now, m);
+        expire(now, m, mine);
+        proveTerminated(m, mine);
+        if (m.last != null && m.last.agentEpoch() > m.expiredEpoch) {
+            evaluate(now, m);
             command(now, m, mine);
         }
         observe(now, m, mine);
     }
 
-    private void judge(long now, MachineView m) {
+    private void evaluate(long now, MachineView m) {
         List<Estimator.UnderWay> running = new ArrayList<>();
         for (Map.Entry<Long, Long> e : m.runningSince.entrySet()) {
-            ReportedTask t = m.last.find(e.getKey());
+            TaskStatus t = m.last.find(e.getKey());
             JobView job = t == null ? null : replica.job(t.task().job());
             if (job != null && !t.exited()) {
                 running.add(new Estimator.UnderWay(job.spec(), (now - e.getValue()) / 1000.0));
             }
         }
-        estimator.judge(m.id, running);
+        estimator.evaluate(m.id, running);
     }
 
     /** Machines with placements that nobody has heard of in this term still have to be proved dead or alive. */
     private void adoptPlaced() {
         // Machines that were returned would be told of as silent for ever, and their holder be taken for deaf.
         machines.values()
-                .removeIf(m -> (m.last == null || m.last.shift() <= m.lapsedShift)
+                .removeIf(m -> (m.last == null || m.last.agentEpoch() <= m.expiredEpoch)
                         && replica.placements(m.id).isEmpty()
-                        && !book.containsKey(m.id));
+                        && !machineDirectory.containsKey(m.id));
         replica.placedMachines().forEach(this::adopt);
         capacities.retain(machines.keySet());
     }
 
     private void adopt(String id) {
         if (!machines.containsKey(id) && !replica.placements(id).isEmpty()) {
-            String block = blocks.blockOf(id, replica.placedZone(id));
-            Held mine = held.get(block);
+            String partition = partitions.partitionOf(id, replica.placedZone(id));
+            OwnedPartition mine = owned.get(partition);
             if (mine != null) {
-                machines.put(id, new MachineView(id, block, Terms.firstToken(mine.term())));
+                machines.put(id, new MachineView(id, partition, FencingTokens.firstToken(mine.term())));
             }
         }
     }
@@ -630,76 +609,78 @@
      * Ends the session of a machine that can't have been answered for its whole lease. Until the worker has shown
      * this term's token an older holder may have answered it for the grace, hence the longer time.
      */
-    private void lapse(long now, MachineView m, Held mine) {
-        long until = mine.since() + params.fenceMs();
+    private void expire(long now, MachineView m, OwnedPartition mine) {
+        long until = mine.since() + config.fenceMs();
         if (m.oursAt >= 0) {
-            until = Math.max(m.answeredAt, m.oursAt) + params.silentMs();
+            until = Math.max(m.answeredAt, m.oursAt) + config.silentMs();
         } else {
-            until = Math.max(until, m.answeredAt + params.silentMs());
+            until = Math.max(until, m.answeredAt + config.silentMs());
         }
         if (now <= until) {
             return;
         }
-        long shift = m.last == null ? Long.MAX_VALUE : m.last.shift();
+        long agentEpoch = m.last == null ? Long.MAX_VALUE : m.last.agentEpoch();
         if (m.last == null) {
             // Never heard of in this term: whatever its session is, the stored placements are of it or older.
             for (Placement p : replica.placements(m.id)) {
-                m.gone.add(p.attempt());
+                m.terminated.add(p.attempt());
             }
-        } else if (m.lapsedShift < shift) {
-            m.lapsedShift = shift;
+        } else if (m.expiredEpoch < agentEpoch) {
+            m.expiredEpoch = agentEpoch;
         }
     }
 
-    private void command(long now, MachineView m, Held mine) {
+    private void command(long now, MachineView m, OwnedPartition mine) {
         m.restless |= m.commandInFlight || m.unreachable();
         if (m.commandInFlight
                 || silent(now, m)
-                || m.lostToken >= m.last.token()
-                || !Terms.sameTerm(m.token + 1, m.token)) {
+                || m.lostFencingToken >= m.last.fencingToken()
+                || !FencingTokens.sameTerm(m.fencingToken + 1, m.fencingToken)) {
             return;
         }
-        List<WorkerCommand> orders = orders(now, m, mine, false);
-        m.restless |= !orders.isEmpty();
-        orders.removeIf(o -> o instanceof WorkerCommand.Stop
-                && m.stopsSent.getOrDefault(o.attempt(), 0L) > now - 2 * params.reportMs());
-        if (orders.isEmpty()) {
+        List<WorkerCommand> commands = commandsFor(now, m, mine, false);
+        m.restless |= !commands.isEmpty();
+        commands.removeIf(o -> o instanceof WorkerCommand.Stop
+                && m.stopsSent.getOrDefault(o.attempt(), 0L) > now - 2 * config.heartbeatIntervalMs());
+        if (commands.isEmpty()) {
             return;
         }
         if (!outbound.command()) {
             m.dirty = true;
             return;
         }
-        for (WorkerCommand o : orders) {
+        for (WorkerCommand o : commands) {
             if (o instanceof WorkerCommand.Start) {
-                m.directStarts.put(o.attempt(), m.token);
+                m.directStarts.put(o.attempt(), m.fencingToken);
             } else {
                 m.stopsSent.put(o.attempt(), now);
             }
         }
         m.commandInFlight = true;
-        effects.add(new Effect.Command(m.id, m.last.address(), m.token, m.last.shift(), orders));
+        effects.add(
+                new OwnerEffect.SendCommands(m.id, m.last.address(), m.fencingToken, m.last.agentEpoch(), commands));
     }
 
-    private void observe(long now, MachineView m, Held mine) {
-        if (m.last == null && m.gone.isEmpty()) {
+    private void observe(long now, MachineView m, OwnedPartition mine) {
+        if (m.last == null && m.terminated.isEmpty()) {
             return;
         }
-        Report r = m.last;
-        boolean silent = r == null || silent(now, m) || r.shift() <= m.lapsedShift || !m.answers || m.unreachable();
-        List<Long> gone = List.copyOf(m.gone);
-        boolean news = !gone.isEmpty();
+        WorkerHeartbeat r = m.last;
+        boolean silent =
+                r == null || silent(now, m) || r.agentEpoch() <= m.expiredEpoch || !m.answers || m.unreachable();
+        List<Long> terminated = List.copyOf(m.terminated);
+        boolean news = !terminated.isEmpty();
         if (r != null) {
             for (Placement p : replica.placements(m.id)) {
-                ReportedTask t = r.find(p.attempt());
+                TaskStatus t = r.find(p.attempt());
                 news |= t != null && t.exited();
             }
         }
-        Observation o = r == null
-                ? new Observation(
-                        params.self(),
+        MachineStatus o = r == null
+                ? new MachineStatus(
+                        config.self(),
                         incarnation,
-                        m.block,
+                        m.partition,
                         mine.term(),
                         m.id,
                         "",
@@ -710,28 +691,28 @@
                         null,
                         true,
                         List.of(),
-                        gone)
-                : new Observation(
-                        params.self(),
+                        terminated)
+                : new MachineStatus(
+                        config.self(),
                         incarnation,
-                        m.block,
+                        m.partition,
                         mine.term(),
                         m.id,
                         r.address(),
                         r.type(),
                         r.zone(),
                         r.spot(),
-                        r.shift(),
-                        r.noticeS(),
+                        r.agentEpoch(),
+                        r.evictionNoticeS(),
                         silent,
                         r.tasks(),
-                        gone);
+                        terminated);
         m.restless |= news;
         // Repeats what the leader hasn't acted on yet: the first telling may have been lost with its connection.
         if (!o.equals(m.observed) || news && now - m.observedAt > 2000) {
             m.observed = o;
             m.observedAt = now;
-            effects.add(new Effect.Tell(o));
+            effects.add(new OwnerEffect.PublishStatus(o));
         }
     }
 
@@ -761,13 +742,13 @@
             return;
         }
         Map<String, Long> terms = new TreeMap<>();
-        held.forEach((b, h) -> terms.put(b, h.term()));
+        owned.forEach((b, h) -> terms.put(b, h.term()));
         if (terms.isEmpty()) {
             return;
         }
         offeredAt = now;
         offerDue = false;
-        offeredLedger = replica.ledger();
+        offeredRevision = replica.revision();
         List<JobView> waiting = JobQueue.sort(replica.jobs(), order, wallMs(now));
         for (String id : late) {
             JobView job = replica.job(id);
@@ -778,33 +759,33 @@
         }
         List<Bid> bids = List.of();
         if (!waiting.isEmpty()) {
-            QuotaBook quota = QuotaBook.of(params, replica);
+            QuotaUsage quota = QuotaUsage.of(config, replica);
             waiting.removeIf(j -> !quota.allows(j.spec()));
             scarcity.refresh(replica.types(), waiting);
             bids = new Bidding(replica, estimator, scarcity, wallMs(now), suspects)
                     .bids(waiting, bidders(now, waiting));
         }
-        BidBatch batch = new BidBatch(params.self(), incarnation, replica.ledger(), terms, bids);
+        BidBatch batch = new BidBatch(config.self(), incarnation, replica.revision(), terms, bids);
         if (lastBatch == null
                 || !lastBatch.bids().equals(bids)
                 || !lastBatch.terms().equals(terms)
-                || !waiting.isEmpty() && lastBatch.ledger() != batch.ledger()) {
+                || !waiting.isEmpty() && lastBatch.revision() != batch.revision()) {
             lastBatch = batch;
-            effects.add(new Effect.Offer(batch));
+            effects.add(new OwnerEffect.SubmitBids(batch));
         }
     }
 
     private boolean offerPending() {
-        return offerDue || offeredLedger != replica.ledger();
+        return offerDue || offeredRevision != replica.revision();
     }
 
     private long offerGapMs() {
-        return params.windowMs() / OFFERS_IN_WINDOW;
+        return config.windowMs() / OFFERS_IN_WINDOW;
     }
 
     /** Milliseconds until bids that were put off are due, or -1. */
     public long nextOffer(long now) {
-        return offerPending() && !held.isEmpty() ? Math.max(1, offeredAt + offerGapMs() - now) : -1;
+        return offerPending() && !owned.isEmpty() ? Math.max(1, offeredAt + offerGapMs() - now) : -1;
     }
 
     /** Machines that may bid, with what is free on them. */
@@ -815,7 +796,7 @@
         }
         List<Bidding.Bidder> list = new ArrayList<>();
         for (MachineView m : machines.values()) {
-            Report r = m.last;
+            WorkerHeartbeat r = m.last;
             MachineType type = r == null ? null : replica.type(r.type());
             if (type == null || !mayBid(now, m)) {
                 continue;
@@ -825,7 +806,7 @@
                 continue;
             }
             room = room.copy();
-            for (ReportedTask t : r.tasks()) {
+            for (TaskStatus t : r.tasks()) {
                 if (!t.exited() && !isPlaced(m.id, t.attempt())) {
                     JobView job = replica.job(t.task().job());
                     if (job != null) {
@@ -833,20 +814,20 @@
                     }
                 }
             }
-            list.add(new Bidding.Bidder(m.id, r.shift(), type, r.zone(), r.spot(), room));
+            list.add(new Bidding.Bidder(m.id, r.agentEpoch(), type, r.zone(), r.spot(), room));
         }
         return list;
     }
 
     private boolean mayBid(long now, MachineView m) {
-        Report r = m.last;
+        WorkerHeartbeat r = m.last;
         return r != null
-                && !reachability.deaf()
+                && !reachability.isolatedFromWorkers()
                 && m.answers
                 && !m.unreachable()
                 && !silent(now, m)
-                && r.shift() > m.lapsedShift
-                && r.noticeS() == null
+                && r.agentEpoch() > m.expiredEpoch
+                && r.evictionNoticeS() == null
                 && now >= m.noBidsUntil;
     }
 
--- a/src/main/java/garnetscale/core/block/Reachability.java
+++ b/src/main/java/garnetscale/core/partition/Reachability.java
@@ -1,6 +1,6 @@
-package garnetscale.core.block;
+package garnetscale.core.partition;
 
-import garnetscale.core.Params;
+import garnetscale.core.SchedulerConfig;
 import java.util.Collection;
 import java.util.Set;
 import java.util.TreeSet;
@@ -19,43 +19,44 @@
     /** Machines that are asked at a time while nothing is heard. */
     private static final int ASKED = 3;
 
-    private final Params params;
+    private final SchedulerConfig config;
     private final Set<String> lost = new TreeSet<>();
-    private boolean deaf;
+    private boolean isolatedFromWorkers;
     private long heardAt;
     private long lookedAt = Long.MIN_VALUE / 2;
     private long askedAt = Long.MIN_VALUE / 2;
     private int next;
 
-    Reachability(Params params) {
-        this.params = params;
+    Reachability(SchedulerConfig config) {
+        this.config = config;
     }
 
     /** A worker was heard: by its report, or by its answer to a question or a command. */
     void heard(long now) {
         heardAt = now;
-        deaf = false;
+        isolatedFromWorkers = false;
         lost.clear();
     }
 
-    boolean deaf() {
-        return deaf;
+    boolean isolatedFromWorkers() {
+        return isolatedFromWorkers;
     }
 
     /**
      * Looks again, with the machines that reports are due from. After a pause in which this process didn't look either
      * nothing can be told: what came meanwhile is still to be read.
      */
-    boolean lookAt(long now, int due, Collection<String> blocks) {
+    boolean lookAt(long now, int due, Collection<String> partitions) {
         boolean paused = now - lookedAt > silence() / 2;
         lookedAt = now;
         if (paused) {
             heardAt = now;
         }
-        boolean quiet = due * (double) (now - heardAt) / params.reportMs() > OVERDUE && now - heardAt > silence();
-        if (!deaf && quiet) {
-            deaf = true;
-            lost.addAll(blocks);
+        boolean quiet =
+                due * (double) (now - heardAt) / config.heartbeatIntervalMs() > OVERDUE && now - heardAt > silence();
+        if (!isolatedFromWorkers && quiet) {
+            isolatedFromWorkers = true;
+            lost.addAll(partitions);
             return true;
         }
         return false;
@@ -68,18 +69,18 @@
 
     /** However many machines there are, a busy process may be late by this much. */
     private long silence() {
-        return Math.max(1000, params.reportMs() / 4);
+        return Math.max(1000, config.heartbeatIntervalMs() / 4);
     }
 
     /** Of the machines in the blocks that were given up, those to ask now; {@code all} are machine names and their blocks. */
-    Collection<String> toAsk(long now, Collection<String> all, Function<String, String> blockOf) {
+    Collection<String> toAsk(long now, Collection<String> all, Function<String, String> partitionOf) {
         Set<String> ask = new TreeSet<>();
-        if (!deaf || now - askedAt < silence()) {
+        if (!isolatedFromWorkers || now - askedAt < silence()) {
             return ask;
         }
         askedAt = now;
         String[] mine =
-                all.stream().filter(m -> lost.contains(blockOf.apply(m))).toArray(String[]::new);
+                all.stream().filter(m -> lost.contains(partitionOf.apply(m))).toArray(String[]::new);
         for (int i = 0; i < Math.min(ASKED, mine.length); i++) {
             ask.add(mine[next++ % mine.length]);
         }
--- a/src/main/java/garnetscale/core/block/Outbound.java
+++ b/src/main/java/garnetscale/core/partition/WorkerRequestLimiter.java
@@ -1,6 +1,6 @@
-package garnetscale.core.block;
+package garnetscale.core.partition;
 
-import garnetscale.core.machine.Address;
+import garnetscale.core.machine.MachineAddress;
 import java.util.ArrayDeque;
 import java.util.Deque;
 import java.util.HashSet;
@@ -13,16 +13,16 @@
  * answer nothing: commands have the whole bound, questions half of it. A question that finds no room waits its turn; a
  * command doesn't, since the answer to the machine's next report says the same.
  */
-final class Outbound {
+final class WorkerRequestLimiter {
 
     private final int most;
-    private final Deque<Address> waiting = new ArrayDeque<>();
+    private final Deque<MachineAddress> waiting = new ArrayDeque<>();
     private final Set<String> waitingFor = new HashSet<>();
     private int commands;
     private int questions;
     private boolean lagging;
 
-    Outbound(int most) {
+    WorkerRequestLimiter(int most) {
         this.most = most;
     }
 
@@ -40,7 +40,7 @@
     }
 
     /** Has a machine asked as soon as there is room. */
-    void ask(Address machine) {
+    void ask(MachineAddress machine) {
         if (waitingFor.add(machine.machine())) {
             waiting.add(machine);
         }
@@ -65,9 +65,9 @@
     }
 
     /** The next machine to ask now, or null; what needs no question any more falls out. */
-    Address next(Predicate<String> needed) {
+    MachineAddress next(Predicate<String> needed) {
         while (!waiting.isEmpty() && questions < mostQuestions() && commands + questions < most) {
-            Address a = waiting.poll();
+            MachineAddress a = waiting.poll();
             waitingFor.remove(a.machine());
             if (needed.test(a.machine())) {
                 questions++;
--- a/src/main/java/garnetscale/core/line/JobOrder.java
+++ b/src/main/java/garnetscale/core/queue/JobOrder.java
@@ -1,10 +1,10 @@
-package garnetscale.core.line;
+package garnetscale.core.queue;
 
 import com.google.common.collect.ArrayListMultimap;
 import com.google.common.collect.ListMultimap;
-import garnetscale.core.Params;
+import garnetscale.core.SchedulerConfig;
 import garnetscale.core.job.JobSpec;
-import garnetscale.core.store.JobView;
+import garnetscale.core.state.JobView;
 
 /**
  * The order of a line: priority, then the shorter estimate, aged by waiting (DESIGN; the paper's shortest
@@ -30,11 +30,11 @@
     private static final double PATIENCE = 1.5;
 
     private final double patienceS;
-    private final ListMultimap<String, Params.Objective> due = ArrayListMultimap.create();
+    private final ListMultimap<String, SchedulerConfig.ServiceLevelObjective> due = ArrayListMultimap.create();
 
-    public JobOrder(Params params) {
-        patienceS = PATIENCE * params.cancelMs() / 1000.0;
-        for (Params.Objective o : params.objectives()) {
+    public JobOrder(SchedulerConfig config) {
+        patienceS = PATIENCE * config.cancelMs() / 1000.0;
+        for (SchedulerConfig.ServiceLevelObjective o : config.objectives()) {
             if (o.kind().equals("deadline")) {
                 due.put(o.jobClass(), o);
             }
@@ -45,7 +45,7 @@
     private int missed(JobSpec spec, double waitedS) {
         double end = waitedS + spec.estimateS();
         int missed = 0;
-        for (Params.Objective o : due.get(spec.jobClass())) {
+        for (SchedulerConfig.ServiceLevelObjective o : due.get(spec.jobClass())) {
             missed += spec.deadlineS() != null && end > spec.deadlineS() * o.times() ? 1 : 0;
         }
         return Math.min(missed, MOST_MISSED);
--- a/src/main/java/garnetscale/core/line/JobQueue.java
+++ b/src/main/java/garnetscale/core/queue/JobQueue.java
@@ -1,8 +1,8 @@
-package garnetscale.core.line;
+package garnetscale.core.queue;
 
 import garnetscale.core.job.JobSpec;
 import garnetscale.core.machine.MachineType;
-import garnetscale.core.store.JobView;
+import garnetscale.core.state.JobView;
 import java.util.ArrayList;
 import java.util.List;
 
--- a/src/main/java/garnetscale/core/line/Scarcity.java
+++ b/src/main/java/garnetscale/core/queue/ScarceTypeFilter.java
@@ -1,10 +1,10 @@
-package garnetscale.core.line;
+package garnetscale.core.queue;
 
-import garnetscale.core.Params;
+import garnetscale.core.SchedulerConfig;
 import garnetscale.core.job.JobSpec;
 import garnetscale.core.job.Priority;
 import garnetscale.core.machine.MachineType;
-import garnetscale.core.store.JobView;
+import garnetscale.core.state.JobView;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.List;
@@ -18,7 +18,7 @@
  * job whose waiting objective is in danger has every machine again. Only what has begun and is less urgent than the one
  * that waits leaves it the type for as long as it waits: idle work of hundreds of long tasks would fill all of it.
  */
-public final class Scarcity {
+public final class ScarceTypeFilter {
 
     /** The part of its waiting objective for which a job leaves scarce types to others. */
     private static final double PATIENCE = 0.5;
@@ -30,8 +30,8 @@
     /** The different sets of types that jobs are bound to, with the most urgent of those: few, however many wait. */
     private final Map<Set<String>, Priority> bound = new HashMap<>();
 
-    public Scarcity(Params params) {
-        for (Params.Objective o : params.objectives()) {
+    public ScarceTypeFilter(SchedulerConfig config) {
+        for (SchedulerConfig.ServiceLevelObjective o : config.objectives()) {
             if (o.kind().equals("wait")) {
                 patienceS.merge(o.jobClass(), PATIENCE * o.withinS(), Math::min);
             }
--- a/src/main/java/garnetscale/core/quota/QuotaBook.java
+++ b/src/main/java/garnetscale/core/quota/QuotaUsage.java
@@ -1,10 +1,10 @@
 package garnetscale.core.quota;
 
-import garnetscale.core.Params;
+import garnetscale.core.SchedulerConfig;
 import garnetscale.core.job.JobSpec;
 import garnetscale.core.machine.MachineType;
-import garnetscale.core.store.JobView;
-import garnetscale.core.store.StateReplica;
+import garnetscale.core.state.JobView;
+import garnetscale.core.state.StateReplica;
 import java.util.HashMap;
 import java.util.Map;
 
@@ -12,22 +12,22 @@
  * What each team uses. A task counts from its award until it is freed on proof, so also while it fetches, saves
  * or can't be reached: the limit holds for what may be running, not for what is known to run.
  */
-public final class QuotaBook {
+public final class QuotaUsage {
 
-    private final Map<String, Params.Team> teams;
+    private final Map<String, SchedulerConfig.Team> teams;
     private final Map<String, double[]> used = new HashMap<>();
 
-    public QuotaBook(Map<String, Params.Team> teams) {
+    public QuotaUsage(Map<String, SchedulerConfig.Team> teams) {
         this.teams = teams;
     }
 
     /** Counts every placement that the replica holds. */
-    public static QuotaBook of(Params params, StateReplica replica) {
-        QuotaBook book = new QuotaBook(params.teams());
+    public static QuotaUsage of(SchedulerConfig config, StateReplica replica) {
+        QuotaUsage usage = new QuotaUsage(config.teams());
         for (JobView job : replica.jobs()) {
-            book.add(job.spec(), job.placedCount());
+            usage.add(job.spec(), job.placedCount());
         }
-        return book;
+        return usage;
     }
 
     public void add(JobSpec job, int tasks) {
@@ -38,7 +38,7 @@
 
     /** Whether one more task of the job stays within its team's limit. */
     public boolean allows(JobSpec job) {
-        Params.Team team = teams.get(job.team());
+        SchedulerConfig.Team team = teams.get(job.team());
         if (team == null) {
             return false;
         }
@@ -48,7 +48,7 @@
 
     /** Whether the job's team uses more than its guarantee, so that it has to give back what others need. */
     public boolean borrows(JobSpec job) {
-        Params.Team team = teams.get(job.team());
+        SchedulerConfig.Team team = teams.get(job.team());
         return team != null
                 && (cpus(job.team()) > team.cpus() + MachineType.EPSILON
                         || gpus(job.team()) > team.gpus() + MachineType.EPSILON);
@@ -56,7 +56,7 @@
 
     /** Whether one more task of the job is within what its team is guaranteed. */
     public boolean guarantees(JobSpec job) {
-        Params.Team team = teams.get(job.team());
+        SchedulerConfig.Team team = teams.get(job.team());
         return team != null
                 && cpus(job.team()) + job.cpus() <= team.cpus() + MachineType.EPSILON
                 && (job.gpus() == 0 || gpus(job.team()) + job.gpus() <= team.gpus() + MachineType.EPSILON);
--- a/src/main/java/garnetscale/core/store/Bucket.java
+++ b/src/main/java/garnetscale/core/state/Bucket.java
@@ -1,6 +1,6 @@
-package garnetscale.core.store;
+package garnetscale.core.state;
 
-import garnetscale.core.block.Blocks;
+import garnetscale.core.partition.PartitionMap;
 
 /**
  * A part of the base of the work log, by the hash of what is in it. The root of a shard holds all of the shard; a bucket
@@ -34,7 +34,7 @@
     }
 
     static int hashOfMachine(String machine) {
-        return Blocks.number(machine);
+        return PartitionMap.number(machine);
     }
 
     static int hashOfPart(String part) {
--- a/src/main/java/garnetscale/core/store/JobView.java
+++ b/src/main/java/garnetscale/core/state/JobView.java
@@ -1,4 +1,4 @@
-package garnetscale.core.store;
+package garnetscale.core.state;
 
 import garnetscale.core.job.JobRecord;
 import garnetscale.core.job.JobSpec;
@@ -51,12 +51,12 @@
     }
 
     private final JobRecord job;
-    private final long stamp;
+    private final long modRevision;
     private final Marks marks;
 
-    JobView(JobRecord job, long stamp, Marks marks) {
+    JobView(JobRecord job, long modRevision, Marks marks) {
         this.job = job;
-        this.stamp = stamp;
+        this.modRevision = modRevision;
         this.marks = marks;
     }
 
@@ -68,8 +68,8 @@
         return job;
     }
 
-    public long stamp() {
-        return stamp;
+    public long modRevision() {
+        return modRevision;
     }
 
     public boolean live() {
--- a/src/main/java/garnetscale/core/store/Keys.java
+++ b/src/main/java/garnetscale/core/state/Keys.java
@@ -1,4 +1,4 @@
-package garnetscale.core.store;
+package garnetscale.core.state;
 
 /**
  * Names of the keys. Everything that a node replicas lies under one prefix, so that one watch brings it all;
@@ -17,10 +17,10 @@
     /** Entries of the work log. They come before the bases in key order, and so in a listing: see {@link WorkLog}. */
     static final String LOG = "g/l/";
 
-    static final String BASE = "g/s/";
-    static final String BLOCK = "g/b/";
+    static final String SNAPSHOT = "g/s/";
+    static final String PARTITION = "g/b/";
     static final String NODE = "g/n/";
-    private static final String ARCHIVE = "a/";
+    private static final String TERMINAL_JOB = "a/";
 
     private Keys() {}
 
@@ -29,17 +29,17 @@
     }
 
     /** Where a job that is over is kept for good. */
-    public static String archived(String id) {
-        return ARCHIVE + id;
+    public static String terminalJob(String id) {
+        return TERMINAL_JOB + id;
     }
 
     /** The job whose end a key keeps, or null. */
-    public static String archivedJob(String key) {
-        return key.startsWith(ARCHIVE) ? key.substring(ARCHIVE.length()) : null;
+    public static String terminalJobOfKey(String key) {
+        return key.startsWith(TERMINAL_JOB) ? key.substring(TERMINAL_JOB.length()) : null;
     }
 
-    public static String block(String block) {
-        return BLOCK + block;
+    public static String partition(String partition) {
+        return PARTITION + partition;
     }
 
     public static String node(String name) {
--- a/src/main/java/garnetscale/core/store/Layouts.java
+++ b/src/main/java/garnetscale/core/state/Layouts.java
@@ -1,4 +1,4 @@
-package garnetscale.core.store;
+package garnetscale.core.state;
 
 import garnetscale.core.upgrade.VersionRange;
 
@@ -8,9 +8,9 @@
     /** A fixed number of shards and of entries; a controller whose record names no layout knows this one alone. */
     public static final int FIRST = VersionRange.FIRST_VERSION;
     /** Shards may be split into buckets, and the ring of entries grows with them. */
-    public static final int SPLIT_BASE = 2;
+    public static final int SPLIT_SNAPSHOT = 2;
     /** What this program reads and writes. */
-    public static final VersionRange SUPPORTED = new VersionRange(FIRST, SPLIT_BASE);
+    public static final VersionRange SUPPORTED = new VersionRange(FIRST, SPLIT_SNAPSHOT);
 
     private Layouts() {}
 }
--- a/src/main/java/garnetscale/core/store/LogRing.java
+++ b/src/main/java/garnetscale/core/state/LogRingBuffer.java
@@ -1,4 +1,4 @@
-package garnetscale.core.store;
+package garnetscale.core.state;
 
 import java.util.HashMap;
 import java.util.List;
@@ -9,7 +9,7 @@
  * The keys that the entries of the work log lie in. Each entry is written over the oldest one, whose content is in the
  * base by then. The larger the base, the longer it takes until each part of it has been rewritten, and the more keys there are.
  */
-final class LogRing {
+final class LogRingBuffer {
 
     private final TreeMap<Long, String> keys = new TreeMap<>();
     private final Map<String, Long> numbers = new HashMap<>();
--- a/src/main/java/garnetscale/core/store/LogWriter.java
+++ b/src/main/java/garnetscale/core/state/LogWriter.java
@@ -1,4 +1,4 @@
-package garnetscale.core.store;
+package garnetscale.core.state;
 
 import garnetscale.core.job.JobSpec;
 import java.util.ArrayList;
@@ -22,11 +22,11 @@
     public record Limits(int valueBytes, int ops, int layout, boolean splitsAny) {}
 
     /** What a transaction may hold in all, and what is left of it for guards and the ends of jobs. */
-    private static final int TXN_BYTES = 64 * 1024;
+    private static final int TRANSACTION_BYTES = 64 * 1024;
 
     private static final int ASIDE = 14 * 1024;
     /** The part of a transaction's changes that a fold may take when it has a choice. */
-    private static final int FOLD_IN_OPS = 3;
+    private static final int COMPACTIONS_IN_OPERATIONS = 3;
     /** An attempt that is freed or stopped. */
     private static final int ATTEMPT = 28;
     /** The images of a machine, which a placement may change, and a part of a finished set, which a finish may. */
@@ -46,30 +46,30 @@
     public LogWriter(StateReplica replica, Limits limits) {
         this.replica = replica;
         int pageBytes = pageBytes(limits.valueBytes());
-        int opLimit = Math.max(3, limits.ops() / FOLD_IN_OPS);
-        BaseIndex.Region due = replica.foldDue();
-        boolean isSplit = replica.layout() >= Layouts.SPLIT_BASE;
-        if (limits.layout() < Layouts.SPLIT_BASE && isSplit) {
+        int opLimit = Math.max(3, limits.ops() / COMPACTIONS_IN_OPERATIONS);
+        SnapshotIndex.Region due = replica.compactionDue();
+        boolean isSplit = replica.layout() >= Layouts.SPLIT_SNAPSHOT;
+        if (limits.layout() < Layouts.SPLIT_SNAPSHOT && isSplit) {
             convert(due, pageBytes, opLimit);
-        } else if (limits.layout() >= Layouts.SPLIT_BASE && limits.splitsAny() && !isSplit && !replica.logFull()) {
-            foldInParts(replica.base().oldest(), pageBytes, opLimit, true);
-        } else if (due != null && limits.layout() >= Layouts.SPLIT_BASE && (isSplit || !replica.logFull())) {
+        } else if (limits.layout() >= Layouts.SPLIT_SNAPSHOT && limits.splitsAny() && !isSplit && !replica.logFull()) {
+            foldInParts(replica.snapshot().oldest(), pageBytes, opLimit, true);
+        } else if (due != null && limits.layout() >= Layouts.SPLIT_SNAPSHOT && (isSplit || !replica.logFull())) {
             foldInParts(due, pageBytes, opLimit, false);
         } else if (due != null) {
             foldWhole(due.bucket(), pageBytes);
         }
-        replica.ringKeysToDelete().stream().limit(opLimit).forEach(deletes::add);
-        this.splitsFirst = replica.layout() < Layouts.SPLIT_BASE
+        replica.ringBufferKeysToDelete().stream().limit(opLimit).forEach(deletes::add);
+        this.splitsFirst = replica.layout() < Layouts.SPLIT_SNAPSHOT
                 && puts.keySet().stream()
-                        .anyMatch(key -> !BaseIndex.bucketOf(key).isRoot());
+                        .anyMatch(key -> !SnapshotIndex.bucketOf(key).isRoot());
         // The first split needs an entry, and so a log that isn't full. A shard that has grown beyond the ordinary
         // leaves less for the entry, or nothing at all this time.
-        this.left = replica.logFull() ? 0 : Math.min(pageBytes, TXN_BYTES - ASIDE - puts.size() * pageBytes);
+        this.left = replica.logFull() ? 0 : Math.min(pageBytes, TRANSACTION_BYTES - ASIDE - puts.size() * pageBytes);
     }
 
     /** What a page of a base may take, by the largest value that is allowed. */
     static int pageBytes(int valueBytes) {
-        return Math.min(valueBytes, TXN_BYTES / 4) * 15 / 16;
+        return Math.min(valueBytes, TRANSACTION_BYTES / 4) * 15 / 16;
     }
 
     /**
@@ -77,12 +77,12 @@
      * transaction; else two halves are joined. A shard that isn't split is folded as ever. What is due to be folded goes first, and what can't be joined yet is folded as
      * it is, so that the ring doesn't run full meanwhile.
      */
-    private void convert(BaseIndex.Region due, int pageBytes, int opLimit) {
-        BaseIndex base = replica.base();
-        int shard = due != null ? due.bucket().shard() : base.firstSplitShard();
+    private void convert(SnapshotIndex.Region due, int pageBytes, int opLimit) {
+        SnapshotIndex snapshot = replica.snapshot();
+        int shard = due != null ? due.bucket().shard() : snapshot.firstSplitShard();
         Bucket root = Bucket.root(shard);
         List<WorkLog.Contents> pages = WorkLog.pages(replica.contents(root), pageBytes);
-        List<Bucket> stored = base.storedIn(shard);
+        List<Bucket> stored = snapshot.storedIn(shard);
         boolean isWhole = stored.stream().allMatch(Bucket::isRoot);
         if (isWhole || pages.size() <= pageLimit(pageBytes) && stored.size() <= opLimit) {
             foldWhole(root, pageBytes);
@@ -94,8 +94,8 @@
 
     /** Writes two halves of a bucket as one where they fit into a page; false when there are none in the shard. */
     private boolean join(int shard, int pageBytes) {
-        List<BaseIndex.Region> regions = replica.base().regionsOf(shard);
-        for (BaseIndex.Region region : regions) {
+        List<SnapshotIndex.Region> regions = replica.snapshot().regionsOf(shard);
+        for (SnapshotIndex.Region region : regions) {
             Bucket bucket = region.bucket();
             if (bucket.isRoot() || !bucket.equals(region.stored())) {
                 continue;
@@ -114,7 +114,7 @@
     }
 
     private static int pageLimit(int pageBytes) {
-        return Math.max(1, (TXN_BYTES - ASIDE) / pageBytes - 1);
+        return Math.max(1, (TRANSACTION_BYTES - ASIDE) / pageBytes - 1);
     }
 
     /** Layout 1: a shard is written anew with all of its pages at once. */
@@ -130,7 +130,7 @@
      * Layout 2: a region is written as buckets that each fit into a value. As many are written as a transaction may hold
      * beside an entry; what the others hold stays where it was, is the oldest then, and so comes next.
      */
-    private void foldInParts(BaseIndex.Region due, int pageBytes, int opLimit, boolean splitsAny) {
+    private void foldInParts(SnapshotIndex.Region due, int pageBytes, int opLimit, boolean splitsAny) {
         Map<Bucket, WorkLog.Contents> buckets = new LinkedHashMap<>();
         if (splitsAny) {
             split(due.bucket().child(0), pageBytes, buckets);
@@ -146,7 +146,7 @@
         }
         Bucket old = due.stored();
         boolean isWhole = puts.size() == buckets.size();
-        if (old != null && isWhole && replica.base().regionsIn(old).size() <= 1) {
+        if (old != null && isWhole && replica.snapshot().regionsIn(old).size() <= 1) {
             deletePages(old, puts.containsKey(old.key()) ? 1 : 0);
         }
     }
@@ -165,7 +165,7 @@
 
     /** Deletes the stored pages of a bucket from the given one on. */
     private void deletePages(Bucket bucket, int from) {
-        for (int page = from; page < replica.base().pages(bucket); page++) {
+        for (int page = from; page < replica.snapshot().pages(bucket); page++) {
             deletes.add(bucket.isRoot() ? WorkLog.baseKey(bucket.shard(), page) : bucket.key());
         }
     }
@@ -209,21 +209,21 @@
     }
 
     /** Adds the entry, if it holds anything, and the fold, if one is due. */
-    public void write(Txn txn, Map<String, MachineRecord> machines, Map<String, BitSet> parts) {
+    public void write(Transaction transaction, Map<String, MachineRecord> machines, Map<String, BitSet> parts) {
         String last = replica.lastEntryKey();
         if (last != null) {
-            txn.guard(last, replica.stamp(last));
+            transaction.guard(last, replica.modRevision(last));
         }
         String key = replica.nextEntryKey();
-        txn.guard(key, replica.stamp(key));
+        transaction.guard(key, replica.modRevision(key));
         if (!machines.isEmpty() || splitsFirst) {
             if (replica.logFull()) {
                 throw new IllegalStateException("entry over one that the base doesn't hold, under " + key);
             }
-            txn.put(key, WorkLog.value(entry(machines, parts)));
+            transaction.put(key, WorkLog.value(entry(machines, parts)));
         }
-        puts.forEach(txn::put);
-        deletes.forEach(txn::delete);
+        puts.forEach(transaction::put);
+        deletes.forEach(transaction::delete);
     }
 
     /**
--- a/src/main/java/garnetscale/core/store/MachineRecord.java
+++ b/src/main/java/garnetscale/core/state/MachineRecord.java
@@ -1,4 +1,4 @@
-package garnetscale.core.store;
+package garnetscale.core.state;
 
 import garnetscale.core.machine.Placement;
 import java.util.List;
--- a/src/main/java/garnetscale/core/store/Records.java
+++ b/src/main/java/garnetscale/core/state/Records.java
@@ -1,8 +1,5 @@
-package garnetscale.core.store;
+package garnetscale.core.state;
 
-import garnetscale.core.block.BlockLease;
-import garnetscale.core.block.LeaderInfo;
-import garnetscale.core.block.NodeInfo;
 import garnetscale.core.job.JobRecord;
 import garnetscale.core.job.JobSpec;
 import garnetscale.core.job.JobState;
@@ -10,6 +7,9 @@
 import garnetscale.core.job.TaskId;
 import garnetscale.core.machine.MachineType;
 import garnetscale.core.machine.Placement;
+import garnetscale.core.partition.ControllerInfo;
+import garnetscale.core.partition.LeaderInfo;
+import garnetscale.core.partition.PartitionLease;
 import garnetscale.core.upgrade.ClusterVersion;
 import garnetscale.core.upgrade.VersionRange;
 import java.util.ArrayList;
@@ -42,14 +42,14 @@
         m.put("mem", s.memoryGb());
         m.put("types", s.types());
         m.put("zone", s.zone());
-        m.put("one", s.oneZone());
-        m.put("spread", s.spread());
+        m.put("one", s.zoneAffinity());
+        m.put("spread", s.zoneAntiAffinity());
         m.put("spot", s.spot());
         m.put("img", s.image());
         m.put("gb", s.imageGb());
         m.put("est", s.estimateS());
         m.put("ckpt", s.checkpointS());
-        m.put("save", s.saveS());
+        m.put("save", s.checkpointWriteS());
         m.put("due", s.deadlineS());
         m.values().removeIf(v -> v == null);
         return m;
@@ -84,15 +84,16 @@
     }
 
     /** What stays of a job that is over. */
-    public record Archived(JobState state, int tasks, int finished, String team) {}
+    public record TerminalJob(JobState state, int tasks, int finished, String team) {}
 
-    public static Map<String, Object> archived(Archived a) {
+    public static Map<String, Object> terminalJob(TerminalJob a) {
         return Map.of("s", a.state().name(), "n", a.tasks(), "f", a.finished(), "team", a.team());
     }
 
-    public static Archived archived(Object value) {
+    public static TerminalJob terminalJob(Object value) {
         Map<?, ?> m = (Map<?, ?>) value;
-        return new Archived(JobState.valueOf(text(m, "s")), (int) whole(m, "n"), (int) whole(m, "f"), text(m, "team"));
+        return new TerminalJob(
+                JobState.valueOf(text(m, "s")), (int) whole(m, "n"), (int) whole(m, "f"), text(m, "team"));
     }
 
     /** A part of a finished set, as text since the protocol knows no binary. */
@@ -160,7 +161,7 @@
         List<Object> rows = new ArrayList<>(placements.size());
         for (Placement p : placements) {
             rows.add(List.of(
-                    p.task().toString(), p.attempt(), p.shift(), p.stop().ordinal()));
+                    p.task().toString(), p.attempt(), p.agentEpoch(), p.stop().ordinal()));
         }
         return rows;
     }
@@ -202,16 +203,16 @@
         return bytes;
     }
 
-    public static Map<String, Object> block(BlockLease b) {
-        return Map.of("h", b.holder(), "i", b.incarnation(), "t", b.term());
+    public static Map<String, Object> partition(PartitionLease b) {
+        return Map.of("h", b.owner(), "i", b.incarnation(), "t", b.term());
     }
 
-    static BlockLease block(Object value) {
+    static PartitionLease partition(Object value) {
         Map<?, ?> m = (Map<?, ?>) value;
-        return new BlockLease(text(m, "h"), whole(m, "i"), whole(m, "t"));
+        return new PartitionLease(text(m, "h"), whole(m, "i"), whole(m, "t"));
     }
 
-    public static Map<String, Object> node(NodeInfo n) {
+    public static Map<String, Object> node(ControllerInfo n) {
         return Map.of(
                 "i",
                 n.incarnation(),
@@ -223,12 +224,12 @@
                 n.layouts().latest());
     }
 
-    static NodeInfo node(String name, Object value) {
+    static ControllerInfo node(String name, Object value) {
         Map<?, ?> m = (Map<?, ?>) value;
         // A controller from before there were versions publishes none.
         VersionRange layouts =
                 m.containsKey("l") ? new VersionRange((int) whole(m, "o"), (int) whole(m, "l")) : VersionRange.FIRST;
-        return new NodeInfo(name, whole(m, "i"), text(m, "z"), layouts);
+        return new ControllerInfo(name, whole(m, "i"), text(m, "z"), layouts);
     }
 
     public static Map<String, Object> leader(LeaderInfo l) {
--- a/src/main/java/garnetscale/core/store/BaseIndex.java
+++ b/src/main/java/garnetscale/core/state/SnapshotIndex.java
@@ -1,4 +1,4 @@
-package garnetscale.core.store;
+package garnetscale.core.state;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -9,7 +9,7 @@
  * written so far, since all of them need not fit into one transaction; the rest is still read from where it was. So the
  * base is seen as regions, each of which is stored in a bucket that is the region itself or contains it.
  */
-final class BaseIndex {
+final class SnapshotIndex {
 
     /**
      * A part of the base that is rewritten as a whole.
@@ -27,7 +27,7 @@
     private int regionCount = WorkLog.SHARDS;
     private Region oldest;
 
-    BaseIndex() {
+    SnapshotIndex() {
         for (int shard = 0; shard < WorkLog.SHARDS; shard++) {
             stored.add(new TreeMap<>());
             regions.add(List.of(new Region(Bucket.root(shard), null, 0)));
@@ -35,8 +35,8 @@
     }
 
     /** A copy that later changes leave as it is. */
-    BaseIndex copy() {
-        BaseIndex copy = new BaseIndex();
+    SnapshotIndex copy() {
+        SnapshotIndex copy = new SnapshotIndex();
         for (int shard = 0; shard < stored.size(); shard++) {
             copy.stored.get(shard).putAll(stored.get(shard));
             copy.regions.set(shard, regions.get(shard));
@@ -187,14 +187,14 @@
     private void cover(Bucket bucket, Bucket from, long number, List<Region> into) {
         TreeMap<Bucket, Stored> shard = stored.get(bucket.shard());
         Stored here = shard.get(bucket);
-        Bucket holder = here == null ? from : bucket;
+        Bucket owner = here == null ? from : bucket;
         long upTo = here == null ? number : here.number();
         if (!hasStoredWithin(bucket, shard)) {
-            into.add(new Region(bucket, holder, upTo));
+            into.add(new Region(bucket, owner, upTo));
             return;
         }
-        cover(bucket.child(0), holder, upTo, into);
-        cover(bucket.child(1), holder, upTo, into);
+        cover(bucket.child(0), owner, upTo, into);
+        cover(bucket.child(1), owner, upTo, into);
     }
 
     private static boolean hasStoredWithin(Bucket bucket, TreeMap<Bucket, Stored> shard) {
@@ -210,7 +210,7 @@
     }
 
     private static int shardOf(String key) {
-        return Integer.parseInt(key.substring(Keys.BASE.length(), key.lastIndexOf('/')));
+        return Integer.parseInt(key.substring(Keys.SNAPSHOT.length(), key.lastIndexOf('/')));
     }
 
     private static int pageOf(String key) {
--- a/src/main/java/garnetscale/core/store/BaseListing.java
+++ b/src/main/java/garnetscale/core/state/SnapshotListing.java
@@ -1,4 +1,4 @@
-package garnetscale.core.store;
+package garnetscale.core.state;
 
 import java.util.ArrayList;
 import java.util.BitSet;
@@ -8,7 +8,7 @@
 import java.util.function.BiConsumer;
 
 /** The base of the work log as a listing brings it, page by page, each of its own moment. */
-final class BaseListing {
+final class SnapshotListing {
 
     private record Page(Bucket bucket, WorkLog.Contents contents) {}
 
@@ -23,14 +23,14 @@
         }
     }
 
-    private final BaseIndex index = new BaseIndex();
+    private final SnapshotIndex index = new SnapshotIndex();
     private final List<Page> pages = new ArrayList<>();
     private final Map<Bucket, RootPages> roots = new HashMap<>();
     private boolean ofSeveralMoments;
 
     void add(String key, Object value) {
         WorkLog.Contents contents = WorkLog.contents(value);
-        Bucket bucket = BaseIndex.bucketOf(key);
+        Bucket bucket = SnapshotIndex.bucketOf(key);
         pages.add(new Page(bucket, contents));
         index.put(key, contents.number());
         if (bucket.isRoot()) {
@@ -41,7 +41,7 @@
         }
     }
 
-    BaseIndex index() {
+    SnapshotIndex index() {
         return index;
     }
 
@@ -49,7 +49,7 @@
      * Whether the listing doesn't hold together: the pages of a root are of different moments, so that a machine may have
      * moved between them and be on neither, or a bucket was split while it was read.
      */
-    boolean isTorn() {
+    boolean isInconsistent() {
         return ofSeveralMoments
                 || index.isIncomplete()
                 || roots.values().stream().anyMatch(root -> root.expected != root.found);
--- a/src/main/java/garnetscale/core/store/StateReplica.java
+++ b/src/main/java/garnetscale/core/state/StateReplica.java
@@ -1,10 +1,10 @@
-package garnetscale.core.store;
+package garnetscale.core.state;
 
-import garnetscale.core.block.BlockLease;
-import garnetscale.core.block.LeaderInfo;
-import garnetscale.core.block.NodeInfo;
 import garnetscale.core.machine.MachineType;
 import garnetscale.core.machine.Placement;
+import garnetscale.core.partition.ControllerInfo;
+import garnetscale.core.partition.LeaderInfo;
+import garnetscale.core.partition.PartitionLease;
 import garnetscale.core.upgrade.ClusterVersion;
 import garnetscale.core.upgrade.VersionRange;
 import java.util.ArrayList;
@@ -28,27 +28,27 @@
     private final Map<String, JobView> jobs = new LinkedHashMap<>();
     private final Map<String, JobView.Marks> marks = new HashMap<>();
     private final Map<String, MachineRecord> machines = new LinkedHashMap<>();
-    private final Map<String, BlockLease> blocks = new HashMap<>();
-    private final Map<String, NodeInfo> nodes = new TreeMap<>();
-    private final Map<String, Long> stamps = new HashMap<>();
+    private final Map<String, PartitionLease> partitions = new HashMap<>();
+    private final Map<String, ControllerInfo> nodes = new TreeMap<>();
+    private final Map<String, Long> modRevisions = new HashMap<>();
     /** Machines whose record changed since these were last taken. */
     private Set<String> changed = new HashSet<>();
 
-    private BaseIndex base = new BaseIndex();
-    private LogRing ring = new LogRing();
+    private SnapshotIndex snapshot = new SnapshotIndex();
+    private LogRingBuffer ringBuffer = new LogRingBuffer();
     /** How far the base went when it was read: of what it held no older entry is news. */
-    private BaseIndex baseRead = base;
+    private SnapshotIndex snapshotRead = snapshot;
 
-    private long baseReadUpTo;
+    private long snapshotReadUpTo;
 
     private List<MachineType> types = List.of();
     private LeaderInfo leader;
     private long termCounter;
-    private long ledger = -1;
+    private long revision = -1;
     /** The last entry of the work log that is in here. */
     private long sequence;
 
-    private boolean torn;
+    private boolean inconsistent;
     private final VersionRange supported;
     private ClusterVersion version = ClusterVersion.FIRST;
     /** What of the store this controller can't read, and why; null while it can read everything. */
@@ -66,17 +66,17 @@
         this.supported = supported;
     }
 
-    public long ledger() {
-        return ledger;
+    public long revision() {
+        return revision;
     }
 
     public boolean loaded() {
-        return ledger >= 0;
+        return revision >= 0;
     }
 
     /** Whether entries of the work log are missing: only a new listing helps. */
-    public boolean torn() {
-        return torn;
+    public boolean inconsistent() {
+        return inconsistent;
     }
 
     /** The version of what is stored that is active for the whole cluster. */
@@ -93,13 +93,13 @@
     }
 
     /** Makes a transaction fail unless the active version is the one that this replica shows. */
-    public Txn guardVersion(Txn txn) {
-        return txn.guard(Keys.VERSION, stamp(Keys.VERSION));
+    public Transaction guardVersion(Transaction transaction) {
+        return transaction.guard(Keys.VERSION, modRevision(Keys.VERSION));
     }
 
     /** The revision at which a key last changed, 0 when it isn't there. */
-    public long stamp(String key) {
-        return stamps.getOrDefault(key, 0L);
+    public long modRevision(String key) {
+        return modRevisions.getOrDefault(key, 0L);
     }
 
     /** How many jobs have come in since this process started. */
@@ -146,19 +146,19 @@
         return taken;
     }
 
-    public BlockLease block(String block) {
-        return blocks.get(block);
+    public PartitionLease partition(String partition) {
+        return partitions.get(partition);
     }
 
-    public int blockCount() {
-        return blocks.size();
+    public int partitionCount() {
+        return partitions.size();
     }
 
-    public NodeInfo node(String name) {
+    public ControllerInfo node(String name) {
         return nodes.get(name);
     }
 
-    public Collection<NodeInfo> nodes() {
+    public Collection<ControllerInfo> nodes() {
         return nodes.values();
     }
 
@@ -189,25 +189,25 @@
     }
 
     /** The region of the base that the next transaction should write anew, or null. */
-    BaseIndex.Region foldDue() {
-        BaseIndex.Region oldest = base.oldest();
-        boolean due = WorkLog.isDue(oldest.number(), sequence, base.regionCount())
+    SnapshotIndex.Region compactionDue() {
+        SnapshotIndex.Region oldest = snapshot.oldest();
+        boolean due = WorkLog.isDue(oldest.number(), sequence, snapshot.regionCount())
                 || logFull()
-                || inFirstVersion() && ring.newestBeyondFirstLayout() > oldest.number();
+                || inFirstVersion() && ringBuffer.newestBeyondFirstLayout() > oldest.number();
         return due ? oldest : null;
     }
 
     /** Whether a region has to be folded before the next entry may be written. */
     boolean logFull() {
-        long complete = base.oldest().number();
+        long complete = snapshot.oldest().number();
         return inFirstVersion()
-                ? ring.holdsNewerThan(complete, LogRing.firstLayoutKey(sequence + 1))
-                : ring.isFull(ringCapacity(), complete);
+                ? ringBuffer.holdsNewerThan(complete, LogRingBuffer.firstLayoutKey(sequence + 1))
+                : ringBuffer.isFull(ringBufferCapacity(), complete);
     }
 
     /** Keys of the ring that the first layout doesn't know and that hold nothing of use any more; in the first version. */
-    List<String> ringKeysToDelete() {
-        return inFirstVersion() ? ring.beyondFirstLayout(base.oldest().number()) : List.of();
+    List<String> ringBufferKeysToDelete() {
+        return inFirstVersion() ? ringBuffer.beyondFirstLayout(snapshot.oldest().number()) : List.of();
     }
 
     private boolean inFirstVersion() {
@@ -216,7 +216,7 @@
 
     /** Whether what is stored is by the active version throughout: else the leader is still converting it. */
     public boolean isConverted() {
-        return !inFirstVersion() || !base.isSplit() && ring.newestBeyondFirstLayout() == 0;
+        return !inFirstVersion() || !snapshot.isSplit() && ringBuffer.newestBeyondFirstLayout() == 0;
     }
 
     /** Whether some shard takes more than so many pages, which the first layout can't write any more, or soon can't. */
@@ -234,26 +234,26 @@
 
     /** The key of the last entry, or null when there is none. */
     String lastEntryKey() {
-        return ring.keyOf(sequence);
+        return ringBuffer.keyOf(sequence);
     }
 
     /** The key that the next entry goes under. */
     String nextEntryKey() {
-        return inFirstVersion() ? LogRing.firstLayoutKey(sequence + 1) : ring.next(ringCapacity());
+        return inFirstVersion() ? LogRingBuffer.firstLayoutKey(sequence + 1) : ringBuffer.next(ringBufferCapacity());
     }
 
-    private int ringCapacity() {
-        return WorkLog.capacity(base.regionCount());
+    private int ringBufferCapacity() {
+        return WorkLog.capacity(snapshot.regionCount());
     }
 
     /** How the base is stored. */
-    BaseIndex base() {
-        return base;
+    SnapshotIndex snapshot() {
+        return snapshot;
     }
 
     /** The layout that what is stored needs a controller to know. */
     public int layout() {
-        return base.isSplit() ? Layouts.SPLIT_BASE : Layouts.FIRST;
+        return snapshot.isSplit() ? Layouts.SPLIT_SNAPSHOT : Layouts.FIRST;
     }
 
     /** Everything that belongs to a bucket of the base, as of the last entry; what is of jobs that are over falls out. */
@@ -280,62 +280,62 @@
      * Starts anew from a full listing; needed when the watch has lost the thread. The replica is torn afterwards when
      * the pages of a base are of different moments: a machine may have moved between them and be on neither.
      */
-    public void reset(List<Change> all, long revision) {
-        ledger = -1;
+    public void reset(List<KeyChange> all, long newRevision) {
+        revision = -1;
         changed.addAll(machines.keySet());
         jobs.clear();
         marks.clear();
         machines.clear();
-        blocks.clear();
+        partitions.clear();
         nodes.clear();
-        stamps.clear();
+        modRevisions.clear();
         types = List.of();
         leader = null;
         termCounter = 0;
         version = ClusterVersion.FIRST;
         unreadable = null;
-        base = new BaseIndex();
-        ring = new LogRing();
-        torn = false;
+        snapshot = new SnapshotIndex();
+        ringBuffer = new LogRingBuffer();
+        inconsistent = false;
         TreeMap<Long, WorkLog.Entry> entries = new TreeMap<>();
-        BaseListing bases = new BaseListing();
+        SnapshotListing snapshots = new SnapshotListing();
         if (!canRead(all)) {
             return;
         }
-        for (Change c : all) {
-            stamps.put(c.key(), c.stamp());
+        for (KeyChange c : all) {
+            modRevisions.put(c.key(), c.modRevision());
             try {
-                read(c, entries, bases);
+                read(c, entries, snapshots);
             } catch (RuntimeException e) {
                 refuse(c, e);
                 return;
             }
         }
-        base = bases.index();
-        torn = bases.isTorn();
-        bases.forEachMachine(this::applyMachine);
-        bases.forEachPart(this::applyPart);
-        baseRead = base.copy();
-        baseReadUpTo = base.newest();
+        snapshot = snapshots.index();
+        inconsistent = snapshots.isInconsistent();
+        snapshots.forEachMachine(this::applyMachine);
+        snapshots.forEachPart(this::applyPart);
+        snapshotRead = snapshot.copy();
+        snapshotReadUpTo = snapshot.newest();
         // Pages of a listing are of different moments: behind the first gap are entries that the watch brings again.
-        sequence = base.oldest().number();
+        sequence = snapshot.oldest().number();
         applyEntries(entries);
-        ledger = torn ? -1 : revision;
+        revision = inconsistent ? -1 : newRevision;
     }
 
-    private void read(Change c, TreeMap<Long, WorkLog.Entry> entries, BaseListing bases) {
+    private void read(KeyChange c, TreeMap<Long, WorkLog.Entry> entries, SnapshotListing snapshots) {
         if (c.key().startsWith(Keys.LOG)) {
             noteEntry(c, entries);
-        } else if (c.key().startsWith(Keys.BASE)) {
-            bases.add(c.key(), c.value());
+        } else if (c.key().startsWith(Keys.SNAPSHOT)) {
+            snapshots.add(c.key(), c.value());
         } else {
             applyPlain(c);
         }
     }
 
     /** Whether the active version, if it is among the changes, is supported: nothing else is looked at before. */
-    private boolean canRead(List<Change> changes) {
-        for (Change c : changes) {
+    private boolean canRead(List<KeyChange> changes) {
+        for (KeyChange c : changes) {
             if (c.key().equals(Keys.VERSION)) {
                 try {
                     requireSupported(c);
@@ -348,7 +348,7 @@
         return true;
     }
 
-    private void requireSupported(Change c) {
+    private void requireSupported(KeyChange c) {
         int active =
                 c.value() == null ? Layouts.FIRST : Records.version(c.value()).active();
         if (!supported.contains(active)) {
@@ -357,14 +357,14 @@
     }
 
     /** A record that can't be read makes the whole replica one that decides nothing. */
-    private void refuse(Change c, RuntimeException cause) {
-        unreadable = c.key() + " as of revision " + c.stamp() + ": " + cause.getMessage();
-        ledger = -1;
+    private void refuse(KeyChange c, RuntimeException cause) {
+        unreadable = c.key() + " as of revision " + c.modRevision() + ": " + cause.getMessage();
+        revision = -1;
     }
 
     /** Applies what a watch brought; false when it was overtaken by a newer answer. */
-    public boolean advance(List<Change> log, long revision) {
-        if (revision <= ledger || unreadable != null) {
+    public boolean advance(List<KeyChange> log, long newRevision) {
+        if (newRevision <= revision || unreadable != null) {
             return false;
         }
         if (!canRead(log)) {
@@ -372,7 +372,7 @@
         }
         TreeMap<Long, WorkLog.Entry> entries = new TreeMap<>();
         List<String> over = new ArrayList<>();
-        for (Change c : log) {
+        for (KeyChange c : log) {
             try {
                 follow(c, entries, over);
             } catch (RuntimeException e) {
@@ -381,33 +381,33 @@
             }
         }
         applyEntries(entries);
-        torn |= !entries.isEmpty() && entries.lastKey() > sequence;
+        inconsistent |= !entries.isEmpty() && entries.lastKey() > sequence;
         over.forEach(marks::remove);
-        ledger = revision;
+        revision = newRevision;
         return true;
     }
 
-    private void follow(Change c, TreeMap<Long, WorkLog.Entry> entries, List<String> over) {
+    private void follow(KeyChange c, TreeMap<Long, WorkLog.Entry> entries, List<String> over) {
         // A page of a listing may be newer than the revision that the watch goes on from.
-        if (c.stamp() <= ledger || c.stamp() < stamp(c.key())) {
-            if (c.key().startsWith(Keys.LOG) && c.value() != null && c.stamp() > ledger) {
+        if (c.modRevision() <= revision || c.modRevision() < modRevision(c.key())) {
+            if (c.key().startsWith(Keys.LOG) && c.value() != null && c.modRevision() > revision) {
                 addEntry(c, entries);
             }
             return;
         }
         if (c.value() == null) {
-            stamps.remove(c.key());
+            modRevisions.remove(c.key());
         } else {
-            stamps.put(c.key(), c.stamp());
+            modRevisions.put(c.key(), c.modRevision());
         }
         if (c.key().startsWith(Keys.LOG)) {
             noteEntry(c, entries);
-        } else if (c.key().startsWith(Keys.BASE)) {
+        } else if (c.key().startsWith(Keys.SNAPSHOT)) {
             // What it says is in here already; only how far it goes matters, for the next fold.
             if (c.value() != null) {
-                base.put(c.key(), WorkLog.numberOf(c.value()));
+                snapshot.put(c.key(), WorkLog.numberOf(c.value()));
             } else {
-                base.remove(c.key());
+                snapshot.remove(c.key());
             }
         } else {
             applyPlain(c);
@@ -417,15 +417,15 @@
         }
     }
 
-    private void noteEntry(Change c, TreeMap<Long, WorkLog.Entry> entries) {
+    private void noteEntry(KeyChange c, TreeMap<Long, WorkLog.Entry> entries) {
         if (c.value() == null) {
-            ring.remove(c.key());
+            ringBuffer.remove(c.key());
         } else {
-            ring.put(c.key(), addEntry(c, entries));
+            ringBuffer.put(c.key(), addEntry(c, entries));
         }
     }
 
-    private static long addEntry(Change c, TreeMap<Long, WorkLog.Entry> entries) {
+    private static long addEntry(KeyChange c, TreeMap<Long, WorkLog.Entry> entries) {
         WorkLog.Entry e = WorkLog.entry(c.value());
         entries.put(e.number(), e);
         return e.number();
@@ -456,16 +456,17 @@
     }
 
     private boolean isNews(WorkLog.Entry e, int hash) {
-        return e.number() > baseReadUpTo || e.number() > baseRead.regionOf(hash).number();
+        return e.number() > snapshotReadUpTo
+                || e.number() > snapshotRead.regionOf(hash).number();
     }
 
-    private void applyPlain(Change c) {
+    private void applyPlain(KeyChange c) {
         String key = c.key();
         Object v = c.value();
         if (key.startsWith(Keys.JOB)) {
-            applyJob(key.substring(Keys.JOB.length()), v, c.stamp());
-        } else if (key.startsWith(Keys.BLOCK)) {
-            put(blocks, key.substring(Keys.BLOCK.length()), v == null ? null : Records.block(v));
+            applyJob(key.substring(Keys.JOB.length()), v, c.modRevision());
+        } else if (key.startsWith(Keys.PARTITION)) {
+            put(partitions, key.substring(Keys.PARTITION.length()), v == null ? null : Records.partition(v));
         } else if (key.startsWith(Keys.NODE)) {
             String name = key.substring(Keys.NODE.length());
             put(nodes, name, v == null ? null : Records.node(name, v));
@@ -480,12 +481,12 @@
         }
     }
 
-    private void applyJob(String id, Object value, long stamp) {
+    private void applyJob(String id, Object value, long modRevision) {
         if (value == null) {
             jobs.remove(id);
             return;
         }
-        if (jobs.put(id, new JobView(Records.job(id, value), stamp, marksOf(id))) == null) {
+        if (jobs.put(id, new JobView(Records.job(id, value), modRevision, marksOf(id))) == null) {
             jobsAdded++;
         }
     }
--- a/src/main/java/garnetscale/core/store/Txn.java
+++ b/src/main/java/garnetscale/core/state/Transaction.java
@@ -1,4 +1,4 @@
-package garnetscale.core.store;
+package garnetscale.core.state;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -6,7 +6,7 @@
 import java.util.Map;
 
 /** A guarded change of the state service: all of it is applied, or nothing. */
-public final class Txn {
+public final class Transaction {
 
     /** One put (value not null) or delete; {@code lease} 0 attaches the key to no lease. */
     public record Op(String key, Object value, long lease) {}
@@ -14,22 +14,22 @@
     private final Map<String, Long> guards = new LinkedHashMap<>();
     private final List<Op> ops = new ArrayList<>();
 
-    public Txn guard(String key, long stamp) {
-        guards.put(key, stamp);
+    public Transaction guard(String key, long modRevision) {
+        guards.put(key, modRevision);
         return this;
     }
 
-    public Txn put(String key, Object value) {
+    public Transaction put(String key, Object value) {
         ops.add(new Op(key, value, 0));
         return this;
     }
 
-    public Txn put(String key, Object value, long lease) {
+    public Transaction put(String key, Object value, long lease) {
         ops.add(new Op(key, value, lease));
         return this;
     }
 
-    public Txn delete(String key) {
+    public Transaction delete(String key) {
         ops.add(new Op(key, null, 0));
         return this;
     }
--- a/src/main/java/garnetscale/core/store/WorkLog.java
+++ b/src/main/java/garnetscale/core/state/WorkLog.java
@@ -1,4 +1,4 @@
-package garnetscale.core.store;
+package garnetscale.core.state;
 
 import garnetscale.core.machine.Placement;
 import java.util.ArrayList;
@@ -63,7 +63,7 @@
 
     /** The key of a page of a shard's base. */
     static String baseKey(int shard, int page) {
-        return Keys.BASE + shard + "/" + page;
+        return Keys.SNAPSHOT + shard + "/" + page;
     }
 
     /** Whether a region of the base that goes up to {@code number} is to be folded: halfway to the ring's end. */
--- a/src/main/java/garnetscale/core/upgrade/UpgradeCoordinator.java
+++ b/src/main/java/garnetscale/core/upgrade/UpgradeCoordinator.java
@@ -1,10 +1,10 @@
 package garnetscale.core.upgrade;
 
-import garnetscale.core.block.NodeInfo;
-import garnetscale.core.store.Keys;
-import garnetscale.core.store.Records;
-import garnetscale.core.store.StateReplica;
-import garnetscale.core.store.Txn;
+import garnetscale.core.partition.ControllerInfo;
+import garnetscale.core.state.Keys;
+import garnetscale.core.state.Records;
+import garnetscale.core.state.StateReplica;
+import garnetscale.core.state.Transaction;
 import java.util.HashMap;
 import java.util.Map;
 
@@ -57,11 +57,11 @@
     }
 
     /** Activates the next version by itself once the present one is about to be too small for what is stored; or null. */
-    public Txn automatic(long now) {
+    public Transaction automatic(long now) {
         if (!replica.hasOutgrownFirstLayout(valueBytes, PAGES_IN_FIRST_LAYOUT)) {
             return null;
         }
-        return activate(now) instanceof UpgradeDecision.Commit commit ? commit.txn() : null;
+        return activate(now) instanceof UpgradeDecision.Commit commit ? commit.transaction() : null;
     }
 
     public UpgradeDecision decide(long now, UpgradeStep step) {
@@ -80,25 +80,25 @@
         if (!isKnown) {
             return new UpgradeDecision.Done(version);
         }
-        for (NodeInfo node : replica.nodes()) {
+        for (ControllerInfo node : replica.nodes()) {
             if (!node.layouts().contains(next)) {
                 return new UpgradeDecision.Refused(
                         "controller " + node.name() + " supports " + node.layouts() + " and not " + next);
             }
         }
-        for (NodeInfo node : replica.nodes()) {
+        for (ControllerInfo node : replica.nodes()) {
             long seen = now - since.getOrDefault(key(node), now);
             if (seen < settleMs) {
                 return new UpgradeDecision.Refused("controller " + node.name() + " has been there for " + seen + " of "
                         + settleMs + " ms that it has to");
             }
         }
-        Txn txn = begin();
+        Transaction transaction = begin();
         replica.nodes().forEach(node -> {
             String key = Keys.node(node.name());
-            txn.guard(key, replica.stamp(key));
+            transaction.guard(key, replica.modRevision(key));
         });
-        return commit(txn, version.activated(next));
+        return commit(transaction, version.activated(next));
     }
 
     private UpgradeDecision deactivate() {
@@ -127,17 +127,17 @@
         return commit(begin(), version.finalized());
     }
 
-    private Txn begin() {
-        return new Txn()
-                .guard(Keys.LEADER, replica.stamp(Keys.LEADER))
-                .guard(Keys.VERSION, replica.stamp(Keys.VERSION));
+    private Transaction begin() {
+        return new Transaction()
+                .guard(Keys.LEADER, replica.modRevision(Keys.LEADER))
+                .guard(Keys.VERSION, replica.modRevision(Keys.VERSION));
     }
 
-    private static UpgradeDecision commit(Txn txn, ClusterVersion next) {
-        return new UpgradeDecision.Commit(txn.put(Keys.VERSION, Records.version(next)), next);
+    private static UpgradeDecision commit(Transaction transaction, ClusterVersion next) {
+        return new UpgradeDecision.Commit(transaction.put(Keys.VERSION, Records.version(next)), next);
     }
 
-    private static String key(NodeInfo node) {
+    private static String key(ControllerInfo node) {
         return node.name() + "#" + node.incarnation();
     }
 }
--- a/src/main/java/garnetscale/core/upgrade/UpgradeDecision.java
+++ b/src/main/java/garnetscale/core/upgrade/UpgradeDecision.java
@@ -1,12 +1,12 @@
 package garnetscale.core.upgrade;
 
-import garnetscale.core.store.Txn;
+import garnetscale.core.state.Transaction;
 
 /** What the leader answers to an {@link UpgradeStep}. */
 public sealed interface UpgradeDecision {
 
     /** The transaction that carries the step out; it fails when anything that was relied on has changed. */
-    record Commit(Txn txn, ClusterVersion next) implements UpgradeDecision {}
+    record Commit(Transaction transaction, ClusterVersion next) implements UpgradeDecision {}
 
     /** Nothing is left to do. */
     record Done(ClusterVersion version) implements UpgradeDecision {}
--- a/src/main/java/garnetscale/standin/StandIns.java
+++ b/src/main/java/garnetscale/emulator/EmulatedServices.java
@@ -1,17 +1,17 @@
-package garnetscale.standin;
+package garnetscale.emulator;
 
 import garnetscale.core.job.JobSpec;
 import garnetscale.core.job.TaskId;
 import garnetscale.core.machine.MachineType;
-import garnetscale.core.machine.Report;
-import garnetscale.core.machine.ReportedTask;
+import garnetscale.core.machine.TaskStatus;
 import garnetscale.core.machine.WorkerCommand;
-import garnetscale.core.store.Keys;
-import garnetscale.core.store.Records;
+import garnetscale.core.machine.WorkerHeartbeat;
+import garnetscale.core.state.Keys;
+import garnetscale.core.state.Records;
+import garnetscale.net.ConnectionLimiter;
 import garnetscale.net.HttpClient;
 import garnetscale.net.HttpServer;
 import garnetscale.net.Reply;
-import garnetscale.net.Sockets;
 import garnetscale.wire.Cbor;
 import io.netty.channel.ChannelFuture;
 import io.netty.channel.EventLoopGroup;
@@ -32,7 +32,7 @@
  * out, for its tests, and for the class archive that the build makes. They keep everything in memory and know no
  * limits or failures; the machines that they show are made up.
  */
-public final class StandIns {
+public final class EmulatedServices {
 
     private static final int MOST_CONNECTIONS = 1000;
     private static final long KEPT = 10_000;
@@ -43,21 +43,21 @@
 
     private final EventLoopGroup loop;
     private final StateModel state = new StateModel();
-    private final StateService service = new StateService(state, StandIns::now, KEPT);
+    private final StateService service = new StateService(state, EmulatedServices::now, KEPT);
     private final List<WorkerModel> workers = new ArrayList<>();
     private final Map<String, Integer> target = new HashMap<>();
     private final List<String> controllers;
     private final Map<String, String> addresses;
     private final HttpClient http;
-    private final long reportMs;
+    private final long heartbeatIntervalMs;
 
     /** Controllers by name and address, to which the workers report. */
-    public StandIns(EventLoopGroup loop, Map<String, String> controllers, long reportMs) {
+    public EmulatedServices(EventLoopGroup loop, Map<String, String> controllers, long heartbeatIntervalMs) {
         this.loop = loop;
         this.addresses = Map.copyOf(controllers);
         this.controllers = List.copyOf(controllers.keySet());
         this.http = new HttpClient(loop, MOST_CONNECTIONS, 500);
-        this.reportMs = reportMs;
+        this.heartbeatIntervalMs = heartbeatIntervalMs;
     }
 
     private static long now() {
@@ -100,12 +100,12 @@
         });
         workers.add(w[0]);
         target.put(id, 0);
-        loop.next().schedule(() -> report(w[0]), reportMs / 4, TimeUnit.MILLISECONDS);
+        loop.next().schedule(() -> heartbeat(w[0]), heartbeatIntervalMs / 4, TimeUnit.MILLISECONDS);
     }
 
     private String listen(String hostPort, HttpServer.Handler handler) throws IOException {
-        ChannelFuture f =
-                new HttpServer(loop, new Sockets(MOST_CONNECTIONS), MOST_CONNECTIONS, handler).listen(hostPort);
+        ChannelFuture f = new HttpServer(loop, new ConnectionLimiter(MOST_CONNECTIONS), MOST_CONNECTIONS, handler)
+                .listen(hostPort);
         if (!f.awaitUninterruptibly().isSuccess()) {
             throw new IOException(
                     "can't listen on " + hostPort + ": " + f.cause().getMessage());
@@ -168,20 +168,20 @@
 
     // ---- workers
 
-    private void report(WorkerModel w) {
+    private void heartbeat(WorkerModel w) {
         w.advance(now());
-        Report r = w.report();
+        WorkerHeartbeat r = w.heartbeat();
         String node = controllers.get(Math.floorMod(target.get(w.id()), controllers.size()));
         long sentAt = now();
         http.call(addresses.get(node), HttpMethod.POST, "/hello", Cbor.write(body(r)), 4000, result -> {
-            long pause = reportMs;
+            long pause = heartbeatIntervalMs;
             try {
                 Map<?, ?> m = result.status() == 200 || result.status() == 421 ? Cbor.readMap(result.body()) : Map.of();
                 if (result.is(200)) {
-                    long token = ((Number) m.get("baton")).longValue();
-                    w.answered(now(), sentAt, r.shift(), token, orders(m));
-                    if (token > r.token()) {
-                        pause = Math.min(reportMs, CHANGE_REPORTED_MS);
+                    long fencingToken = ((Number) m.get("baton")).longValue();
+                    w.answered(now(), sentAt, r.agentEpoch(), fencingToken, commands(m));
+                    if (fencingToken > r.fencingToken()) {
+                        pause = Math.min(heartbeatIntervalMs, CHANGE_REPORTED_MS);
                     }
                 } else if (result.is(421) && m.get("steward") instanceof String to && controllers.contains(to)) {
                     // A steward may be missing: asking an immutable list for null ended the worker for good.
@@ -193,7 +193,7 @@
             } catch (IOException e) {
                 target.merge(w.id(), 1, Integer::sum);
             }
-            loop.next().schedule(() -> report(w), pause, TimeUnit.MILLISECONDS);
+            loop.next().schedule(() -> heartbeat(w), pause, TimeUnit.MILLISECONDS);
         });
     }
 
@@ -203,16 +203,19 @@
             if (path.equals("/commands")) {
                 Map<?, ?> m = Cbor.readMap(body);
                 boolean done = w.command(
-                        now(), ((Number) m.get("baton")).longValue(), ((Number) m.get("shift")).longValue(), orders(m));
+                        now(),
+                        ((Number) m.get("baton")).longValue(),
+                        ((Number) m.get("shift")).longValue(),
+                        commands(m));
                 status = done ? 200 : 409;
             }
-            answer.accept(Reply.of(status, Cbor.write(body(w.report()))));
+            answer.accept(Reply.of(status, Cbor.write(body(w.heartbeat()))));
         } catch (IOException | RuntimeException e) {
             answer.accept(Reply.of(400));
         }
     }
 
-    private static List<WorkerCommand> orders(Map<?, ?> m) {
+    private static List<WorkerCommand> commands(Map<?, ?> m) {
         List<WorkerCommand> list = new ArrayList<>();
         for (Object o : (List<?>) m.get("orders")) {
             Map<?, ?> row = (Map<?, ?>) o;
@@ -229,9 +232,9 @@
         return list;
     }
 
-    private static Map<String, Object> body(Report r) {
+    private static Map<String, Object> body(WorkerHeartbeat r) {
         List<Object> tasks = new ArrayList<>();
-        for (ReportedTask t : r.tasks()) {
+        for (TaskStatus t : r.tasks()) {
             Map<String, Object> m = new LinkedHashMap<>();
             m.put("chore", t.task().toString());
             m.put("try", t.attempt());
@@ -256,9 +259,9 @@
         m.put("breed", r.type());
         m.put("field", r.zone());
         m.put("windfall", r.spot());
-        m.put("shift", r.shift());
+        m.put("shift", r.agentEpoch());
         m.put("tick", r.tick());
-        m.put("baton", r.token());
+        m.put("baton", r.fencingToken());
         m.put("warning_s", null);
         m.put("chores", tasks);
         return m;
--- a/src/main/java/garnetscale/standin/StateLimits.java
+++ b/src/main/java/garnetscale/emulator/StateLimits.java
@@ -1,10 +1,10 @@
-package garnetscale.standin;
+package garnetscale.emulator;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
 import com.google.common.io.ByteStreams;
 import com.google.common.io.CountingOutputStream;
-import garnetscale.core.store.Txn;
+import garnetscale.core.state.Transaction;
 import garnetscale.wire.StateCodec;
 import garnetscale.wire.Trees;
 import java.io.IOException;
@@ -23,23 +23,23 @@
     private static final JsonFactory JSON = new JsonFactory();
 
     /** What a transaction is refused for, or null. */
-    String violationBy(Txn txn) {
+    String violationBy(Transaction transaction) {
         if (equals(NONE)) {
             return null;
         }
-        if (txn.ops().size() > changes) {
-            return txn.ops().size() + " changes";
+        if (transaction.ops().size() > changes) {
+            return transaction.ops().size() + " changes";
         }
-        if (txn.guards().size() > (long) CONDITIONS * changes) {
-            return txn.guards().size() + " conditions";
+        if (transaction.guards().size() > (long) CONDITIONS * changes) {
+            return transaction.guards().size() + " conditions";
         }
-        for (Txn.Op op : txn.ops()) {
+        for (Transaction.Op op : transaction.ops()) {
             long bytes = op.value() == null ? 0 : jsonBytes(op.value());
             if (bytes > valueBytes) {
                 return "value of " + bytes + " bytes under " + op.key();
             }
         }
-        long bytes = jsonBytes(StateCodec.tree(txn));
+        long bytes = jsonBytes(StateCodec.tree(transaction));
         return bytes > transactionBytes ? "transaction of " + bytes + " bytes" : null;
     }
 
--- a/src/main/java/garnetscale/standin/StateModel.java
+++ b/src/main/java/garnetscale/emulator/StateModel.java
@@ -1,7 +1,7 @@
-package garnetscale.standin;
+package garnetscale.emulator;
 
-import garnetscale.core.store.Change;
-import garnetscale.core.store.Txn;
+import garnetscale.core.state.KeyChange;
+import garnetscale.core.state.Transaction;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -11,7 +11,7 @@
 public final class StateModel {
 
     /** A key's value, the revision of its last change, and the lease it hangs on (0: none). */
-    public record Entry(Object value, long stamp, long lease) {}
+    public record Entry(Object value, long modRevision, long lease) {}
 
     private static final class Lease {
         final long ttlMs;
@@ -24,13 +24,13 @@
     }
 
     private final TreeMap<String, Entry> keys = new TreeMap<>();
-    private final List<Change> log = new ArrayList<>();
+    private final List<KeyChange> log = new ArrayList<>();
     private final Map<Long, Lease> leases = new TreeMap<>();
     /** Transactions that were refused for their size, and why. */
     private final List<String> oversized = new ArrayList<>();
 
     private final StateLimits limits;
-    private long ledger;
+    private long revision;
     private long lastLease;
 
     /** A service without limits. */
@@ -47,8 +47,8 @@
         return oversized;
     }
 
-    public long ledger() {
-        return ledger;
+    public long revision() {
+        return revision;
     }
 
     public Entry get(String key) {
@@ -92,7 +92,7 @@
                 .map(Map.Entry::getKey)
                 .toList();
         if (!attached.isEmpty()) {
-            ledger++;
+            revision++;
             attached.forEach(this::remove);
         }
         return true;
@@ -100,61 +100,61 @@
 
     private void remove(String key) {
         if (keys.remove(key) != null) {
-            log.add(new Change(key, null, ledger));
+            log.add(new KeyChange(key, null, revision));
         }
     }
 
     /** 200, 409 or 400 as the protocol says. */
-    public int commit(Txn txn) {
-        String violation = limits.violationBy(txn);
+    public int commit(Transaction transaction) {
+        String violation = limits.violationBy(transaction);
         if (violation != null) {
             oversized.add(violation);
             return 400;
         }
-        for (Map.Entry<String, Long> g : txn.guards().entrySet()) {
+        for (Map.Entry<String, Long> g : transaction.guards().entrySet()) {
             Entry e = keys.get(g.getKey());
-            if ((e == null ? 0 : e.stamp()) != g.getValue()) {
+            if ((e == null ? 0 : e.modRevision()) != g.getValue()) {
                 return 409;
             }
         }
-        for (Txn.Op op : txn.ops()) {
+        for (Transaction.Op op : transaction.ops()) {
             if (op.lease() != 0 && !leases.containsKey(op.lease())) {
                 return 400;
             }
         }
-        if (!txn.ops().isEmpty()) {
-            ledger++;
+        if (!transaction.ops().isEmpty()) {
+            revision++;
         }
-        for (Txn.Op op : txn.ops()) {
+        for (Transaction.Op op : transaction.ops()) {
             if (op.value() == null) {
                 remove(op.key());
             } else {
-                keys.put(op.key(), new Entry(op.value(), ledger, op.lease()));
-                log.add(new Change(op.key(), op.value(), ledger));
+                keys.put(op.key(), new Entry(op.value(), revision, op.lease()));
+                log.add(new KeyChange(op.key(), op.value(), revision));
             }
         }
         return 200;
     }
 
     /** Keys with the prefix after {@code since}, in order. */
-    public List<Change> list(String prefix, String since, int limit) {
-        List<Change> page = new ArrayList<>();
+    public List<KeyChange> list(String prefix, String since, int limit) {
+        List<KeyChange> page = new ArrayList<>();
         for (Map.Entry<String, Entry> e : keys.tailMap(prefix, true).entrySet()) {
             if (!e.getKey().startsWith(prefix) || page.size() == limit) {
                 break;
             }
             if (since == null || e.getKey().compareTo(since) > 0) {
-                page.add(new Change(
-                        e.getKey(), e.getValue().value(), e.getValue().stamp()));
+                page.add(new KeyChange(
+                        e.getKey(), e.getValue().value(), e.getValue().modRevision()));
             }
         }
         return page;
     }
 
     /** Changes of keys with the prefix after a revision. */
-    public List<Change> changes(String prefix, long since) {
+    public List<KeyChange> changes(String prefix, long since) {
         int from = log.size();
-        while (from > 0 && log.get(from - 1).stamp() > since) {
+        while (from > 0 && log.get(from - 1).modRevision() > since) {
             from--;
         }
         return log.subList(from, log.size()).stream()
--- a/src/main/java/garnetscale/standin/StateService.java
+++ b/src/main/java/garnetscale/emulator/StateService.java
@@ -1,7 +1,7 @@
-package garnetscale.standin;
+package garnetscale.emulator;
 
-import garnetscale.core.store.Change;
-import garnetscale.core.store.Txn;
+import garnetscale.core.state.KeyChange;
+import garnetscale.core.state.Transaction;
 import garnetscale.net.Reply;
 import garnetscale.wire.Cbor;
 import garnetscale.wire.UserCodec;
@@ -44,7 +44,7 @@
                 answer.accept(state.touch(clock.getAsLong(), id) ? ok(Map.of()) : Reply.of(404));
             } else if (path.startsWith("/holds/") && method.equals("DELETE")) {
                 answer.accept(state.end(Long.parseLong(path.substring(7))) ? ok(Map.of()) : Reply.of(404));
-            } else if (path.equals("/follow") && Long.parseLong(param(q, "since", "0")) < state.ledger() - kept) {
+            } else if (path.equals("/follow") && Long.parseLong(param(q, "since", "0")) < state.revision() - kept) {
                 answer.accept(Reply.of(410));
             } else if (path.equals("/follow")) {
                 long wait = Long.parseLong(param(q, "wait_ms", "0"));
@@ -55,19 +55,19 @@
                         answer));
             } else if (path.equals("/keys")) {
                 int limit = Integer.parseInt(param(q, "limit", "1000"));
-                List<Change> page = state.list(param(q, "starts", ""), param(q, "since", null), limit + 1);
+                List<KeyChange> page = state.list(param(q, "starts", ""), param(q, "since", null), limit + 1);
                 boolean more = page.size() > limit;
                 List<Object> pairs = new ArrayList<>();
-                for (Change c : more ? page.subList(0, limit) : page) {
-                    pairs.add(Map.of("key", c.key(), "v", c.value(), "stamp", c.stamp()));
+                for (KeyChange c : more ? page.subList(0, limit) : page) {
+                    pairs.add(Map.of("key", c.key(), "v", c.value(), "stamp", c.modRevision()));
                 }
-                answer.accept(ok(Map.of("pairs", pairs, "has_next", more, "ledger", state.ledger())));
+                answer.accept(ok(Map.of("pairs", pairs, "has_next", more, "ledger", state.revision())));
             } else if (path.startsWith("/keys/")) {
                 StateModel.Entry e = state.get(path.substring(6));
                 answer.accept(
                         e == null
-                                ? Reply.of(404, Cbor.write(Map.of("ledger", state.ledger())))
-                                : ok(Map.of("key", path.substring(6), "v", e.value(), "stamp", e.stamp())));
+                                ? Reply.of(404, Cbor.write(Map.of("ledger", state.revision())))
+                                : ok(Map.of("key", path.substring(6), "v", e.value(), "stamp", e.modRevision())));
             } else {
                 answer.accept(Reply.of(404));
             }
@@ -87,55 +87,55 @@
     }
 
     private Reply commit(Map<?, ?> body) {
-        Txn txn = new Txn();
+        Transaction transaction = new Transaction();
         for (Object o : (List<?>) body.get("guards")) {
             Map<?, ?> g = (Map<?, ?>) o;
-            txn.guard((String) g.get("key"), ((Number) g.get("stamp")).longValue());
+            transaction.guard((String) g.get("key"), ((Number) g.get("stamp")).longValue());
         }
         List<?> then = body.get("then") instanceof List<?> l ? l : List.of();
         for (Object o : then) {
             Map<?, ?> op = (Map<?, ?>) o;
             if (op.containsKey("set")) {
                 long lease = op.get("tenure") instanceof Number n ? n.longValue() : 0;
-                txn.put((String) op.get("set"), op.get("v"), lease);
+                transaction.put((String) op.get("set"), op.get("v"), lease);
             } else {
-                txn.delete((String) op.get("remove"));
+                transaction.delete((String) op.get("remove"));
             }
         }
-        List<String> failed = txn.guards().entrySet().stream()
-                .filter(g -> stamp(g.getKey()) != g.getValue())
+        List<String> failed = transaction.guards().entrySet().stream()
+                .filter(g -> modRevision(g.getKey()) != g.getValue())
                 .map(Map.Entry::getKey)
                 .toList();
-        int status = state.commit(txn);
+        int status = state.commit(transaction);
         return Reply.of(
                 status,
                 Cbor.write(
                         status == 409
-                                ? Map.of("failed", failed, "ledger", state.ledger())
-                                : Map.of("ledger", state.ledger())));
+                                ? Map.of("failed", failed, "ledger", state.revision())
+                                : Map.of("ledger", state.revision())));
     }
 
-    private long stamp(String key) {
+    private long modRevision(String key) {
         StateModel.Entry e = state.get(key);
-        return e == null ? 0 : e.stamp();
+        return e == null ? 0 : e.modRevision();
     }
 
     /** Answers the watches that something has changed for, and those whose time is over. */
     public void wake() {
         for (Waiting w : List.copyOf(watches)) {
-            List<Change> changes = state.changes(w.prefix(), w.since());
+            List<KeyChange> changes = state.changes(w.prefix(), w.since());
             if (changes.isEmpty() && clock.getAsLong() < w.until()) {
                 continue;
             }
             watches.remove(w);
             List<Object> log = new ArrayList<>();
-            for (Change c : changes) {
+            for (KeyChange c : changes) {
                 log.add(
                         c.value() == null
-                                ? Map.of("remove", c.key(), "stamp", c.stamp())
-                                : Map.of("set", c.key(), "v", c.value(), "stamp", c.stamp()));
+                                ? Map.of("remove", c.key(), "stamp", c.modRevision())
+                                : Map.of("set", c.key(), "v", c.value(), "stamp", c.modRevision()));
             }
-            w.answer().accept(ok(Map.of("ledger", state.ledger(), "log", log)));
+            w.answer().accept(ok(Map.of("ledger", state.revision(), "log", log)));
         }
     }
 }
--- a/src/main/java/garnetscale/standin/WorkerModel.java
+++ b/src/main/java/garnetscale/emulator/WorkerModel.java
@@ -1,14 +1,14 @@
-package garnetscale.standin;
+package garnetscale.emulator;
 
 import garnetscale.core.job.JobSpec;
 import garnetscale.core.job.TaskId;
 import garnetscale.core.machine.ExitCause;
 import garnetscale.core.machine.FreeCapacity;
 import garnetscale.core.machine.MachineType;
-import garnetscale.core.machine.Report;
-import garnetscale.core.machine.ReportedTask;
 import garnetscale.core.machine.TaskState;
+import garnetscale.core.machine.TaskStatus;
 import garnetscale.core.machine.WorkerCommand;
+import garnetscale.core.machine.WorkerHeartbeat;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.LinkedHashMap;
@@ -53,13 +53,13 @@
     private final Map<Long, Running> tasks = new LinkedHashMap<>();
     private final Set<String> images = new HashSet<>();
     private final Set<TaskId> results = new HashSet<>();
-    private long shift = 1;
+    private long agentEpoch = 1;
     private long tick;
-    private long token;
+    private long fencingToken;
     private long leaseFrom;
     private double slowness = 1;
     private Predicate<TaskId> fails = t -> false;
-    private Double noticeS;
+    private Double evictionNoticeS;
 
     public WorkerModel(
             String id,
@@ -86,8 +86,8 @@
     }
 
     /** Reports from now on that the cloud takes the machine in so many seconds. */
-    public void notice(double seconds) {
-        noticeS = seconds;
+    public void evictionNotice(double seconds) {
+        evictionNoticeS = seconds;
     }
 
     /** Has tasks end in error once they have their image. */
@@ -95,8 +95,8 @@
         fails = which;
     }
 
-    public long shift() {
-        return shift;
+    public long agentEpoch() {
+        return agentEpoch;
     }
 
     public String id() {
@@ -104,18 +104,18 @@
     }
 
     /** Ends the session if its lease is over; that holds for a machine that stands still, too. */
-    public void lapse(long now) {
+    public void expire(long now) {
         if (now - leaseFrom > leaseMs) {
             tasks.values().forEach(t -> ended(t, false));
             tasks.clear();
-            shift++;
+            agentEpoch++;
             leaseFrom = now;
         }
     }
 
     /** Lets time pass: fetches and runs end, and a lease that wasn't renewed ends the session. */
     public void advance(long now) {
-        lapse(now);
+        expire(now);
         for (Running t : tasks.values()) {
             JobSpec job = jobs.apply(t.id.job());
             if (t.state == TaskState.FETCHING && now >= t.until) {
@@ -153,31 +153,32 @@
     }
 
     /** A fresh report. */
-    public Report report() {
-        List<ReportedTask> list = new ArrayList<>();
-        tasks.values().forEach(t -> list.add(new ReportedTask(t.id, t.attempt, t.state, t.cause, false)));
-        return new Report(id, address, type.name(), zone, false, shift, ++tick, token, noticeS, list);
+    public WorkerHeartbeat heartbeat() {
+        List<TaskStatus> list = new ArrayList<>();
+        tasks.values().forEach(t -> list.add(new TaskStatus(t.id, t.attempt, t.state, t.cause, false)));
+        return new WorkerHeartbeat(
+                id, address, type.name(), zone, false, agentEpoch, ++tick, fencingToken, evictionNoticeS, list);
     }
 
-    /** The answer to a report that was sent at {@code sentAt} in session {@code reportShift}. */
-    public void answered(long now, long sentAt, long reportShift, long answerToken, List<WorkerCommand> orders) {
+    /** The answer to a report that was sent at {@code sentAt} in session {@code heartbeatEpoch}. */
+    public void answered(long now, long sentAt, long heartbeatEpoch, long answerToken, List<WorkerCommand> commands) {
         advance(now);
-        if (reportShift != shift || answerToken < token) {
+        if (heartbeatEpoch != agentEpoch || answerToken < fencingToken) {
             return;
         }
-        token = answerToken;
+        fencingToken = answerToken;
         leaseFrom = Math.max(leaseFrom, sentAt);
-        orders.forEach(o -> execute(now, o));
+        commands.forEach(o -> execute(now, o));
     }
 
     /** A direct command; false (409) when its token or session is not the present one. */
-    public boolean command(long now, long commandToken, long commandShift, List<WorkerCommand> orders) {
+    public boolean command(long now, long commandToken, long commandShift, List<WorkerCommand> commands) {
         advance(now);
-        if (commandToken < token || commandShift != shift) {
+        if (commandToken < fencingToken || commandShift != agentEpoch) {
             return false;
         }
-        token = commandToken;
-        orders.forEach(o -> execute(now, o));
+        fencingToken = commandToken;
+        commands.forEach(o -> execute(now, o));
         return true;
     }
 
--- a/src/main/java/garnetscale/net/Sockets.java
+++ b/src/main/java/garnetscale/net/ConnectionLimiter.java
@@ -12,7 +12,7 @@
  * rest are closed, which costs a handshake later, then users' connections at rest, longest unused first, and only when
  * there is neither is a new one turned away. Lives on one event loop, like all that opens or accepts connections.
  */
-public final class Sockets {
+public final class ConnectionLimiter {
 
     /**
      * The part set aside for listeners, state service, cloud and peers, and for connections that are closed here but not
@@ -35,12 +35,12 @@
     private int open;
 
     /** Sockets that workers keep for themselves. */
-    public Sockets(int maxConnections) {
+    public ConnectionLimiter(int maxConnections) {
         this(maxConnections, Double.POSITIVE_INFINITY);
     }
 
     /** From that share of the sockets in use on, {@link #isScarce} asks workers to take turns. */
-    public Sockets(int maxConnections, double sharedFrom) {
+    public ConnectionLimiter(int maxConnections, double sharedFrom) {
         this.sharedFrom = sharedFrom;
         this.most = Math.max(1, maxConnections - Math.max(LEAST_ASIDE, maxConnections / ASIDE));
         this.mostIdle = Math.max(1, maxConnections / IDLE);
--- a/src/main/java/garnetscale/net/HttpClient.java
+++ b/src/main/java/garnetscale/net/HttpClient.java
@@ -51,7 +51,7 @@
     private final EventLoopGroup loop;
     private final int idlePerHost;
     /** Where the connections are counted, or null for those that are set aside for. */
-    private final Sockets sockets;
+    private final ConnectionLimiter sockets;
 
     private final long connectMs;
     /** Answers to watches have no size limit in the protocol; beyond this one the store is listed anew, in pages. */
@@ -64,11 +64,11 @@
     }
 
     /** To many hosts: its connections are counted, and those at rest are closed for others. */
-    public HttpClient(EventLoopGroup loop, int idlePerHost, Sockets sockets, long connectMs) {
+    public HttpClient(EventLoopGroup loop, int idlePerHost, ConnectionLimiter sockets, long connectMs) {
         this(loop, idlePerHost, sockets, connectMs, maxBody(Runtime.getRuntime().maxMemory()));
     }
 
-    HttpClient(EventLoopGroup loop, int idlePerHost, Sockets sockets, long connectMs, int maxBody) {
+    HttpClient(EventLoopGroup loop, int idlePerHost, ConnectionLimiter sockets, long connectMs, int maxBody) {
         this.loop = loop;
         this.sockets = sockets;
         this.idlePerHost = idlePerHost;
--- a/src/main/java/garnetscale/net/HttpServer.java
+++ b/src/main/java/garnetscale/net/HttpServer.java
@@ -35,7 +35,7 @@
 
 /**
  * Serves users, workers and health checks on one port. Connections start out as users' and become workers' with
- * their first report; {@link Sockets} sees to it that however many users come, workers, state and peers find one.
+ * their first report; {@link ConnectionLimiter} sees to it that however many users come, workers, state and peers find one.
  * Lives on one event loop.
  *
  * <p>The pipeline is Netty's codec and one handler of ours. An aggregator, an idle handler and a timer for each
@@ -61,13 +61,13 @@
 
     private final EventLoopGroup loop;
     private final Handler handler;
-    private final Sockets sockets;
+    private final ConnectionLimiter sockets;
     private final int backlog;
     private final Set<Connection> connections = new LinkedHashSet<>();
     private long sweptAt;
 
     /** Up to {@code backlog} connections wait to be accepted: all workers may come at once. */
-    public HttpServer(EventLoopGroup loop, Sockets sockets, int backlog, Handler handler) {
+    public HttpServer(EventLoopGroup loop, ConnectionLimiter sockets, int backlog, Handler handler) {
         this.loop = loop;
         this.handler = handler;
         this.sockets = sockets;
--- a/src/main/java/garnetscale/net/PeerLinks.java
+++ b/src/main/java/garnetscale/net/PeerLinks.java
@@ -38,7 +38,7 @@
 
     /** Answers operators, on the event loop, by calling back once. */
     public interface Inspector {
-        void answer(PeerMessage.Inquiry inquiry, Consumer<PeerMessage.Answer> answer);
+        void answer(PeerMessage.OperatorRequest inquiry, Consumer<PeerMessage.OperatorResponse> answer);
     }
 
     private static final int MAX_FRAME = 4 << 20;
@@ -97,7 +97,7 @@
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, ByteBuf frame) throws IOException {
             PeerMessage message = codec.decode(ByteBufUtil.getBytes(frame));
-            if (message instanceof PeerMessage.Inquiry inquiry) {
+            if (message instanceof PeerMessage.OperatorRequest inquiry) {
                 inspector.answer(inquiry, answer -> ctx.writeAndFlush(Unpooled.wrappedBuffer(codec.encode(answer))));
             } else {
                 receiver.accept(message);
--- a/src/main/java/garnetscale/net/Budget.java
+++ b/src/main/java/garnetscale/net/TokenBucket.java
@@ -1,14 +1,14 @@
 package garnetscale.net;
 
 /** A token bucket: so many a second, and so many saved up at most. */
-public final class Budget {
+public final class TokenBucket {
 
     private double perS;
     private double most;
     private double tokens;
     private long last;
 
-    public Budget(double perS, double most, long now) {
+    public TokenBucket(double perS, double most, long now) {
         this.perS = perS;
         this.most = most;
         this.tokens = most;
--- a/src/main/java/garnetscale/peer/PeerCodec.java
+++ b/src/main/java/garnetscale/peer/PeerCodec.java
@@ -1,15 +1,15 @@
 package garnetscale.peer;
 
-import garnetscale.core.bid.Bid;
-import garnetscale.core.bid.BidBatch;
-import garnetscale.core.block.Observation;
+import garnetscale.core.bidding.Bid;
+import garnetscale.core.bidding.BidBatch;
 import garnetscale.core.job.JobState;
 import garnetscale.core.job.TaskId;
-import garnetscale.core.machine.Address;
 import garnetscale.core.machine.ExitCause;
-import garnetscale.core.machine.ReportedTask;
+import garnetscale.core.machine.MachineAddress;
 import garnetscale.core.machine.TaskState;
-import garnetscale.core.store.Records;
+import garnetscale.core.machine.TaskStatus;
+import garnetscale.core.partition.MachineStatus;
+import garnetscale.core.state.Records;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.util.ArrayList;
@@ -35,7 +35,7 @@
     private static final int HEARTBEAT = 0;
 
     private static final int OBSERVATION = 2;
-    private static final int BOOK = 4;
+    private static final int MACHINE_DIRECTORY = 4;
     private static final int CANCELLED = 5;
     private static final int OVER = 6;
     private static final int BID_SHEET = 8;
@@ -69,18 +69,18 @@
     }
 
     private static void write(Encoder out, PeerMessage message) throws IOException {
-        if (message instanceof PeerMessage.Heartbeat h) {
+        if (message instanceof PeerMessage.ControllerHeartbeat h) {
             out.writeIndex(HEARTBEAT);
             out.writeString(h.node());
             out.writeLong(h.incarnation());
             out.writeLong(h.leaderTerm());
             out.writeLong(h.stateAgeMs());
-            out.writeBoolean(h.deaf());
-        } else if (message instanceof PeerMessage.Seen s) {
+            out.writeBoolean(h.isolatedFromWorkers());
+        } else if (message instanceof PeerMessage.MachineStatusUpdate s) {
             out.writeIndex(OBSERVATION);
-            observation(out, s.observation());
-        } else if (message instanceof PeerMessage.Book b) {
-            out.writeIndex(BOOK);
+            machineStatus(out, s.machineStatus());
+        } else if (message instanceof PeerMessage.MachineDirectory b) {
+            out.writeIndex(MACHINE_DIRECTORY);
             list(out, b.machines(), a -> {
                 out.writeString(a.machine());
                 out.writeString(a.address());
@@ -88,10 +88,10 @@
             });
             list(out, b.lateJobs(), out::writeString);
             list(out, b.suspects(), out::writeString);
-        } else if (message instanceof PeerMessage.Cancelled c) {
+        } else if (message instanceof PeerMessage.JobCancelled c) {
             out.writeIndex(CANCELLED);
             out.writeString(c.job());
-        } else if (message instanceof PeerMessage.Over o) {
+        } else if (message instanceof PeerMessage.JobTerminated o) {
             out.writeIndex(OVER);
             out.writeString(o.job());
             out.writeString(o.how().state().name());
@@ -101,11 +101,11 @@
         } else if (message instanceof PeerMessage.Bids b) {
             out.writeIndex(BID_SHEET);
             batch(out, b.batch());
-        } else if (message instanceof PeerMessage.Inquiry i) {
+        } else if (message instanceof PeerMessage.OperatorRequest i) {
             out.writeIndex(INQUIRY);
             out.writeString(i.kind().name());
             out.writeString(i.argument());
-        } else if (message instanceof PeerMessage.Answer a) {
+        } else if (message instanceof PeerMessage.OperatorResponse a) {
             out.writeIndex(ANSWER);
             out.writeString(a.outcome().name());
             out.writeString(a.json());
@@ -124,23 +124,23 @@
         out.writeArrayEnd();
     }
 
-    private static void observation(Encoder out, Observation o) throws IOException {
+    private static void machineStatus(Encoder out, MachineStatus o) throws IOException {
         out.writeString(o.node());
         out.writeLong(o.incarnation());
-        out.writeString(o.block());
+        out.writeString(o.partition());
         out.writeLong(o.term());
         out.writeString(o.machine());
         out.writeString(o.address());
         out.writeString(o.type());
         out.writeString(o.zone());
         out.writeBoolean(o.spot());
-        out.writeLong(o.shift());
-        if (o.noticeS() == null) {
+        out.writeLong(o.agentEpoch());
+        if (o.evictionNoticeS() == null) {
             out.writeIndex(0);
             out.writeNull();
         } else {
             out.writeIndex(1);
-            out.writeDouble(o.noticeS());
+            out.writeDouble(o.evictionNoticeS());
         }
         out.writeBoolean(o.silent());
         list(out, o.tasks(), t -> {
@@ -148,15 +148,15 @@
             out.writeLong(t.attempt());
             out.writeInt(t.state().ordinal());
             out.writeInt(t.cause() == null ? -1 : t.cause().ordinal());
-            out.writeBoolean(t.saved());
+            out.writeBoolean(t.checkpointed());
         });
-        list(out, o.gone(), out::writeLong);
+        list(out, o.terminated(), out::writeLong);
     }
 
     private static void batch(Encoder out, BidBatch s) throws IOException {
         out.writeString(s.node());
         out.writeLong(s.incarnation());
-        out.writeLong(s.ledger());
+        out.writeLong(s.revision());
         out.writeMapStart();
         out.setItemCount(s.terms().size());
         for (Map.Entry<String, Long> e : s.terms().entrySet()) {
@@ -167,7 +167,7 @@
         out.writeMapEnd();
         list(out, s.bids(), b -> {
             out.writeString(b.machine());
-            out.writeLong(b.shift());
+            out.writeLong(b.agentEpoch());
             out.writeString(b.job());
             out.writeInt(b.slots());
             out.writeDouble(b.finishS());
@@ -192,22 +192,26 @@
         int kind = in.readIndex();
         return switch (kind) {
             case HEARTBEAT ->
-                new PeerMessage.Heartbeat(
+                new PeerMessage.ControllerHeartbeat(
                         in.readString(), in.readLong(), in.readLong(), in.readLong(), in.readBoolean());
-            case OBSERVATION -> new PeerMessage.Seen(observation(in));
-            case BOOK ->
-                new PeerMessage.Book(
-                        list(in, () -> new Address(in.readString(), in.readString(), in.readString())),
+            case OBSERVATION -> new PeerMessage.MachineStatusUpdate(machineStatus(in));
+            case MACHINE_DIRECTORY ->
+                new PeerMessage.MachineDirectory(
+                        list(in, () -> new MachineAddress(in.readString(), in.readString(), in.readString())),
                         list(in, in::readString),
                         list(in, in::readString));
-            case CANCELLED -> new PeerMessage.Cancelled(in.readString());
+            case CANCELLED -> new PeerMessage.JobCancelled(in.readString());
             case OVER ->
-                new PeerMessage.Over(
+                new PeerMessage.JobTerminated(
                         in.readString(),
-                        new Records.Archived(
+                        new Records.TerminalJob(
                                 JobState.valueOf(in.readString()), in.readInt(), in.readInt(), in.readString()));
-            case INQUIRY -> new PeerMessage.Inquiry(PeerMessage.Inquiry.Kind.valueOf(in.readString()), in.readString());
-            case ANSWER -> new PeerMessage.Answer(PeerMessage.Answer.Outcome.valueOf(in.readString()), in.readString());
+            case INQUIRY ->
+                new PeerMessage.OperatorRequest(
+                        PeerMessage.OperatorRequest.Kind.valueOf(in.readString()), in.readString());
+            case ANSWER ->
+                new PeerMessage.OperatorResponse(
+                        PeerMessage.OperatorResponse.Outcome.valueOf(in.readString()), in.readString());
             case BID_SHEET -> new PeerMessage.Bids(batch(in));
             default -> throw new IOException("not a message: " + kind);
         };
@@ -223,8 +227,8 @@
         return List.copyOf(list);
     }
 
-    private static Observation observation(Decoder in) throws IOException {
-        return new Observation(
+    private static MachineStatus machineStatus(Decoder in) throws IOException {
+        return new MachineStatus(
                 in.readString(),
                 in.readLong(),
                 in.readString(),
@@ -242,7 +246,7 @@
                     long attempt = in.readLong();
                     TaskState state = STATES[in.readInt()];
                     int cause = in.readInt();
-                    return new ReportedTask(task, attempt, state, cause < 0 ? null : CAUSES[cause], in.readBoolean());
+                    return new TaskStatus(task, attempt, state, cause < 0 ? null : CAUSES[cause], in.readBoolean());
                 }),
                 list(in, in::readLong));
     }
@@ -250,7 +254,7 @@
     private static BidBatch batch(Decoder in) throws IOException {
         String node = in.readString();
         long incarnation = in.readLong();
-        long ledger = in.readLong();
+        long revision = in.readLong();
         Map<String, Long> terms = new HashMap<>();
         for (long n = in.readMapStart(); n > 0; n = in.mapNext()) {
             for (long i = 0; i < n; i++) {
@@ -260,7 +264,7 @@
         return new BidBatch(
                 node,
                 incarnation,
-                ledger,
+                revision,
                 terms,
                 list(
                         in,
--- a/src/main/java/garnetscale/peer/PeerMessage.java
+++ b/src/main/java/garnetscale/peer/PeerMessage.java
@@ -1,9 +1,9 @@
 package garnetscale.peer;
 
-import garnetscale.core.bid.BidBatch;
-import garnetscale.core.block.Observation;
-import garnetscale.core.machine.Address;
-import garnetscale.core.store.Records;
+import garnetscale.core.bidding.BidBatch;
+import garnetscale.core.machine.MachineAddress;
+import garnetscale.core.partition.MachineStatus;
+import garnetscale.core.state.Records;
 import java.util.List;
 
 /** What controllers say to each other. */
@@ -14,18 +14,20 @@
      *
      * @param leaderTerm the term that the sender leads under, or -1
      * @param stateAgeMs how long ago the sender sent its last request that the state service answered
-     * @param deaf       whether no worker reaches the sender
+     * @param isolatedFromWorkers       whether no worker reaches the sender
      */
-    record Heartbeat(String node, long incarnation, long leaderTerm, long stateAgeMs, boolean deaf)
+    record ControllerHeartbeat(
+            String node, long incarnation, long leaderTerm, long stateAgeMs, boolean isolatedFromWorkers)
             implements PeerMessage {}
 
     /** The leader's list of machines, the started jobs that it takes late bids for, and those that fail wherever they run. */
-    record Book(List<Address> machines, List<String> lateJobs, List<String> suspects) implements PeerMessage {
+    record MachineDirectory(List<MachineAddress> machines, List<String> lateJobs, List<String> suspects)
+            implements PeerMessage {
 
         /** Explicit because it is on the hot path; see the package documentation of {@code garnetscale.core}. */
         @Override
         public boolean equals(Object o) {
-            return o instanceof Book other
+            return o instanceof MachineDirectory other
                     && machines.equals(other.machines)
                     && lateJobs.equals(other.lateJobs)
                     && suspects.equals(other.suspects);
@@ -38,16 +40,16 @@
     }
 
     /** A user's cancellation that the sender has stored. */
-    record Cancelled(String job) implements PeerMessage {}
+    record JobCancelled(String job) implements PeerMessage {}
 
     /** A job's end, which the leader knows to be stored; a fact that never changes again. */
-    record Over(String job, Records.Archived how) implements PeerMessage {}
+    record JobTerminated(String job, Records.TerminalJob how) implements PeerMessage {}
 
     /** What a holder observes of one of its machines, for the leader. */
-    record Seen(Observation observation) implements PeerMessage {}
+    record MachineStatusUpdate(MachineStatus machineStatus) implements PeerMessage {}
 
     /** What an operator asks a controller, on the command line; no controller asks another. */
-    record Inquiry(Kind kind, String argument) implements PeerMessage {
+    record OperatorRequest(Kind kind, String argument) implements PeerMessage {
 
         /** What is asked; all but {@code UPGRADE} only read. */
         public enum Kind {
@@ -60,8 +62,8 @@
         }
     }
 
-    /** The answer to an {@link Inquiry}, in JSON. */
-    record Answer(Outcome outcome, String json) implements PeerMessage {
+    /** The answer to an {@link OperatorRequest}, in JSON. */
+    record OperatorResponse(Outcome outcome, String json) implements PeerMessage {
 
         /** How the inquiry ended. */
         public enum Outcome {
--- a/src/main/java/garnetscale/wire/CloudCodec.java
+++ b/src/main/java/garnetscale/wire/CloudCodec.java
@@ -1,7 +1,7 @@
 package garnetscale.wire;
 
-import garnetscale.core.fleet.CloudCall;
-import garnetscale.core.fleet.Listed;
+import garnetscale.core.autoscaling.CloudCall;
+import garnetscale.core.autoscaling.CloudInstance;
 import garnetscale.core.machine.MachineType;
 import java.io.IOException;
 import java.util.ArrayList;
@@ -15,7 +15,7 @@
     public static final int PAGE = 500;
 
     /** A page of the machine list. */
-    public record Page(List<Listed> machines, boolean more) {}
+    public record Page(List<CloudInstance> machines, boolean more) {}
 
     private CloudCodec() {}
 
@@ -41,7 +41,7 @@
         return List.copyOf(list);
     }
 
-    public static byte[] rent(CloudCall.Rent r) {
+    public static byte[] scaleOut(CloudCall.ScaleOut r) {
         Map<String, Object> m = new LinkedHashMap<>();
         m.put("ask", r.request());
         m.put("breed", r.type());
@@ -51,32 +51,32 @@
         return Cbor.write(m);
     }
 
-    public static List<String> rented(byte[] body) throws IOException {
+    public static List<String> scaledOut(byte[] body) throws IOException {
         List<String> ids = new Fields(Cbor.readMap(body)).textsOrNull("hives");
         return ids == null ? List.of() : ids;
     }
 
-    public static byte[] delete(CloudCall.Delete d) {
+    public static byte[] delete(CloudCall.ScaleIn d) {
         return Cbor.write(Map.of("hives", d.machines()));
     }
 
-    public static String pagePath(CloudCall.Page p) {
+    public static String pagePath(CloudCall.ListInstances p) {
         return "/machines?limit=" + PAGE + (p.after().isEmpty() ? "" : "&since=" + p.after());
     }
 
     public static Page page(byte[] body) throws IOException {
         Fields f = new Fields(Cbor.readMap(body));
-        List<Listed> list = new ArrayList<>();
+        List<CloudInstance> list = new ArrayList<>();
         for (Object o : f.list("hives")) {
             Fields m = Fields.of(o, "machine");
-            Listed.State state =
+            CloudInstance.State state =
                     switch (m.text("mood")) {
-                        case "failed" -> Listed.State.FAILED;
-                        case "running" -> Listed.State.RUNNING;
-                        default -> Listed.State.BOOTING;
+                        case "failed" -> CloudInstance.State.FAILED;
+                        case "running" -> CloudInstance.State.RUNNING;
+                        default -> CloudInstance.State.BOOTING;
                     };
             String address = m.textOrNull("address");
-            list.add(new Listed(
+            list.add(new CloudInstance(
                     m.text("id"),
                     address == null ? "" : address,
                     m.text("breed"),
--- a/src/main/java/garnetscale/wire/StateCodec.java
+++ b/src/main/java/garnetscale/wire/StateCodec.java
@@ -1,7 +1,7 @@
 package garnetscale.wire;
 
-import garnetscale.core.store.Change;
-import garnetscale.core.store.Txn;
+import garnetscale.core.state.KeyChange;
+import garnetscale.core.state.Transaction;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -14,20 +14,20 @@
 public final class StateCodec {
 
     /** Keys as of a revision: a page of a listing, or a watch's log. */
-    public record Batch(List<Change> changes, long ledger, boolean more) {}
+    public record Batch(List<KeyChange> changes, long revision, boolean more) {}
 
     private StateCodec() {}
 
-    public static byte[] txn(Txn txn) {
-        return Cbor.write(tree(txn));
+    public static byte[] transaction(Transaction transaction) {
+        return Cbor.write(tree(transaction));
     }
 
     /** A transaction as the protocol has it, before it is encoded. */
-    public static Map<String, Object> tree(Txn txn) {
+    public static Map<String, Object> tree(Transaction transaction) {
         List<Object> guards = new ArrayList<>();
-        txn.guards().forEach((key, stamp) -> guards.add(Map.of("key", key, "stamp", stamp)));
+        transaction.guards().forEach((key, modRevision) -> guards.add(Map.of("key", key, "stamp", modRevision)));
         List<Object> then = new ArrayList<>();
-        for (Txn.Op op : txn.ops()) {
+        for (Transaction.Op op : transaction.ops()) {
             Map<String, Object> m = new LinkedHashMap<>();
             if (op.value() == null) {
                 m.put("remove", op.key());
@@ -43,7 +43,7 @@
         return then.isEmpty() ? Map.of("guards", guards) : Map.of("guards", guards, "then", then);
     }
 
-    public static long ledger(byte[] body) throws IOException {
+    public static long revision(byte[] body) throws IOException {
         return new Fields(Cbor.readMap(body)).whole("ledger");
     }
 
@@ -72,21 +72,21 @@
 
     public static Batch listing(byte[] body) throws IOException {
         Fields f = new Fields(Cbor.readMap(body));
-        List<Change> list = new ArrayList<>();
+        List<KeyChange> list = new ArrayList<>();
         for (Object o : f.list("pairs")) {
             Map<?, ?> m = (Map<?, ?>) o;
-            list.add(new Change((String) m.get("key"), m.get("v"), new Fields(m).whole("stamp")));
+            list.add(new KeyChange((String) m.get("key"), m.get("v"), new Fields(m).whole("stamp")));
         }
         return new Batch(list, f.whole("ledger"), f.flagOrFalse("has_next"));
     }
 
     public static Batch log(byte[] body) throws IOException {
         Fields f = new Fields(Cbor.readMap(body));
-        List<Change> list = new ArrayList<>();
+        List<KeyChange> list = new ArrayList<>();
         for (Object o : f.list("log")) {
             Map<?, ?> m = (Map<?, ?>) o;
             boolean set = m.containsKey("set");
-            list.add(new Change(
+            list.add(new KeyChange(
                     (String) m.get(set ? "set" : "remove"), set ? m.get("v") : null, new Fields(m).whole("stamp")));
         }
         return new Batch(list, f.whole("ledger"), false);
--- a/src/main/java/garnetscale/wire/UserCodec.java
+++ b/src/main/java/garnetscale/wire/UserCodec.java
@@ -14,8 +14,8 @@
     private static final int MAX_TEXT = 200;
     private static final Pattern ID = Pattern.compile("wk-[0-9]{1,18}");
 
-    /** What a user is told of a job; {@code why} is null unless work waits, was stopped or is refused. */
-    public record Answer(String id, String state, int done, int running, String team, String why) {}
+    /** What a user is told of a job; {@code reason} is null unless work waits, was stopped or is refused. */
+    public record Answer(String id, String state, int done, int running, String team, String reason) {}
 
     private UserCodec() {}
 
@@ -89,13 +89,13 @@
         if (a.team() != null) {
             m.put("crew", a.team());
         }
-        if (a.why() != null) {
-            m.put("cause", a.why());
+        if (a.reason() != null) {
+            m.put("cause", a.reason());
         }
         return Cbor.write(m);
     }
 
-    public static byte[] error(String why) {
-        return Cbor.write(Map.of("error", why));
+    public static byte[] error(String reason) {
+        return Cbor.write(Map.of("error", reason));
     }
 }
--- a/src/main/java/garnetscale/wire/WorkerCodec.java
+++ b/src/main/java/garnetscale/wire/WorkerCodec.java
@@ -2,10 +2,10 @@
 
 import garnetscale.core.job.TaskId;
 import garnetscale.core.machine.ExitCause;
-import garnetscale.core.machine.Report;
-import garnetscale.core.machine.ReportedTask;
 import garnetscale.core.machine.TaskState;
+import garnetscale.core.machine.TaskStatus;
 import garnetscale.core.machine.WorkerCommand;
+import garnetscale.core.machine.WorkerHeartbeat;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -17,9 +17,9 @@
 
     private WorkerCodec() {}
 
-    public static Report report(byte[] body) throws IOException {
+    public static WorkerHeartbeat heartbeat(byte[] body) throws IOException {
         Fields f = new Fields(Cbor.readMap(body));
-        List<ReportedTask> tasks = new ArrayList<>();
+        List<TaskStatus> tasks = new ArrayList<>();
         for (Object o : f.list("chores")) {
             Fields t = Fields.of(o, "chore");
             TaskId id = TaskId.parse(t.text("chore"));
@@ -27,14 +27,14 @@
                 throw new IOException("chore is not job/number");
             }
             TaskState state = state(t.text("mood"));
-            tasks.add(new ReportedTask(
+            tasks.add(new TaskStatus(
                     id,
                     t.whole("try"),
                     state,
                     state == TaskState.EXITED ? cause(t.textOrNull("cause")) : null,
                     t.flagOrFalse("saved")));
         }
-        return new Report(
+        return new WorkerHeartbeat(
                 f.text("hive"),
                 f.text("address"),
                 f.text("breed"),
@@ -51,7 +51,7 @@
         return switch (s) {
             case "fetching" -> TaskState.FETCHING;
             case "running" -> TaskState.RUNNING;
-            case "saving" -> TaskState.SAVING;
+            case "saving" -> TaskState.CHECKPOINTING;
             case "exited" -> TaskState.EXITED;
             default -> TaskState.UNKNOWN;
         };
@@ -70,22 +70,22 @@
     }
 
     /** The answer to a report. */
-    public static byte[] answer(long token, List<WorkerCommand> orders) {
-        return Cbor.write(Map.of("baton", token, "orders", orders(orders)));
+    public static byte[] answer(long fencingToken, List<WorkerCommand> commands) {
+        return Cbor.write(Map.of("baton", fencingToken, "orders", commands(commands)));
     }
 
     /** A direct command. */
-    public static byte[] commands(long token, long shift, List<WorkerCommand> orders) {
-        return Cbor.write(Map.of("baton", token, "shift", shift, "orders", orders(orders)));
+    public static byte[] commands(long fencingToken, long agentEpoch, List<WorkerCommand> commands) {
+        return Cbor.write(Map.of("baton", fencingToken, "shift", agentEpoch, "orders", commands(commands)));
     }
 
     public static byte[] redirect(String node) {
         return Cbor.write(node == null ? Map.of() : Map.of("steward", node));
     }
 
-    private static List<Object> orders(List<WorkerCommand> orders) {
-        List<Object> list = new ArrayList<>(orders.size());
-        for (WorkerCommand o : orders) {
+    private static List<Object> commands(List<WorkerCommand> commands) {
+        List<Object> list = new ArrayList<>(commands.size());
+        for (WorkerCommand o : commands) {
             Map<String, Object> m = new LinkedHashMap<>();
             m.put(
                     "verb",
--- a/src/test/java/garnetscale/app/RehearsalTest.java
+++ b/src/test/java/garnetscale/cli/LoopbackDemoTest.java
@@ -1,4 +1,4 @@
-package garnetscale.app;
+package garnetscale.cli;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -6,10 +6,10 @@
 import picocli.CommandLine;
 
 /** Two whole controllers, a state service, a cloud and two workers over loopback sockets, until a job is done. */
-class RehearsalTest {
+class LoopbackDemoTest {
 
     @Test
     void runsAJobToDoneAndCancelsAnother() {
-        assertEquals(0, new CommandLine(new Rehearsal()).execute("--seconds", "120"));
+        assertEquals(0, new CommandLine(new LoopbackDemo()).execute("--seconds", "120"));
     }
 }
--- a/src/test/java/garnetscale/app/MixedVersionsTest.java
+++ b/src/test/java/garnetscale/cli/MixedVersionsTest.java
@@ -1,19 +1,21 @@
-package garnetscale.app;
+package garnetscale.cli;
 
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
+import garnetscale.config.Settings;
+import garnetscale.controller.Node;
 import garnetscale.core.Features;
 import garnetscale.core.balance.BalanceSettings;
 import garnetscale.core.upgrade.UpgradeStep;
 import garnetscale.core.upgrade.VersionRange;
+import garnetscale.emulator.EmulatedServices;
 import garnetscale.net.HttpClient;
 import garnetscale.net.HttpResult;
 import garnetscale.peer.PeerMessage;
-import garnetscale.peer.PeerMessage.Answer.Outcome;
-import garnetscale.standin.StandIns;
+import garnetscale.peer.PeerMessage.OperatorResponse.Outcome;
 import garnetscale.wire.Cbor;
 import garnetscale.wire.Trees;
 import io.netty.channel.EventLoopGroup;
@@ -58,10 +60,10 @@
 
     private void startOutside() throws IOException {
         for (int i = 0; i < 2; i++) {
-            listen[i] = Rehearsal.freePort();
-            back[i] = Rehearsal.freePort();
+            listen[i] = LoopbackDemo.freePort();
+            back[i] = LoopbackDemo.freePort();
         }
-        StandIns outside = new StandIns(loop, Map.of("node-0", listen[0], "node-1", listen[1]), 300);
+        EmulatedServices outside = new EmulatedServices(loop, Map.of("node-0", listen[0], "node-1", listen[1]), 300);
         state = outside.startState("127.0.0.1:0");
         cloud = outside.startCloud("127.0.0.1:0");
         outside.startWorker("m-000001", WORKER_LEASE_MS);
@@ -74,7 +76,7 @@
             nodes[i].stop().awaitUninterruptibly();
         }
         Path file = dir.resolve("node-" + i + ".toml");
-        Files.writeString(file, Rehearsal.settings(i, listen, back, state, cloud));
+        Files.writeString(file, LoopbackDemo.settings(i, listen, back, state, cloud));
         nodes[i] =
                 new Node(Settings.read(file, new Features(false, 0.5, layouts, Features.NEVER, BalanceSettings.OFF)));
         nodes[i].start();
@@ -92,19 +94,19 @@
 
     // ---- operators
 
-    private PeerMessage.Answer ask(int i, PeerMessage.Inquiry.Kind kind, String argument) {
+    private PeerMessage.OperatorResponse ask(int i, PeerMessage.OperatorRequest.Kind kind, String argument) {
         try {
-            return new OperatorClient(back[i], TIMEOUT_MS).ask(new PeerMessage.Inquiry(kind, argument));
+            return new OperatorClient(back[i], TIMEOUT_MS).ask(new PeerMessage.OperatorRequest(kind, argument));
         } catch (IOException e) {
-            return new PeerMessage.Answer(Outcome.REFUSED, "{}");
+            return new PeerMessage.OperatorResponse(Outcome.REFUSED, "{}");
         }
     }
 
     private Map<?, ?> status(int i) {
-        return tree(ask(i, PeerMessage.Inquiry.Kind.STATUS, ""));
+        return tree(ask(i, PeerMessage.OperatorRequest.Kind.STATUS, ""));
     }
 
-    private static Map<?, ?> tree(PeerMessage.Answer answer) {
+    private static Map<?, ?> tree(PeerMessage.OperatorResponse answer) {
         try (JsonParser parser = new JsonFactory().createParser(answer.json())) {
             return (Map<?, ?>) Trees.read(parser);
         } catch (IOException e) {
@@ -125,9 +127,9 @@
         await(step, answer -> answer.outcome() == Outcome.DONE);
     }
 
-    private void await(UpgradeStep step, Predicate<PeerMessage.Answer> wanted) {
+    private void await(UpgradeStep step, Predicate<PeerMessage.OperatorResponse> wanted) {
         for (int i = 0; ; i = 1 - i) {
-            if (wanted.test(ask(i, PeerMessage.Inquiry.Kind.UPGRADE, step.name()))) {
+            if (wanted.test(ask(i, PeerMessage.OperatorRequest.Kind.UPGRADE, step.name()))) {
                 return;
             }
         }
@@ -153,7 +155,7 @@
     private void submit() {
         String id = String.format("wk-%06d", jobs.size() + 1);
         jobs.add(id);
-        byte[] body = Cbor.write(Rehearsal.job(id, 3, 0.3));
+        byte[] body = Cbor.write(LoopbackDemo.job(id, 3, 0.3));
         HttpResult taken = call(0, HttpMethod.POST, "/v2/runs", body);
         for (int i = 1; !taken.is(201) && !taken.is(200); i = 1 - i) {
             taken = call(i, HttpMethod.POST, "/v2/runs", body);
--- a/src/test/java/garnetscale/app/OperatorCommandTest.java
+++ b/src/test/java/garnetscale/cli/OperatorCommandTest.java
@@ -1,28 +1,29 @@
-package garnetscale.app;
+package garnetscale.cli;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import garnetscale.core.Params;
-import garnetscale.core.TestParams;
-import garnetscale.core.block.BlockLease;
-import garnetscale.core.block.Blocks;
-import garnetscale.core.block.LeaderInfo;
-import garnetscale.core.block.NodeInfo;
+import garnetscale.controller.ClusterInspector;
+import garnetscale.core.SchedulerConfig;
+import garnetscale.core.TestConfig;
 import garnetscale.core.job.JobRecord;
 import garnetscale.core.job.JobState;
 import garnetscale.core.job.TestJob;
-import garnetscale.core.lead.Leader;
-import garnetscale.core.store.Keys;
-import garnetscale.core.store.Layouts;
-import garnetscale.core.store.Records;
-import garnetscale.core.store.StateReplica;
-import garnetscale.core.store.Txn;
+import garnetscale.core.leader.Leader;
+import garnetscale.core.partition.ControllerInfo;
+import garnetscale.core.partition.LeaderInfo;
+import garnetscale.core.partition.PartitionLease;
+import garnetscale.core.partition.PartitionMap;
+import garnetscale.core.state.Keys;
+import garnetscale.core.state.Layouts;
+import garnetscale.core.state.Records;
+import garnetscale.core.state.StateReplica;
+import garnetscale.core.state.Transaction;
 import garnetscale.core.upgrade.ClusterVersion;
 import garnetscale.core.upgrade.VersionRange;
+import garnetscale.emulator.StateModel;
 import garnetscale.net.PeerLinks;
-import garnetscale.standin.StateModel;
 import io.netty.channel.ChannelFuture;
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.nio.NioEventLoopGroup;
@@ -42,15 +43,17 @@
 
     private static final long LONG_AGO = 1_000_000;
 
-    private final Params params = TestParams.small()
-            .members(List.of(new Params.Member("n0", "a", ""), new Params.Member("n1", "a", "10.0.0.2:8081")))
-            .teams(new Params.Team("red", 8, 64, 0, Double.POSITIVE_INFINITY))
+    private final SchedulerConfig config = TestConfig.small()
+            .controllers(List.of(
+                    new SchedulerConfig.ControllerAddress("n0", "a", ""),
+                    new SchedulerConfig.ControllerAddress("n1", "a", "10.0.0.2:8081")))
+            .teams(new SchedulerConfig.Team("red", 8, 64, 0, Double.POSITIVE_INFINITY))
             .build();
     private final StateModel state = new StateModel();
     private final long lease = state.grant(0, Long.MAX_VALUE / 4);
     private final StateReplica replica = new StateReplica();
-    private final Blocks blocks = new Blocks(params);
-    private final Leader leader = new Leader(params, replica, blocks, line -> {});
+    private final PartitionMap partitions = new PartitionMap(config);
+    private final Leader leader = new Leader(config, replica, partitions, line -> {});
     private final EventLoopGroup loop = new NioEventLoopGroup(1);
     private final StringWriter out = new StringWriter();
     private final StringWriter err = new StringWriter();
@@ -60,19 +63,19 @@
 
     @BeforeEach
     void start() {
-        state.commit(new Txn()
-                .put(Keys.node("n0"), Records.node(new NodeInfo("n0", lease, "a", Layouts.SUPPORTED)), lease)
+        state.commit(new Transaction()
+                .put(Keys.node("n0"), Records.node(new ControllerInfo("n0", lease, "a", Layouts.SUPPORTED)), lease)
                 .put(Keys.LEADER, Records.leader(new LeaderInfo("n0", lease, 3)), lease)
-                .put(Keys.block("a/0"), Records.block(new BlockLease("n0", lease, 17)))
+                .put(Keys.partition("a/0"), Records.partition(new PartitionLease("n0", lease, 17)))
                 .put(
                         Keys.job("wk-1"),
                         Records.job(new JobRecord(
                                 TestJob.named("wk-1").team("red").tasks(5).build(), JobState.LIVE, 0))));
-        replica.reset(state.list(Keys.MIRRORED, null, 100), state.ledger());
-        leader.incarnate(lease);
+        replica.reset(state.list(Keys.MIRRORED, null, 100), state.revision());
+        leader.onLeaseGranted(lease);
         ClusterInspector inspector = new ClusterInspector(
-                params,
-                blocks,
+                config,
+                partitions,
                 new ClusterInspector.Sources(
                         replica,
                         leader,
@@ -80,7 +83,7 @@
                         () -> Map.of("ready", true),
                         job -> job.unstarted() + " tasks wait for room",
                         (id, found) -> found.accept(
-                                true, id.equals("wk-0") ? new Records.Archived(JobState.DONE, 4, 4, "red") : null)));
+                                true, id.equals("wk-0") ? new Records.TerminalJob(JobState.DONE, 4, 4, "red") : null)));
         ChannelFuture listening = new PeerLinks(
                         loop,
                         message -> {},
@@ -110,9 +113,9 @@
                 .execute(args);
     }
 
-    private void commit(Txn txn) {
-        assertEquals(200, state.commit(txn));
-        replica.advance(state.changes(Keys.MIRRORED, replica.ledger()), state.ledger());
+    private void commit(Transaction transaction) {
+        assertEquals(200, state.commit(transaction));
+        replica.advance(state.changes(Keys.MIRRORED, replica.revision()), state.revision());
     }
 
     @Test
@@ -156,7 +159,7 @@
         assertEquals(new ClusterVersion(2, 1), replica.version());
         assertEquals(0, run("upgrade", "activate", address));
         assertTrue(out.toString().contains("active: 2"), out.toString());
-        commit(new Txn().put(Keys.LEADER, Records.leader(new LeaderInfo("n1", lease, 4)), lease));
+        commit(new Transaction().put(Keys.LEADER, Records.leader(new LeaderInfo("n1", lease, 4)), lease));
         assertEquals(1, run("upgrade", "finalize", address));
         assertEquals(
                 "garnetscale: refused: this controller isn't the leader; n1 is, at 10.0.0.2:8081\n", err.toString());
@@ -165,7 +168,7 @@
 
     @Test
     void aControllerThatStandsAsideSaysSo() {
-        commit(new Txn().put(Keys.VERSION, Records.version(new ClusterVersion(9, 1))));
+        commit(new Transaction().put(Keys.VERSION, Records.version(new ClusterVersion(9, 1))));
         assertEquals(0, run("upgrade", "status", address));
         assertTrue(out.toString().contains("version 9, and this controller supports " + new VersionRange(1, 2)));
         assertEquals(1, run("upgrade", "finalize", address));
--- a/src/test/java/garnetscale/app/OperatorSurfaceTest.java
+++ b/src/test/java/garnetscale/cli/OperatorSurfaceTest.java
@@ -1,8 +1,9 @@
-package garnetscale.app;
+package garnetscale.cli;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import garnetscale.ExpectedForms;
+import garnetscale.config.Settings;
 import java.io.IOException;
 import java.io.PrintWriter;
 import java.io.StringWriter;
--- a/src/test/java/garnetscale/app/FeaturesFileTest.java
+++ b/src/test/java/garnetscale/config/FeaturesFileTest.java
@@ -1,11 +1,11 @@
-package garnetscale.app;
+package garnetscale.config;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
 import garnetscale.core.Features;
 import garnetscale.core.balance.BalanceSettings;
-import garnetscale.core.store.Layouts;
+import garnetscale.core.state.Layouts;
 import garnetscale.core.upgrade.VersionRange;
 import java.io.IOException;
 import java.nio.file.Files;
--- a/src/test/java/garnetscale/app/SettingsTest.java
+++ b/src/test/java/garnetscale/config/SettingsTest.java
@@ -1,4 +1,4 @@
-package garnetscale.app;
+package garnetscale.config;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -68,16 +68,16 @@
     @Test
     void readsWhatItNeedsAndIgnoresTheRest() throws IOException, Settings.Faults {
         Settings s = read(GOOD);
-        assertEquals(2, s.params().members().size());
-        assertEquals(Double.POSITIVE_INFINITY, s.params().teams().get("t").cpusMax());
-        assertEquals(2.0, s.params().teams().get("t").gpusMax());
-        assertTrue(s.params().graceMs() + s.params().leaseMs() < s.params().cancelMs());
+        assertEquals(2, s.config().controllers().size());
+        assertEquals(Double.POSITIVE_INFINITY, s.config().teams().get("t").cpusMax());
+        assertEquals(2.0, s.config().teams().get("t").gpusMax());
+        assertTrue(s.config().graceMs() + s.config().leaseMs() < s.config().cancelMs());
     }
 
     @Test
     void theExampleIsGood() throws Settings.Faults {
         Settings example = Settings.read(Path.of("deploy", "settings.example.toml"));
-        assertEquals(2, example.params().members().size());
+        assertEquals(2, example.config().controllers().size());
     }
 
     @Test
--- a/src/test/java/garnetscale/app/JobApiTest.java
+++ b/src/test/java/garnetscale/controller/JobApiTest.java
@@ -1,4 +1,4 @@
-package garnetscale.app;
+package garnetscale.controller;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/src/test/java/garnetscale/app/LoadViewTest.java
+++ b/src/test/java/garnetscale/controller/LoadViewTest.java
@@ -1,4 +1,4 @@
-package garnetscale.app;
+package garnetscale.controller;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -23,7 +23,7 @@
     void groupsAreShownWithWhatIsUnknown() {
         LoadTracker tracker = new LoadTracker(1000);
         tracker.update(0, "m-1", new MachineLoad(SMALL, null, true, 8000, Map.of("red", 2500L, "blue", 1500L)));
-        tracker.update(0, "m-2", new MachineLoad(LARGE, UnknownReason.HOLDER_UNHEARD, false, 16_000, Map.of()));
+        tracker.update(0, "m-2", new MachineLoad(LARGE, UnknownReason.OWNER_UNHEARD, false, 16_000, Map.of()));
         Map<String, Object> load = LoadView.load(
                 tracker.snapshot(500, Demand.NONE.plus("red", 120.4, 7).plusWaiting(SMALL, 120.4)), 800);
         assertEquals(300L, load.get("age_ms"));
--- a/src/test/java/garnetscale/app/ManualIo.java
+++ b/src/test/java/garnetscale/controller/ManualIo.java
@@ -1,4 +1,4 @@
-package garnetscale.app;
+package garnetscale.controller;
 
 import garnetscale.net.HttpResult;
 import io.netty.handler.codec.http.HttpMethod;
