--- a/src/test/java/garnetscale/app/ScriptedCluster.java
+++ b/src/test/java/garnetscale/controller/ScriptedCluster.java
@@ -1,20 +1,20 @@
-package garnetscale.app;
+package garnetscale.controller;
 
-import garnetscale.core.Params;
-import garnetscale.core.TestParams;
+import garnetscale.core.SchedulerConfig;
+import garnetscale.core.TestConfig;
 import garnetscale.core.job.JobRecord;
 import garnetscale.core.job.JobState;
 import garnetscale.core.job.TestJob;
 import garnetscale.core.machine.MachineType;
-import garnetscale.core.store.Keys;
-import garnetscale.core.store.Records;
-import garnetscale.core.store.StateReplica;
-import garnetscale.core.store.Txn;
-import garnetscale.core.store.TxnResult;
+import garnetscale.core.state.Keys;
+import garnetscale.core.state.Records;
+import garnetscale.core.state.StateReplica;
+import garnetscale.core.state.Transaction;
+import garnetscale.core.state.TransactionOutcome;
+import garnetscale.emulator.StateModel;
+import garnetscale.emulator.StateService;
 import garnetscale.net.HttpResult;
 import garnetscale.net.Reply;
-import garnetscale.standin.StateModel;
-import garnetscale.standin.StateService;
 import garnetscale.timeline.Timeline;
 import garnetscale.wire.Cbor;
 import io.netty.handler.codec.http.HttpMethod;
@@ -59,7 +59,7 @@
     final List<String> broken = new ArrayList<>();
     private final StateService service = new StateService(state, () -> this.now, 300);
     /** The store's revision at each time at which it changed, for what a replica must hold. */
-    private final TreeMap<Long, Long> ledgers = new TreeMap<>();
+    private final TreeMap<Long, Long> revisions = new TreeMap<>();
     /** Shares of transactions of which only the answer is lost, and of those that are carried out late without one. */
     double answerLost;
 
@@ -69,7 +69,7 @@
 
     ScriptedCluster(long seed) {
         super(seed);
-        state.commit(new Txn().put(Keys.TYPES, Records.types(List.of(TYPE))));
+        state.commit(new Transaction().put(Keys.TYPES, Records.types(List.of(TYPE))));
         refused.add(NOBODYS);
         for (int i = 0; i < NODES; i++) {
             desks.add(new Desk("n" + i));
@@ -79,7 +79,7 @@
             if (now >= failingUntil) {
                 state.expire(now);
                 service.wake();
-                ledgers.put(now, state.ledger());
+                revisions.put(now, state.revision());
             }
         });
     }
@@ -89,29 +89,32 @@
     }
 
     /** Sends a transaction as PROTOCOL lets it fare; MAYBE comes after the client's two seconds. */
-    private void commit(Txn txn, BiConsumer<TxnResult, Long> done) {
+    private void commit(Transaction transaction, BiConsumer<TransactionOutcome, Long> done) {
         if (now < failingUntil) {
-            at(hop(), () -> done.accept(TxnResult.REFUSED, -1L));
+            at(hop(), () -> done.accept(TransactionOutcome.REFUSED, -1L));
             return;
         }
         double luck = random.nextDouble();
         if (luck < answerLost) {
             at(hop(), () -> {
-                if (state.commit(txn) == 200) {
+                if (state.commit(transaction) == 200) {
                     met("carried out, answer lost");
                 }
             });
-            at(2000, () -> done.accept(TxnResult.MAYBE, -1L));
+            at(2000, () -> done.accept(TransactionOutcome.MAYBE, -1L));
         } else if (luck < answerLost + late) {
             at(
                     2000 + random.nextInt(10_000),
-                    () -> met(state.commit(txn) == 200 ? "carried out late" : "late and overtaken"));
-            at(2000, () -> done.accept(TxnResult.MAYBE, -1L));
+                    () -> met(state.commit(transaction) == 200 ? "carried out late" : "late and overtaken"));
+            at(2000, () -> done.accept(TransactionOutcome.MAYBE, -1L));
         } else {
             at(hop(), () -> {
-                int status = state.commit(txn);
-                long ledger = state.ledger();
-                at(hop(), () -> done.accept(status == 200 ? TxnResult.OK : TxnResult.CONFLICT, ledger));
+                int status = state.commit(transaction);
+                long revision = state.revision();
+                at(
+                        hop(),
+                        () -> done.accept(
+                                status == 200 ? TransactionOutcome.OK : TransactionOutcome.CONFLICT, revision));
             });
         }
     }
@@ -126,14 +129,15 @@
                 String id = live.get(random.nextInt(live.size()));
                 StateModel.Entry e = state.get(Keys.job(id));
                 JobState was = Records.job(id, e.value()).state();
-                Records.Archived how = new Records.Archived(was == JobState.LIVE ? JobState.DONE : was, 1, 1, "red");
+                Records.TerminalJob how =
+                        new Records.TerminalJob(was == JobState.LIVE ? JobState.DONE : was, 1, 1, "red");
                 commit(
-                        new Txn()
-                                .guard(Keys.job(id), e.stamp())
+                        new Transaction()
+                                .guard(Keys.job(id), e.modRevision())
                                 .delete(Keys.job(id))
-                                .put(Keys.archived(id), Records.archived(how)),
-                        (result, ledger) -> {
-                            if (result == TxnResult.OK) {
+                                .put(Keys.terminalJob(id), Records.terminalJob(how)),
+                        (result, revision) -> {
+                            if (result == TransactionOutcome.OK) {
                                 desks.forEach(d -> at(hop(), () -> d.front.over(id, how)));
                             }
                         });
@@ -177,7 +181,7 @@
         Told before = told.getOrDefault(id, Told.NOTHING);
         String end = ends.get(id);
         String question = method + " " + path + " at " + desk.name + ", " + now;
-        if (before != Told.NOTHING && desk.replica.ledger() < state.ledger()) {
+        if (before != Told.NOTHING && desk.replica.revision() < state.revision()) {
             met("asked where the mirror was behind");
         }
         boolean[] answered = new boolean[1];
@@ -187,13 +191,13 @@
             }
             answered[0] = true;
             at(hop(), () -> {
-                judge(id, before, end, question, reply);
+                evaluate(id, before, end, question, reply);
                 then.accept(reply);
             });
         });
     }
 
-    private void judge(String id, Told before, String end, String question, Reply reply) {
+    private void evaluate(String id, Told before, String end, String question, Reply reply) {
         if (reply.status() == 503) {
             if (reply.retryAfterS() < 1) {
                 broken.add(question + ": 503 without Retry-After");
@@ -311,7 +315,7 @@
             }
         }
         refused.forEach(id -> {
-            if (state.get(Keys.job(id)) != null || state.get(Keys.archived(id)) != null) {
+            if (state.get(Keys.job(id)) != null || state.get(Keys.terminalJob(id)) != null) {
                 broken.add("refused and stored: " + id);
             }
         });
@@ -327,8 +331,8 @@
     }
 
     /** The revision that the store had at a time. */
-    long ledgerAt(long time) {
-        Map.Entry<Long, Long> e = ledgers.floorEntry(time);
+    long revisionAt(long time) {
+        Map.Entry<Long, Long> e = revisions.floorEntry(time);
         return e == null ? 0 : e.getValue();
     }
 
@@ -344,18 +348,18 @@
 
         Desk(String name) {
             this.name = name;
-            List<Params.Member> members = new ArrayList<>();
+            List<SchedulerConfig.ControllerAddress> controllers = new ArrayList<>();
             for (int i = 0; i < NODES; i++) {
-                members.add(new Params.Member("n" + i, "a", ""));
+                controllers.add(new SchedulerConfig.ControllerAddress("n" + i, "a", ""));
             }
-            Params params = TestParams.small()
+            SchedulerConfig config = TestConfig.small()
                     .self(name)
-                    .members(members)
-                    .teams(new Params.Team("red", 8, 64, 0, 0))
+                    .controllers(controllers)
+                    .teams(new SchedulerConfig.Team("red", 8, 64, 0, 0))
                     .state(450, 180)
                     .build();
-            state = new StateLink(params, this, random, replica, this);
-            front = new JobApi(params, replica, state, job -> null, job -> {});
+            state = new StateLink(config, this, random, replica, this);
+            front = new JobApi(config, replica, state, job -> null, job -> {});
             state.start();
         }
 
@@ -413,7 +417,7 @@
                     answer.accept(reply);
                 }
             });
-            ledgers.put(now, ScriptedCluster.this.state.ledger());
+            revisions.put(now, ScriptedCluster.this.state.revision());
         }
 
         @Override
@@ -425,9 +429,9 @@
         @Override
         public void confirmed(long sentAt) {
             confirmedAt = Math.max(confirmedAt, sentAt);
-            if (sentAt > now || replica.ledger() < ledgerAt(sentAt)) {
+            if (sentAt > now || replica.revision() < revisionAt(sentAt)) {
                 broken.add(name + " at " + now + " takes itself for complete as of " + sentAt + ", revision "
-                        + ledgerAt(sentAt) + ", and has " + replica.ledger());
+                        + revisionAt(sentAt) + ", and has " + replica.revision());
             }
             if (refuses(this) && sentAt >= refusalBegan) {
                 broken.add(name + " is confirmed by a request that was sent while it was refused");
--- a/src/test/java/garnetscale/app/StateLinkRelistTest.java
+++ b/src/test/java/garnetscale/controller/StateLinkRelistTest.java
@@ -1,12 +1,12 @@
-package garnetscale.app;
+package garnetscale.controller;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import garnetscale.core.Params;
-import garnetscale.core.TestParams;
-import garnetscale.core.store.StateReplica;
+import garnetscale.core.SchedulerConfig;
+import garnetscale.core.TestConfig;
+import garnetscale.core.state.StateReplica;
 import garnetscale.net.HttpResult;
 import garnetscale.wire.Cbor;
 import java.util.ArrayList;
@@ -22,7 +22,7 @@
  */
 class StateLinkRelistTest {
 
-    private static final int GONE = 410;
+    private static final int TERMINATED = 410;
     private static final long LISTED = 10;
     private static final long LISTED_ANEW = 900;
 
@@ -53,13 +53,13 @@
         return HttpResult.answered(200, Cbor.write(body));
     }
 
-    private void list(long ledger) {
-        io.take("/keys?").done().accept(ok(Map.of("pairs", List.of(), "has_next", false, "ledger", ledger)));
+    private void list(long revision) {
+        io.take("/keys?").done().accept(ok(Map.of("pairs", List.of(), "has_next", false, "ledger", revision)));
     }
 
     private StateLink started() {
-        Params params = TestParams.small().state(450, 180).build();
-        StateLink link = new StateLink(params, io, new SplittableRandom(1), replica, confirmations);
+        SchedulerConfig config = TestConfig.small().state(450, 180).build();
+        StateLink link = new StateLink(config, io, new SplittableRandom(1), replica, confirmations);
         link.start();
         list(LISTED);
         return link;
@@ -71,7 +71,7 @@
         started();
         io.take("/follow").done().accept(HttpResult.TOO_LONG);
         list(LISTED_ANEW);
-        assertEquals(LISTED_ANEW, replica.ledger());
+        assertEquals(LISTED_ANEW, replica.revision());
         assertTrue(io.isAsked("/follow"), "the replica is followed again");
     }
 
@@ -84,17 +84,17 @@
         io.now += 100;
         List<Boolean> synced = new ArrayList<>();
         link.sync(synced::add);
-        io.take("/follow").done().accept(HttpResult.answered(GONE, new byte[0]));
+        io.take("/follow").done().accept(HttpResult.answered(TERMINATED, new byte[0]));
         assertEquals(List.of(false), synced);
 
         io.now += 100;
         watch.done().accept(ok(Map.of("ledger", LISTED + 1, "log", List.of())));
         assertEquals(1, confirmations.sentAt.size(), "an older watch confirmed a replica that is being listed");
-        assertEquals(LISTED, replica.ledger());
+        assertEquals(LISTED, replica.revision());
         assertFalse(io.isAsked("/follow"), "nothing is watched from a revision that is about to be replaced");
 
         list(LISTED_ANEW);
         assertEquals(List.of(1_000_000L, 1_000_100L), confirmations.sentAt, "as of the sending of the new listing");
-        assertEquals(LISTED_ANEW, replica.ledger());
+        assertEquals(LISTED_ANEW, replica.revision());
     }
 }
--- a/src/test/java/garnetscale/app/StateLinkTest.java
+++ b/src/test/java/garnetscale/controller/StateLinkTest.java
@@ -1,11 +1,11 @@
-package garnetscale.app;
+package garnetscale.controller;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import garnetscale.core.store.Keys;
-import garnetscale.core.store.Txn;
-import garnetscale.standin.StateModel;
+import garnetscale.core.state.Keys;
+import garnetscale.core.state.Transaction;
+import garnetscale.emulator.StateModel;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -43,16 +43,16 @@
     /** A job that is there is removed, and one that isn't comes. */
     private static void change(ScriptedCluster t, String key) {
         StateModel.Entry e = t.state.get(key);
-        Txn txn = new Txn().guard(key, e == null ? 0 : e.stamp());
+        Transaction transaction = new Transaction().guard(key, e == null ? 0 : e.modRevision());
         assertEquals(
                 200,
                 t.state.commit(
                         e == null
-                                ? txn.put(
+                                ? transaction.put(
                                         key,
                                         ScriptedCluster.record(
                                                 key.substring(Keys.job("").length())))
-                                : txn.delete(key)));
+                                : transaction.delete(key)));
     }
 
     @Test
--- a/src/test/java/garnetscale/app/StateLinkVersionTest.java
+++ b/src/test/java/garnetscale/controller/StateLinkVersionTest.java
@@ -1,17 +1,17 @@
-package garnetscale.app;
+package garnetscale.controller;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import garnetscale.core.Features;
-import garnetscale.core.TestParams;
+import garnetscale.core.TestConfig;
 import garnetscale.core.balance.BalanceSettings;
-import garnetscale.core.store.Keys;
-import garnetscale.core.store.Records;
-import garnetscale.core.store.StateReplica;
-import garnetscale.core.store.Txn;
-import garnetscale.core.store.TxnResult;
+import garnetscale.core.state.Keys;
+import garnetscale.core.state.Records;
+import garnetscale.core.state.StateReplica;
+import garnetscale.core.state.Transaction;
+import garnetscale.core.state.TransactionOutcome;
 import garnetscale.core.upgrade.ClusterVersion;
 import garnetscale.core.upgrade.VersionRange;
 import garnetscale.net.HttpResult;
@@ -50,7 +50,7 @@
     private final VersionRange first = VersionRange.FIRST;
     private final StateReplica replica = new StateReplica(first);
     private final StateLink link = new StateLink(
-            TestParams.small()
+            TestConfig.small()
                     .features(new Features(false, Features.SETTLE, first, Features.NEVER, BalanceSettings.OFF))
                     .build(),
             io,
@@ -81,11 +81,11 @@
     void everyChangeIsGuardedByTheActiveVersion() throws IOException {
         link.start();
         list(new ClusterVersion(1, 1));
-        link.send(new Txn().put("a/b", Map.of()), (result, ledger) -> {});
+        link.send(new Transaction().put("a/b", Map.of()), (result, revision) -> {});
         assertEquals(STAMP, guards(io.take("/multi")).get(Keys.VERSION));
-        link.submit(new Txn().put("a/b", Map.of()), (result, ledger) -> {});
+        link.submit(new Transaction().put("a/b", Map.of()), (result, revision) -> {});
         assertEquals(STAMP, guards(io.take("/multi")).get(Keys.VERSION));
-        link.lead(new Txn().put("a/b", Map.of()), (result, ledger) -> {});
+        link.lead(new Transaction().put("a/b", Map.of()), (result, revision) -> {});
         assertEquals(STAMP, guards(io.take("/multi")).get(Keys.VERSION));
     }
 
@@ -104,9 +104,9 @@
         io.take("/follow").done().accept(ok(Map.of("ledger", 12, "log", List.of(change))));
         assertFalse(replica.loaded());
         io.calls.clear();
-        List<TxnResult> results = new ArrayList<>();
-        link.send(new Txn().put("a/b", Map.of()), (result, ledger) -> results.add(result));
-        assertEquals(List.of(TxnResult.REFUSED), results);
+        List<TransactionOutcome> results = new ArrayList<>();
+        link.send(new Transaction().put("a/b", Map.of()), (result, revision) -> results.add(result));
+        assertEquals(List.of(TransactionOutcome.REFUSED), results);
         assertFalse(io.isAsked("/multi"), "it writes nothing");
 
         io.runTimers();
--- a/src/test/java/garnetscale/app/ArchiveTest.java
+++ b/src/test/java/garnetscale/controller/TerminalJobIndexTest.java
@@ -1,11 +1,11 @@
-package garnetscale.app;
+package garnetscale.controller;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import garnetscale.core.job.JobState;
-import garnetscale.core.store.Keys;
-import garnetscale.core.store.Records;
+import garnetscale.core.state.Keys;
+import garnetscale.core.state.Records;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Deque;
@@ -20,14 +20,14 @@
 import org.junit.jupiter.api.Test;
 
 /** Many users ask about jobs that are over, or that nobody has submitted. */
-class ArchiveTest {
+class TerminalJobIndexTest {
 
-    private static final int TXN_OPS = 32;
+    private static final int TRANSACTION_OPS = 32;
     private static final int REMEMBERED = 50;
-    private static final Records.Archived DONE = new Records.Archived(JobState.DONE, 3, 3, "red");
+    private static final Records.TerminalJob DONE = new Records.TerminalJob(JobState.DONE, 3, 3, "red");
 
     /** Answers when told to; of the keys that are there it names only the first, as little as the protocol promises. */
-    private static final class Store implements Archive.Store {
+    private static final class Store implements TerminalJobIndex.Store {
         final Map<String, Object> values = new HashMap<>();
         final Deque<Runnable> underWay = new ArrayDeque<>();
         int requests;
@@ -61,11 +61,11 @@
     }
 
     private final Store store = new Store();
-    private final Archive archive = new Archive(TXN_OPS, REMEMBERED, store);
+    private final TerminalJobIndex terminalJobs = new TerminalJobIndex(TRANSACTION_OPS, REMEMBERED, store);
     private final Map<String, String> told = new TreeMap<>();
 
     private void ask(String id) {
-        archive.ask(
+        terminalJobs.ask(
                 id,
                 (sure, how) -> told.put(
                         id,
@@ -89,7 +89,7 @@
     void whatIsThereIsFoundAmongTheRest() {
         for (int i = 0; i < 40; i++) {
             if (i % 10 == 3) {
-                store.values.put(Keys.archived("wk-" + i), Records.archived(DONE));
+                store.values.put(Keys.terminalJob("wk-" + i), Records.terminalJob(DONE));
             }
             ask("wk-" + i);
         }
@@ -105,7 +105,7 @@
     void oneJobsUsersShareAnAnswer() {
         List<String> answers = new ArrayList<>();
         for (int i = 0; i < 1000; i++) {
-            archive.ask("wk-1", (sure, how) -> answers.add(String.valueOf(how)));
+            terminalJobs.ask("wk-1", (sure, how) -> answers.add(String.valueOf(how)));
         }
         store.work();
         assertEquals(1000, answers.size());
@@ -119,7 +119,7 @@
         for (int i = 0; i < 1000; i++) {
             ask("wk-" + i);
         }
-        assertEquals(1000 - 2 * 4 * TXN_OPS, told.size());
+        assertEquals(1000 - 2 * 4 * TRANSACTION_OPS, told.size());
         store.work();
         assertEquals(Set.of("unknown"), Set.copyOf(told.values()));
         assertEquals(1000, told.size());
@@ -129,7 +129,7 @@
     @Test
     void endsAreRememberedUpToTheBound() {
         for (int i = 0; i <= REMEMBERED; i++) {
-            archive.learn("wk-" + i, DONE);
+            terminalJobs.learn("wk-" + i, DONE);
         }
         ask("wk-" + REMEMBERED);
         ask("wk-1");
@@ -141,7 +141,7 @@
 
     @Test
     void whatTheLeaderTellsNeedsNoRequest() {
-        archive.learn("wk-1", DONE);
+        terminalJobs.learn("wk-1", DONE);
         ask("wk-1");
         assertEquals("DONE", told.get("wk-1"));
         assertEquals(0, store.requests);
--- a/src/test/java/garnetscale/app/WriteSharesTest.java
+++ b/src/test/java/garnetscale/controller/WriteRateAllocatorTest.java
@@ -1,4 +1,4 @@
-package garnetscale.app;
+package garnetscale.controller;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -6,11 +6,11 @@
 import org.junit.jupiter.api.Test;
 
 /** Fifteen submissions a second for a minute, where the state service takes forty changes. */
-class WriteSharesTest {
+class WriteRateAllocatorTest {
 
     private static final double LIMIT = 40;
 
-    private final WriteShares shares = new WriteShares(LIMIT);
+    private final WriteRateAllocator shares = new WriteRateAllocator(LIMIT);
 
     /** With 22% of the limit over all nodes, up or not, half of such submissions were refused. */
     @Test
--- a/src/test/java/garnetscale/core/CorePurityTest.java
+++ b/src/test/java/garnetscale/core/CorePurityTest.java
@@ -29,7 +29,9 @@
             "garnetscale.net",
             "garnetscale.wire",
             "garnetscale.peer",
-            "garnetscale.app");
+            "garnetscale.cli",
+            "garnetscale.config",
+            "garnetscale.controller");
 
     @Test
     void coreKnowsNothingOfTheOutside() throws IOException {
--- a/src/test/java/garnetscale/core/ExplicitEqualityTest.java
+++ b/src/test/java/garnetscale/core/ExplicitEqualityTest.java
@@ -3,15 +3,15 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 
-import garnetscale.core.bid.Bid;
-import garnetscale.core.block.LeaderInfo;
-import garnetscale.core.block.Observation;
+import garnetscale.core.bidding.Bid;
 import garnetscale.core.job.TaskId;
-import garnetscale.core.machine.Address;
 import garnetscale.core.machine.ExitCause;
+import garnetscale.core.machine.MachineAddress;
 import garnetscale.core.machine.Placement;
-import garnetscale.core.machine.ReportedTask;
 import garnetscale.core.machine.TaskState;
+import garnetscale.core.machine.TaskStatus;
+import garnetscale.core.partition.LeaderInfo;
+import garnetscale.core.partition.MachineStatus;
 import garnetscale.peer.PeerMessage;
 import java.lang.reflect.Constructor;
 import java.lang.reflect.RecordComponent;
@@ -31,12 +31,12 @@
             classes = {
                 TaskId.class,
                 Placement.class,
-                ReportedTask.class,
-                Address.class,
+                TaskStatus.class,
+                MachineAddress.class,
                 Bid.class,
                 LeaderInfo.class,
-                Observation.class,
-                PeerMessage.Book.class
+                MachineStatus.class,
+                PeerMessage.MachineDirectory.class
             })
     void everyComponentCounts(Class<? extends Record> type) throws ReflectiveOperationException {
         RecordComponent[] components = type.getRecordComponents();
--- a/src/test/java/garnetscale/core/TestParams.java
+++ b/src/test/java/garnetscale/core/TestConfig.java
@@ -5,19 +5,20 @@
 import java.util.Map;
 
 /** Builds the core's figures for tests: those of a small cluster or of a large one, with what a test needs changed. */
-public final class TestParams {
+public final class TestConfig {
 
     private static final long CLOCK_OFF_MS = 25;
 
     private String self = "n0";
-    private List<Params.Member> members = List.of(new Params.Member("n0", "a", ""));
+    private List<SchedulerConfig.ControllerAddress> controllers =
+            List.of(new SchedulerConfig.ControllerAddress("n0", "a", ""));
     private List<String> zones = List.of("a");
-    private Map<String, Params.Team> teams = Map.of();
-    private List<Params.Objective> objectives = List.of();
-    private long reportMs = 1000;
+    private Map<String, SchedulerConfig.Team> teams = Map.of();
+    private List<SchedulerConfig.ServiceLevelObjective> objectives = List.of();
+    private long heartbeatIntervalMs = 1000;
     private long leaseMs = 10_000;
     private long cancelMs = 35_000;
-    private int txnOps = 24;
+    private int transactionOps = 24;
     private double stateRps = 150;
     private double stateWritesPerS = 60;
     private double cloudRps = 1.5;
@@ -26,92 +27,92 @@
     private int valueBytes = 16 * 1024;
     private Features features = Features.NONE;
 
-    private TestParams() {}
+    private TestConfig() {}
 
     /** Workers report every second, and 600 connections are allowed. */
-    public static TestParams small() {
-        return new TestParams();
+    public static TestConfig small() {
+        return new TestConfig();
     }
 
     /** Workers report every five seconds, and 2,500 connections are allowed. */
-    public static TestParams large() {
-        TestParams params = new TestParams();
-        params.reportMs = 5000;
-        params.leaseMs = 22_000;
-        params.cancelMs = 47_000;
-        params.txnOps = 32;
-        params.stateRps = 100;
-        params.stateWritesPerS = 40;
-        params.cloudRps = 6;
-        params.listLagMs = 3000;
-        params.maxConnections = 2500;
-        return params;
+    public static TestConfig large() {
+        TestConfig config = new TestConfig();
+        config.heartbeatIntervalMs = 5000;
+        config.leaseMs = 22_000;
+        config.cancelMs = 47_000;
+        config.transactionOps = 32;
+        config.stateRps = 100;
+        config.stateWritesPerS = 40;
+        config.cloudRps = 6;
+        config.listLagMs = 3000;
+        config.maxConnections = 2500;
+        return config;
     }
 
-    public TestParams self(String name) {
+    public TestConfig self(String name) {
         self = name;
         return this;
     }
 
-    public TestParams members(List<Params.Member> all) {
-        members = all;
+    public TestConfig controllers(List<SchedulerConfig.ControllerAddress> all) {
+        controllers = all;
         return this;
     }
 
-    public TestParams zones(List<String> all) {
+    public TestConfig zones(List<String> all) {
         zones = all;
         return this;
     }
 
-    public TestParams teams(Params.Team... all) {
-        teams = Params.byName(Arrays.asList(all));
+    public TestConfig teams(SchedulerConfig.Team... all) {
+        teams = SchedulerConfig.byName(Arrays.asList(all));
         return this;
     }
 
-    public TestParams objectives(Params.Objective... all) {
+    public TestConfig objectives(SchedulerConfig.ServiceLevelObjective... all) {
         objectives = List.of(all);
         return this;
     }
 
-    public TestParams workers(long report, long lease, long cancel) {
-        reportMs = report;
+    public TestConfig workers(long heartbeat, long lease, long cancel) {
+        heartbeatIntervalMs = heartbeat;
         leaseMs = lease;
         cancelMs = cancel;
         return this;
     }
 
-    public TestParams state(double requestsPerS, double writesPerS) {
+    public TestConfig state(double requestsPerS, double writesPerS) {
         stateRps = requestsPerS;
         stateWritesPerS = writesPerS;
         return this;
     }
 
-    public TestParams valueBytes(int bytes) {
+    public TestConfig valueBytes(int bytes) {
         valueBytes = bytes;
         return this;
     }
 
-    public TestParams features(Features all) {
+    public TestConfig features(Features all) {
         features = all;
         return this;
     }
 
-    public TestParams listLagMs(long lag) {
+    public TestConfig listLagMs(long lag) {
         listLagMs = lag;
         return this;
     }
 
-    public Params build() {
-        return new Params(
+    public SchedulerConfig build() {
+        return new SchedulerConfig(
                 self,
-                members,
+                controllers,
                 zones,
                 teams,
                 objectives,
-                reportMs,
+                heartbeatIntervalMs,
                 leaseMs,
                 cancelMs,
-                txnOps,
+                transactionOps,
                 stateRps,
                 stateWritesPerS,
                 valueBytes,
--- a/src/test/java/garnetscale/core/fleet/FleetTest.java
+++ b/src/test/java/garnetscale/core/autoscaling/AutoscalerTest.java
@@ -1,13 +1,12 @@
-package garnetscale.core.fleet;
+package garnetscale.core.autoscaling;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertInstanceOf;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import garnetscale.core.Params;
-import garnetscale.core.TestParams;
-import garnetscale.core.block.Observation;
+import garnetscale.core.SchedulerConfig;
+import garnetscale.core.TestConfig;
 import garnetscale.core.job.JobRecord;
 import garnetscale.core.job.JobSpec;
 import garnetscale.core.job.JobState;
@@ -15,13 +14,14 @@
 import garnetscale.core.job.TestJob;
 import garnetscale.core.machine.MachineType;
 import garnetscale.core.machine.Placement;
-import garnetscale.core.store.Keys;
-import garnetscale.core.store.LogWriter;
-import garnetscale.core.store.MachineRecord;
-import garnetscale.core.store.Records;
-import garnetscale.core.store.StateReplica;
-import garnetscale.core.store.Txn;
-import garnetscale.standin.StateModel;
+import garnetscale.core.partition.MachineStatus;
+import garnetscale.core.state.Keys;
+import garnetscale.core.state.LogWriter;
+import garnetscale.core.state.MachineRecord;
+import garnetscale.core.state.Records;
+import garnetscale.core.state.StateReplica;
+import garnetscale.core.state.Transaction;
+import garnetscale.emulator.StateModel;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -30,7 +30,7 @@
 import org.junit.jupiter.api.Test;
 
 /** What the leader asks of the cloud when many machines are silent at once. */
-class FleetTest {
+class AutoscalerTest {
 
     private static final int MACHINES = 20;
     private static final long LAG = 3000;
@@ -39,16 +39,16 @@
 
     private final StateReplica replica = new StateReplica();
     private final StateModel state = new StateModel();
-    private final Fleet fleet = new Fleet(
-            TestParams.large()
-                    .members(List.of())
-                    .teams(new Params.Team("red", 0, Double.POSITIVE_INFINITY, 0, Double.POSITIVE_INFINITY))
+    private final Autoscaler autoscaler = new Autoscaler(
+            TestConfig.large()
+                    .controllers(List.of())
+                    .teams(new SchedulerConfig.Team("red", 0, Double.POSITIVE_INFINITY, 0, Double.POSITIVE_INFINITY))
                     .listLagMs(LAG)
                     .build(),
             replica,
             s -> {});
 
-    private FleetTest() {
+    private AutoscalerTest() {
         Map<String, MachineRecord> records = new LinkedHashMap<>();
         for (int i = 0; i < MACHINES; i++) {
             records.put(
@@ -59,12 +59,12 @@
                             Map.of()));
         }
         replica.reset(List.of(), 0);
-        Txn txn = new Txn();
-        new LogWriter(replica, 16384).write(txn, records, Map.of());
-        state.commit(txn);
-        replica.advance(state.changes("", 0), state.ledger());
-        fleet.start(0, 1);
-        fleet.onTypes(TYPES);
+        Transaction transaction = new Transaction();
+        new LogWriter(replica, 16384).write(transaction, records, Map.of());
+        state.commit(transaction);
+        replica.advance(state.changes("", 0), state.revision());
+        autoscaler.start(0, 1);
+        autoscaler.onTypes(TYPES);
     }
 
     /** A job that all that is rented couldn't hold. */
@@ -75,11 +75,11 @@
                 .imageGb(1)
                 .estimateS(60)
                 .build();
-        long before = state.ledger();
-        state.commit(new Txn()
+        long before = state.revision();
+        state.commit(new Transaction()
                 .put(Keys.TYPES, Records.types(TYPES))
                 .put(Keys.job("wk-2"), Records.job(new JobRecord(job, JobState.LIVE, 0))));
-        replica.advance(state.changes("", before), state.ledger());
+        replica.advance(state.changes("", before), state.revision());
     }
 
     private static String id(int i) {
@@ -89,29 +89,29 @@
     /** A whole list with the machines from {@code first} on. */
     private void list(long now, int first) {
         for (int calls = 0;
-                calls < 2 && !(fleet.next(now, List.of(), List.of(), Set.of()) instanceof CloudCall.Page);
+                calls < 2 && !(autoscaler.next(now, List.of(), List.of(), Set.of()) instanceof CloudCall.ListInstances);
                 calls++) {
             // The first call asks for the types.
         }
-        List<Listed> page = new ArrayList<>();
+        List<CloudInstance> page = new ArrayList<>();
         for (int i = first; i < MACHINES; i++) {
-            page.add(new Listed(id(i), "", "t", "a", true, Listed.State.RUNNING, 100));
+            page.add(new CloudInstance(id(i), "", "t", "a", true, CloudInstance.State.RUNNING, 100));
         }
-        fleet.onPage(now, page, false);
+        autoscaler.onPage(now, page, false);
     }
 
     /** The machines that the fleet wants deleted, when all of them are silent. */
     private List<String> deletes(long now) {
-        List<Observation> silent = new ArrayList<>();
+        List<MachineStatus> silent = new ArrayList<>();
         for (int i = 0; i < MACHINES; i++) {
-            silent.add(
-                    new Observation("n0", 1, "a/0", 1, id(i), "", "t", "a", true, 1, null, true, List.of(), List.of()));
+            silent.add(new MachineStatus(
+                    "n0", 1, "a/0", 1, id(i), "", "t", "a", true, 1, null, true, List.of(), List.of()));
         }
         List<String> ids = new ArrayList<>();
         for (int calls = 0; calls < 4; calls++) {
-            if (fleet.next(now, silent, List.of(), Set.of()) instanceof CloudCall.Delete d) {
+            if (autoscaler.next(now, silent, List.of(), Set.of()) instanceof CloudCall.ScaleIn d) {
                 ids.addAll(d.machines());
-                fleet.onDeleted(d.machines());
+                autoscaler.onDeleted(d.machines());
             }
         }
         return ids;
@@ -148,9 +148,9 @@
         list(10_000, 8);
         demand();
         long now = 10_000 + LAG + 1;
-        assertInstanceOf(CloudCall.Delete.class, change(now));
-        assertInstanceOf(CloudCall.Rent.class, change(now + 500));
-        assertInstanceOf(CloudCall.Delete.class, change(now + 1000), "unanswered, it is asked again");
+        assertInstanceOf(CloudCall.ScaleIn.class, change(now));
+        assertInstanceOf(CloudCall.ScaleOut.class, change(now + 500));
+        assertInstanceOf(CloudCall.ScaleIn.class, change(now + 1000), "unanswered, it is asked again");
     }
 
     /** Refused again and again while the zone was full, it wasn't asked for until long after a wave had emptied it. */
@@ -158,21 +158,21 @@
     void whatATakenMachineStoodInIsAskedForAtOnce() {
         list(1000, 0);
         demand();
-        CloudCall.Rent spot = (CloudCall.Rent) change(2000);
+        CloudCall.ScaleOut spot = (CloudCall.ScaleOut) change(2000);
         assertTrue(spot.spot());
         for (int i = 0; i < 4; i++) {
-            fleet.onRefused(2000, spot);
+            autoscaler.onRefused(2000, spot);
         }
-        assertFalse(((CloudCall.Rent) change(4000)).spot(), "refused just now");
+        assertFalse(((CloudCall.ScaleOut) change(4000)).spot(), "refused just now");
         list(9500, 3);
-        assertTrue(((CloudCall.Rent) change(9600)).spot());
+        assertTrue(((CloudCall.ScaleOut) change(9600)).spot());
     }
 
     /** The next call that changes something. */
     private CloudCall change(long now) {
-        CloudCall call = fleet.next(now, List.of(), List.of(), Set.of());
-        return call instanceof CloudCall.Page || call instanceof CloudCall.Types
-                ? fleet.next(now, List.of(), List.of(), Set.of())
+        CloudCall call = autoscaler.next(now, List.of(), List.of(), Set.of());
+        return call instanceof CloudCall.ListInstances || call instanceof CloudCall.ListTypes
+                ? autoscaler.next(now, List.of(), List.of(), Set.of())
                 : call;
     }
 }
--- a/src/test/java/garnetscale/core/balance/BalancePropertiesTest.java
+++ b/src/test/java/garnetscale/core/balance/BalancePropertiesTest.java
@@ -25,10 +25,10 @@
     private static final long WINDOW = 4 * LEASE;
 
     /** A machine's new load, or its end where that is null, some time after the change before. */
-    record Change(int machine, MachineLoad load, int afterMs) {}
+    record KeyChange(int machine, MachineLoad load, int afterMs) {}
 
     @Provide
-    Arbitrary<List<Change>> changes() {
+    Arbitrary<List<KeyChange>> changes() {
         Arbitrary<MachineLoad> load = Combinators.combine(
                         Arbitraries.of("a", "b"),
                         Arbitraries.of("small", "large"),
@@ -44,20 +44,20 @@
                         Arbitraries.integers().between(0, 12),
                         load.injectNull(0.15),
                         Arbitraries.integers().between(0, 3000))
-                .as(Change::new)
+                .as(KeyChange::new)
                 .list()
                 .ofMaxSize(80);
     }
 
     /** The running sums equal those made from nothing, and an older picture stays as it was. */
     @Property(tries = 300, seed = SEED)
-    void theIncrementalPictureEqualsOneFromNothing(@ForAll("changes") List<Change> changes) {
+    void theIncrementalPictureEqualsOneFromNothing(@ForAll("changes") List<KeyChange> changes) {
         LoadTracker tracker = new LoadTracker(5000);
         Map<String, MachineLoad> machines = new HashMap<>();
         long now = 0;
         LoadSnapshot before = tracker.snapshot(now, Demand.NONE);
         Map<MachineGroup, GroupTotals> expectedBefore = Map.of();
-        for (Change change : changes) {
+        for (KeyChange change : changes) {
             now += change.afterMs();
             String machine = "m-" + change.machine();
             if (change.load() == null) {
@@ -128,7 +128,7 @@
         Set<Move> refused = new HashSet<>();
         for (Wish wish : wishes) {
             now += wish.afterMs();
-            budget.settle(refused::contains);
+            budget.reconcile(refused::contains);
             refused.clear();
             if (wish.newLeader()) {
                 budget = new MoveBudget(share, LEASE);
--- a/src/test/java/garnetscale/core/balance/MoveBudgetTest.java
+++ b/src/test/java/garnetscale/core/balance/MoveBudgetTest.java
@@ -107,9 +107,9 @@
         Move stored = move(8, "red", 0, 5000);
         make(NOW, lost, 0);
         make(NOW, stored, 0);
-        assertEquals(List.of(stored), budget.settle(lost::equals));
+        assertEquals(List.of(stored), budget.reconcile(lost::equals));
         assertEquals(List.of(stored), budget.recent());
-        assertEquals(List.of(), budget.settle(move -> false), "each is settled once");
+        assertEquals(List.of(), budget.reconcile(move -> false), "each is settled once");
         assertTrue(make(NOW + 1, move(7, "red", 0, 0), 0));
         assertFalse(make(NOW + 1, move(8, "red", 0, 0), 0));
     }
--- a/src/test/java/garnetscale/core/balance/MovePlannerTest.java
+++ b/src/test/java/garnetscale/core/balance/MovePlannerTest.java
@@ -112,10 +112,15 @@
         offers.add(new Offer("m-b", elsewhere, SMALL, false, false, 1, 30));
         large("m-large", null, false, task(Priority.NORMAL, 28, 0));
         assertEquals(1, planForBound().size());
-        budget.settle(move -> true);
+        budget.reconcile(move -> true);
         machines.remove(machines.size() - 1);
-        JobSpec oneZone = TestJob.named("wk-flexible").cpus(8).oneZone(true).build();
-        large("m-large", null, false, new RunningTask(new TaskId(oneZone.id(), 9), 9, oneZone, 28, 0, 1, true));
+        JobSpec zoneAffinity =
+                TestJob.named("wk-flexible").cpus(8).zoneAffinity(true).build();
+        large(
+                "m-large",
+                null,
+                false,
+                new RunningTask(new TaskId(zoneAffinity.id(), 9), 9, zoneAffinity, 28, 0, 1, true));
         assertEquals(List.of(), planForBound());
         offer("m-small", 1, 30);
         assertEquals(1, planForBound().size());
@@ -145,14 +150,14 @@
 
     @Test
     void nothingMovesIntoOrOutOfWhatIsUnknown() {
-        large("m-large", UnknownReason.BLOCK_REASSIGNED, false, task(Priority.NORMAL, 28, 0));
+        large("m-large", UnknownReason.PARTITION_REASSIGNED, false, task(Priority.NORMAL, 28, 0));
         assertEquals(List.of(), planForBound(), "the source's group is unknown");
         machines.remove(machines.size() - 1);
         large("m-large", null, false, task(Priority.NORMAL, 28, 0));
         for (int i = 0; i < 4; i++) {
             tracker.update(0, "m-other" + i, new MachineLoad(SMALLS, null, true, 8000, Map.of()));
         }
-        tracker.update(0, "m-small", new MachineLoad(SMALLS, UnknownReason.HOLDER_UNHEARD, false, 8000, Map.of()));
+        tracker.update(0, "m-small", new MachineLoad(SMALLS, UnknownReason.OWNER_UNHEARD, false, 8000, Map.of()));
         assertEquals(List.of(), planForBound(), "the destination is unknown");
     }
 
--- a/src/test/java/garnetscale/core/bid/BiddingTest.java
+++ b/src/test/java/garnetscale/core/bidding/BiddingTest.java
@@ -1,20 +1,20 @@
-package garnetscale.core.bid;
+package garnetscale.core.bidding;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import garnetscale.core.TestParams;
+import garnetscale.core.TestConfig;
 import garnetscale.core.job.JobRecord;
 import garnetscale.core.job.JobSpec;
 import garnetscale.core.job.JobState;
 import garnetscale.core.job.TestJob;
-import garnetscale.core.line.Scarcity;
 import garnetscale.core.machine.FreeCapacity;
 import garnetscale.core.machine.MachineType;
-import garnetscale.core.store.Change;
-import garnetscale.core.store.Keys;
-import garnetscale.core.store.Records;
-import garnetscale.core.store.StateReplica;
+import garnetscale.core.queue.ScarceTypeFilter;
+import garnetscale.core.state.KeyChange;
+import garnetscale.core.state.Keys;
+import garnetscale.core.state.Records;
+import garnetscale.core.state.StateReplica;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Set;
@@ -27,7 +27,7 @@
     private static final MachineType LARGE = new MachineType("large", 32, 0, 128, 50, 1, 3, 1, 40, List.of("a"));
 
     private final StateReplica replica = new StateReplica();
-    private final List<Change> jobs = new ArrayList<>();
+    private final List<KeyChange> jobs = new ArrayList<>();
     private final List<Bidding.Bidder> bidders = new ArrayList<>();
 
     private void job(String id, int tasks, double cpus, String type) {
@@ -38,7 +38,7 @@
                 .imageGb(1)
                 .estimateS(30)
                 .build();
-        jobs.add(new Change(Keys.job(id), Records.job(new JobRecord(s, JobState.LIVE, 0)), 1));
+        jobs.add(new KeyChange(Keys.job(id), Records.job(new JobRecord(s, JobState.LIVE, 0)), 1));
     }
 
     private void machines(int count, MachineType type) {
@@ -49,8 +49,8 @@
 
     private List<Bid> bids() {
         replica.reset(jobs, 1);
-        Scarcity scarcity = new Scarcity(TestParams.small()
-                .members(List.of())
+        ScarceTypeFilter scarcity = new ScarceTypeFilter(TestConfig.small()
+                .controllers(List.of())
                 .workers(1000, 10_000, 40_000)
                 .build());
         return new Bidding(replica, new Estimator(1000), scarcity, 0, Set.of())
--- a/src/test/java/garnetscale/core/job/TestJob.java
+++ b/src/test/java/garnetscale/core/job/TestJob.java
@@ -11,8 +11,8 @@
     private int tasks = 1;
     private double cpus = 1;
     private List<String> types;
-    private boolean oneZone;
-    private boolean spread;
+    private boolean zoneAffinity;
+    private boolean zoneAntiAffinity;
     private double imageGb;
     private double estimateS = 10;
     private Double deadlineS;
@@ -50,13 +50,13 @@
         return this;
     }
 
-    public TestJob oneZone(boolean value) {
-        oneZone = value;
+    public TestJob zoneAffinity(boolean value) {
+        zoneAffinity = value;
         return this;
     }
 
-    public TestJob spread(boolean value) {
-        spread = value;
+    public TestJob zoneAntiAffinity(boolean value) {
+        zoneAntiAffinity = value;
         return this;
     }
 
@@ -77,7 +77,24 @@
 
     public JobSpec build() {
         return new JobSpec(
-                id, "c", team, priority, tasks, cpus, 0, 1, types, null, oneZone, spread, true, "img", imageGb,
-                estimateS, 0, 0, deadlineS);
+                id,
+                "c",
+                team,
+                priority,
+                tasks,
+                cpus,
+                0,
+                1,
+                types,
+                null,
+                zoneAffinity,
+                zoneAntiAffinity,
+                true,
+                "img",
+                imageGb,
+                estimateS,
+                0,
+                0,
+                deadlineS);
     }
 }
--- a/src/test/java/garnetscale/core/lead/AttemptNumbersTest.java
+++ b/src/test/java/garnetscale/core/leader/AttemptNumbersTest.java
@@ -1,4 +1,4 @@
-package garnetscale.core.lead;
+package garnetscale.core.leader;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -6,17 +6,17 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import garnetscale.core.Params;
-import garnetscale.core.TestParams;
-import garnetscale.core.block.Blocks;
-import garnetscale.core.block.NodeInfo;
-import garnetscale.core.block.Terms;
-import garnetscale.core.store.Keys;
-import garnetscale.core.store.Layouts;
-import garnetscale.core.store.Records;
-import garnetscale.core.store.StateReplica;
-import garnetscale.core.store.Txn;
-import garnetscale.standin.StateModel;
+import garnetscale.core.SchedulerConfig;
+import garnetscale.core.TestConfig;
+import garnetscale.core.partition.ControllerInfo;
+import garnetscale.core.partition.FencingTokens;
+import garnetscale.core.partition.PartitionMap;
+import garnetscale.core.state.Keys;
+import garnetscale.core.state.Layouts;
+import garnetscale.core.state.Records;
+import garnetscale.core.state.StateReplica;
+import garnetscale.core.state.Transaction;
+import garnetscale.emulator.StateModel;
 import org.junit.jupiter.api.Test;
 
 /**
@@ -28,39 +28,39 @@
     @Test
     void noNumberOfATermIsOneOfTheNext() {
         AttemptNumbers numbers = new AttemptNumbers();
-        numbers.begin(7, Terms.MOST_ATTEMPTS - 1);
-        assertEquals(Terms.attempt(8, 0) - 1, numbers.next());
+        numbers.begin(7, FencingTokens.MAX_ATTEMPTS - 1);
+        assertEquals(FencingTokens.attempt(8, 0) - 1, numbers.next());
         assertThrows(IllegalStateException.class, numbers::next);
         numbers.begin(8);
-        assertEquals(Terms.attempt(8, 1), numbers.next());
+        assertEquals(FencingTokens.attempt(8, 1), numbers.next());
     }
 
     @Test
     void aLeaderWhoseNumbersRunOutStepsDownAndMayLeadUnderANewTerm() {
-        Params params = TestParams.small().build();
+        SchedulerConfig config = TestConfig.small().build();
         StateModel state = new StateModel();
         long lease = state.grant(0, 60_000);
-        state.commit(
-                new Txn().put(Keys.node("n0"), Records.node(new NodeInfo("n0", lease, "a", Layouts.SUPPORTED)), lease));
+        state.commit(new Transaction()
+                .put(Keys.node("n0"), Records.node(new ControllerInfo("n0", lease, "a", Layouts.SUPPORTED)), lease));
         StateReplica replica = new StateReplica();
-        replica.reset(state.list(Keys.MIRRORED, null, 100), state.ledger());
-        Leader leader = new Leader(params, replica, new Blocks(params), line -> {});
-        leader.incarnate(lease);
+        replica.reset(state.list(Keys.MIRRORED, null, 100), state.revision());
+        Leader leader = new Leader(config, replica, new PartitionMap(config), line -> {});
+        leader.onLeaseGranted(lease);
         commit(state, replica, leader.election(0));
         assertTrue(leader.leads(0));
         assertNull(leader.resignation(0));
 
-        leader.attempts().begin(1, Terms.MOST_ATTEMPTS - 1000);
+        leader.attempts().begin(1, FencingTokens.MAX_ATTEMPTS - 1000);
         commit(state, replica, leader.resignation(0));
         assertFalse(leader.leads(0));
         commit(state, replica, leader.election(0));
         assertTrue(leader.leads(0));
         assertEquals(2, leader.leadingTerm());
-        assertEquals(Terms.attempt(2, 1), leader.attempts().next());
+        assertEquals(FencingTokens.attempt(2, 1), leader.attempts().next());
     }
 
-    private static void commit(StateModel state, StateReplica replica, Txn txn) {
-        assertEquals(200, state.commit(txn));
-        replica.advance(state.changes(Keys.MIRRORED, replica.ledger()), state.ledger());
+    private static void commit(StateModel state, StateReplica replica, Transaction transaction) {
+        assertEquals(200, state.commit(transaction));
+        replica.advance(state.changes(Keys.MIRRORED, replica.revision()), state.revision());
     }
 }
--- a/src/test/java/garnetscale/core/lead/BalancerTest.java
+++ b/src/test/java/garnetscale/core/leader/BalancerTest.java
@@ -1,22 +1,16 @@
-package garnetscale.core.lead;
+package garnetscale.core.leader;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import garnetscale.core.Features;
-import garnetscale.core.Params;
-import garnetscale.core.TestParams;
+import garnetscale.core.SchedulerConfig;
+import garnetscale.core.TestConfig;
 import garnetscale.core.balance.BalanceSettings;
 import garnetscale.core.balance.MachineGroup;
 import garnetscale.core.balance.Move;
-import garnetscale.core.bid.Bid;
-import garnetscale.core.bid.BidBatch;
-import garnetscale.core.block.BlockLease;
-import garnetscale.core.block.Blocks;
-import garnetscale.core.block.LeaderInfo;
-import garnetscale.core.block.NodeInfo;
-import garnetscale.core.block.Observation;
-import garnetscale.core.block.Terms;
+import garnetscale.core.bidding.Bid;
+import garnetscale.core.bidding.BidBatch;
 import garnetscale.core.job.JobRecord;
 import garnetscale.core.job.JobSpec;
 import garnetscale.core.job.JobState;
@@ -25,16 +19,22 @@
 import garnetscale.core.job.TestJob;
 import garnetscale.core.machine.MachineType;
 import garnetscale.core.machine.Placement;
-import garnetscale.core.machine.ReportedTask;
 import garnetscale.core.machine.TaskState;
-import garnetscale.core.quota.QuotaBook;
-import garnetscale.core.store.Keys;
-import garnetscale.core.store.Layouts;
-import garnetscale.core.store.LogWriter;
-import garnetscale.core.store.Records;
-import garnetscale.core.store.StateReplica;
-import garnetscale.core.store.Txn;
-import garnetscale.standin.StateModel;
+import garnetscale.core.machine.TaskStatus;
+import garnetscale.core.partition.ControllerInfo;
+import garnetscale.core.partition.FencingTokens;
+import garnetscale.core.partition.LeaderInfo;
+import garnetscale.core.partition.MachineStatus;
+import garnetscale.core.partition.PartitionLease;
+import garnetscale.core.partition.PartitionMap;
+import garnetscale.core.quota.QuotaUsage;
+import garnetscale.core.state.Keys;
+import garnetscale.core.state.Layouts;
+import garnetscale.core.state.LogWriter;
+import garnetscale.core.state.Records;
+import garnetscale.core.state.StateReplica;
+import garnetscale.core.state.Transaction;
+import garnetscale.emulator.StateModel;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -43,14 +43,14 @@
 /** A leader with one large machine, on which a task runs that could go to the small one, and a job that waits for it. */
 class BalancerTest {
 
-    private static final long TERM = Terms.blockTerm(1, 1);
+    private static final long TERM = FencingTokens.partitionTerm(1, 1);
     private static final long NOW = 60_000;
     private static final MachineType SMALL = new MachineType("small", 8, 0, 32, 20, 1, 1, 0.5, 20, List.of("a"));
     private static final MachineType LARGE = new MachineType("large", 16, 0, 64, 20, 1, 1, 0.5, 20, List.of("a"));
     private static final long AWARDED = NOW - 30_000;
 
-    private final Params params = TestParams.small()
-            .teams(new Params.Team("red", 0, 100, 0, 0))
+    private final SchedulerConfig config = TestConfig.small()
+            .teams(new SchedulerConfig.Team("red", 0, 100, 0, 0))
             .features(new Features(
                     false,
                     Features.SETTLE,
@@ -65,47 +65,47 @@
     private final StateModel state = new StateModel();
     private final StateReplica replica = new StateReplica();
     private final List<String> log = new ArrayList<>();
-    private final Leader leader = new Leader(params, replica, new Blocks(params), log::add);
+    private final Leader leader = new Leader(config, replica, new PartitionMap(config), log::add);
 
     BalancerTest() {
-        state.commit(new Txn()
+        state.commit(new Transaction()
                 .put(Keys.TYPES, Records.types(List.of(SMALL, LARGE)))
-                .put(Keys.node("n0"), Records.node(new NodeInfo("n0", 1, "a", Layouts.SUPPORTED)))
-                .put(Keys.block("a/0"), Records.block(new BlockLease("n0", 1, TERM)))
+                .put(Keys.node("n0"), Records.node(new ControllerInfo("n0", 1, "a", Layouts.SUPPORTED)))
+                .put(Keys.partition("a/0"), Records.partition(new PartitionLease("n0", 1, TERM)))
                 .put(Keys.LEADER, Records.leader(new LeaderInfo("n0", 1, 1)))
                 .put(Keys.job("wk-1"), Records.job(new JobRecord(flexible, JobState.LIVE, AWARDED))));
         refresh();
-        leader.incarnate(1);
+        leader.onLeaseGranted(1);
         assertTrue(leader.leads(0));
         observe(AWARDED, "m-000001", LARGE, List.of());
         observe(AWARDED, "m-000002", SMALL, List.of());
         bid(AWARDED, new Bid("m-000001", 1, "wk-1", 1, 100));
         commit(leader.plan(AWARDED));
-        commit(new Txn().put(Keys.job("wk-2"), Records.job(new JobRecord(bound, JobState.LIVE, NOW - 5000))));
+        commit(new Transaction().put(Keys.job("wk-2"), Records.job(new JobRecord(bound, JobState.LIVE, NOW - 5000))));
     }
 
     private void reportRunning() {
         observe(AWARDED + 1000, "m-000001", LARGE, List.of(reported(TaskState.RUNNING)));
     }
 
-    private ReportedTask reported(TaskState taskState) {
+    private TaskStatus reported(TaskState taskState) {
         Placement placement = replica.placements("m-000001").get(0);
-        return new ReportedTask(placement.task(), placement.attempt(), taskState, null, false);
+        return new TaskStatus(placement.task(), placement.attempt(), taskState, null, false);
     }
 
     private void refresh() {
-        replica.reset(state.list(Keys.MIRRORED, null, 1000), state.ledger());
+        replica.reset(state.list(Keys.MIRRORED, null, 1000), state.revision());
     }
 
-    private void commit(Txn txn) {
-        assertEquals(200, state.commit(txn));
+    private void commit(Transaction transaction) {
+        assertEquals(200, state.commit(transaction));
         refresh();
     }
 
-    private void observe(long now, String machine, MachineType type, List<ReportedTask> tasks) {
-        leader.onObservation(
+    private void observe(long now, String machine, MachineType type, List<TaskStatus> tasks) {
+        leader.onMachineStatus(
                 now,
-                new Observation(
+                new MachineStatus(
                         "n0",
                         1,
                         "a/0",
@@ -123,7 +123,7 @@
     }
 
     private void bid(long now, Bid... bids) {
-        leader.onBids(now, new BidBatch("n0", 1, replica.ledger(), Map.of("a/0", TERM), List.of(bids)));
+        leader.onBids(now, new BidBatch("n0", 1, replica.revision(), Map.of("a/0", TERM), List.of(bids)));
     }
 
     private static Bid lateBid() {
@@ -169,12 +169,12 @@
     @Test
     void aLateBidOfAMachineThatIsFullIsNoDestination() {
         reportRunning();
-        Draft draft = new Draft(
+        TransactionDraft draft = new TransactionDraft(
                 replica,
-                QuotaBook.of(params, replica),
-                new LogWriter.Limits(params.valueBytes(), params.txnOps(), Layouts.FIRST, false));
+                QuotaUsage.of(config, replica),
+                new LogWriter.Limits(config.valueBytes(), config.transactionOps(), Layouts.FIRST, false));
         draft.place("m-000002", SMALL, "a", new Placement(new TaskId("wk-2", 0), 6, 1, Placement.Stop.KEEP), bound);
-        commit(draft.toTxn());
+        commit(draft.toTransaction());
         bid(NOW, lateBid());
         leader.plan(NOW);
         assertEquals(List.of(), leader.recentMoves());
@@ -194,7 +194,7 @@
     /** How long it has run isn't known: this leader saw it running as soon as it began to lead. */
     @Test
     void aTaskThatAnEarlierLeaderAwardedStays() {
-        commit(new Txn().put(Keys.LEADER, Records.leader(new LeaderInfo("n0", 1, 2))));
+        commit(new Transaction().put(Keys.LEADER, Records.leader(new LeaderInfo("n0", 1, 2))));
         assertTrue(leader.leads(NOW));
         long later = NOW + 41_000;
         observe(NOW + 1, "m-000001", LARGE, List.of(reported(TaskState.RUNNING)));
--- a/src/test/java/garnetscale/core/lead/ElectionTest.java
+++ b/src/test/java/garnetscale/core/leader/ElectionTest.java
@@ -1,19 +1,19 @@
-package garnetscale.core.lead;
+package garnetscale.core.leader;
 
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertNull;
 
-import garnetscale.core.Params;
-import garnetscale.core.TestParams;
-import garnetscale.core.block.Blocks;
-import garnetscale.core.block.LeaderInfo;
-import garnetscale.core.block.NodeInfo;
-import garnetscale.core.store.Keys;
-import garnetscale.core.store.Layouts;
-import garnetscale.core.store.Records;
-import garnetscale.core.store.StateReplica;
-import garnetscale.core.store.Txn;
-import garnetscale.standin.StateModel;
+import garnetscale.core.SchedulerConfig;
+import garnetscale.core.TestConfig;
+import garnetscale.core.partition.ControllerInfo;
+import garnetscale.core.partition.LeaderInfo;
+import garnetscale.core.partition.PartitionMap;
+import garnetscale.core.state.Keys;
+import garnetscale.core.state.Layouts;
+import garnetscale.core.state.Records;
+import garnetscale.core.state.StateReplica;
+import garnetscale.core.state.Transaction;
+import garnetscale.emulator.StateModel;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
@@ -23,19 +23,23 @@
     private final Leader n1;
 
     ElectionTest() {
-        List<Params.Member> members = List.of(
-                new Params.Member("n0", "a", ""), new Params.Member("n1", "a", ""), new Params.Member("n2", "a", ""));
-        Params params = TestParams.small().self("n1").members(members).build();
+        List<SchedulerConfig.ControllerAddress> controllers = List.of(
+                new SchedulerConfig.ControllerAddress("n0", "a", ""),
+                new SchedulerConfig.ControllerAddress("n1", "a", ""),
+                new SchedulerConfig.ControllerAddress("n2", "a", ""));
+        SchedulerConfig config =
+                TestConfig.small().self("n1").controllers(controllers).build();
         StateModel state = new StateModel();
-        Txn txn = new Txn().put(Keys.LEADER, Records.leader(new LeaderInfo("n0", 1, 1)));
+        Transaction transaction = new Transaction().put(Keys.LEADER, Records.leader(new LeaderInfo("n0", 1, 1)));
         for (int i = 0; i < 3; i++) {
-            txn.put(Keys.node("n" + i), Records.node(new NodeInfo("n" + i, i + 1, "a", Layouts.SUPPORTED)));
+            transaction.put(
+                    Keys.node("n" + i), Records.node(new ControllerInfo("n" + i, i + 1, "a", Layouts.SUPPORTED)));
         }
-        state.commit(txn);
+        state.commit(transaction);
         StateReplica replica = new StateReplica();
-        replica.reset(state.list(Keys.MIRRORED, null, 1000), state.ledger());
-        n1 = new Leader(params, replica, new Blocks(params), s -> {});
-        n1.incarnate(2);
+        replica.reset(state.list(Keys.MIRRORED, null, 1000), state.revision());
+        n1 = new Leader(config, replica, new PartitionMap(config), s -> {});
+        n1.onLeaseGranted(2);
         assertNull(n1.election(0), "there is a leader");
     }
 
@@ -51,7 +55,7 @@
         n1.suspect(20_000, "n0", true);
         n1.suspect(20_001, "n2", true);
         assertNull(n1.election(20_100));
-        n1.hears(20_150, "n0", true);
+        n1.onWorkerReachability(20_150, "n0", true);
         assertNotNull(n1.election(20_200), "a leader that no worker reaches is no loss");
     }
 
--- a/src/test/java/garnetscale/core/lead/FailuresTest.java
+++ b/src/test/java/garnetscale/core/leader/FailureTrackerTest.java
@@ -1,4 +1,4 @@
-package garnetscale.core.lead;
+package garnetscale.core.leader;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -9,9 +9,9 @@
 import org.junit.jupiter.api.Test;
 
 /** Jobs that were submitted with a mistake, told from faulty machines. */
-class FailuresTest {
+class FailureTrackerTest {
 
-    private final Failures failures = new Failures();
+    private final FailureTracker failures = new FailureTracker();
 
     private static TaskId task(String job, int i) {
         return new TaskId(job, i);
--- a/src/test/java/garnetscale/core/block/BlockHolderBidTest.java
+++ b/src/test/java/garnetscale/core/partition/PartitionOwnerBidTest.java
@@ -1,10 +1,10 @@
-package garnetscale.core.block;
+package garnetscale.core.partition;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import garnetscale.core.Params;
-import garnetscale.core.TestParams;
-import garnetscale.core.bid.Estimator;
+import garnetscale.core.SchedulerConfig;
+import garnetscale.core.TestConfig;
+import garnetscale.core.bidding.Estimator;
 import garnetscale.core.job.JobRecord;
 import garnetscale.core.job.JobSpec;
 import garnetscale.core.job.JobState;
@@ -12,74 +12,76 @@
 import garnetscale.core.job.TestJob;
 import garnetscale.core.machine.ExitCause;
 import garnetscale.core.machine.MachineType;
-import garnetscale.core.machine.Report;
-import garnetscale.core.machine.ReportedTask;
 import garnetscale.core.machine.TaskState;
-import garnetscale.core.store.Keys;
-import garnetscale.core.store.Records;
-import garnetscale.core.store.StateReplica;
-import garnetscale.core.store.Txn;
-import garnetscale.standin.StateModel;
+import garnetscale.core.machine.TaskStatus;
+import garnetscale.core.machine.WorkerHeartbeat;
+import garnetscale.core.state.Keys;
+import garnetscale.core.state.Records;
+import garnetscale.core.state.StateReplica;
+import garnetscale.core.state.Transaction;
+import garnetscale.emulator.StateModel;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
 /** Bids are made anew when there is news; time alone has to count as news, too. */
-class BlockHolderBidTest {
+class PartitionOwnerBidTest {
 
-    private static final long TERM = Terms.blockTerm(1, 1);
+    private static final long TERM = FencingTokens.partitionTerm(1, 1);
     private static final long REPORT = 1000;
 
-    private final Params params = TestParams.small()
-            .teams(new Params.Team("red", 8, 64, 0, 0))
+    private final SchedulerConfig config = TestConfig.small()
+            .teams(new SchedulerConfig.Team("red", 8, 64, 0, 0))
             .workers(REPORT, 10_000, 35_000)
             .build();
-    private final BlockHolder holder;
+    private final PartitionOwner owner;
     private int batches;
     private int bids;
     private long ticks;
 
-    BlockHolderBidTest() {
+    PartitionOwnerBidTest() {
         StateModel state = new StateModel();
         JobSpec job = TestJob.named("wk-1").build();
-        state.commit(new Txn()
+        state.commit(new Transaction()
                 .put(
                         Keys.TYPES,
                         Records.types(List.of(new MachineType("t", 8, 0, 32, 20, 1, 1, 0.5, 20, List.of("a")))))
-                .put(Keys.block("a/0"), Records.block(new BlockLease("n0", 1, TERM)))
+                .put(Keys.partition("a/0"), Records.partition(new PartitionLease("n0", 1, TERM)))
                 .put(Keys.job("wk-1"), Records.job(new JobRecord(job, JobState.LIVE, 0))));
         StateReplica replica = new StateReplica();
-        replica.reset(state.list(Keys.MIRRORED, null, 100), state.ledger());
-        holder = new BlockHolder(params, replica, new Blocks(params), new Estimator(REPORT));
-        holder.incarnate(1);
+        replica.reset(state.list(Keys.MIRRORED, null, 100), state.revision());
+        owner = new PartitionOwner(config, replica, new PartitionMap(config), new Estimator(REPORT));
+        owner.onLeaseGranted(1);
     }
 
-    private void report(long now, List<ReportedTask> tasks) {
-        holder.confirmed(now);
-        holder.onReport(
-                now, new Report("m-000000", "h:1", "t", "a", false, 1, ++ticks, Terms.firstToken(TERM), null, tasks));
-        holder.tick(now);
-        for (BlockHolder.Effect e : holder.drain()) {
-            if (e instanceof BlockHolder.Effect.Offer o) {
+    private void heartbeat(long now, List<TaskStatus> tasks) {
+        owner.confirmed(now);
+        owner.onHeartbeat(
+                now,
+                new WorkerHeartbeat(
+                        "m-000000", "h:1", "t", "a", false, 1, ++ticks, FencingTokens.firstToken(TERM), null, tasks));
+        owner.tick(now);
+        for (OwnerEffect e : owner.drain()) {
+            if (e instanceof OwnerEffect.SubmitBids o) {
                 batches++;
                 bids = o.batch().bids().size();
             }
         }
     }
 
-    private static ReportedTask failed(String job, long attempt) {
-        return new ReportedTask(new TaskId(job, 0), attempt, TaskState.EXITED, ExitCause.ERROR, false);
+    private static TaskStatus failed(String job, long attempt) {
+        return new TaskStatus(new TaskId(job, 0), attempt, TaskState.EXITED, ExitCause.ERROR, false);
     }
 
     /** A machine that failed two jobs doesn't bid for a while. The end of that while comes with no news at all. */
     @Test
     void aPauseThatIsOverBringsABid() {
-        List<ReportedTask> tasks = List.of(failed("wk-8", 1), failed("wk-9", 2));
+        List<TaskStatus> tasks = List.of(failed("wk-8", 1), failed("wk-9", 2));
         for (long now = 0; now <= 6 * REPORT; now += REPORT) {
-            report(now, tasks);
+            heartbeat(now, tasks);
         }
         assertEquals(0, bids, "it failed two jobs");
         for (long now = 7 * REPORT; now <= 10 * REPORT; now += REPORT) {
-            report(now, tasks);
+            heartbeat(now, tasks);
         }
         assertEquals(1, bids, "its pause is over");
     }
@@ -87,12 +89,12 @@
     /** Reports that say nothing new bring no batch: with a thousand machines bids would be made all the time. */
     @Test
     void reportsWithoutNewsBringNoSheet() {
-        report(0, List.of());
-        report(200, List.of());
+        heartbeat(0, List.of());
+        heartbeat(200, List.of());
         assertEquals(1, bids);
         int before = batches;
         for (long now = 1000; now < 20_000; now += REPORT) {
-            report(now, List.of());
+            heartbeat(now, List.of());
         }
         assertEquals(before, batches);
     }
--- a/src/test/java/garnetscale/core/block/ReachabilityTest.java
+++ b/src/test/java/garnetscale/core/partition/ReachabilityTest.java
@@ -1,10 +1,10 @@
-package garnetscale.core.block;
+package garnetscale.core.partition;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import garnetscale.core.TestParams;
+import garnetscale.core.TestConfig;
 import java.util.List;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
@@ -16,7 +16,7 @@
     private static final List<String> ALL = List.of("m-0", "m-1", "m-2", "m-3", "m-4");
 
     private final Reachability reachability =
-            new Reachability(TestParams.large().members(List.of()).build());
+            new Reachability(TestConfig.large().controllers(List.of()).build());
 
     /** Looks every quarter of a second until the given time; returns when it found itself deaf, or -1. */
     private long look(long from, long until, int due) {
@@ -48,7 +48,7 @@
         reachability.heard(0);
         look(0, 500, MACHINES);
         assertFalse(reachability.lookAt(30_000, MACHINES, Set.of("a/0")));
-        assertFalse(reachability.deaf());
+        assertFalse(reachability.isolatedFromWorkers());
     }
 
     @Test
@@ -59,7 +59,7 @@
         assertEquals(0, reachability.toAsk(at, ALL, m -> "a/0").size());
         assertEquals(0, reachability.toAsk(at + 5000, ALL, m -> "b/0").size());
         reachability.heard(at + 6000);
-        assertFalse(reachability.deaf());
+        assertFalse(reachability.isolatedFromWorkers());
         assertEquals(0, reachability.toAsk(at + 20_000, ALL, m -> "a/0").size());
     }
 }
--- a/src/test/java/garnetscale/core/block/OutboundTest.java
+++ b/src/test/java/garnetscale/core/partition/WorkerRequestLimiterTest.java
@@ -1,18 +1,18 @@
-package garnetscale.core.block;
+package garnetscale.core.partition;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertNull;
 
-import garnetscale.core.machine.Address;
+import garnetscale.core.machine.MachineAddress;
 import org.junit.jupiter.api.Test;
 
 /** Direct requests are bounded, and a process that lags asks one question at a time. */
-class OutboundTest {
+class WorkerRequestLimiterTest {
 
     private static final int MOST = 8;
 
-    private final Outbound outbound = new Outbound(MOST);
+    private final WorkerRequestLimiter outbound = new WorkerRequestLimiter(MOST);
 
     private int sendAll() {
         int sent = 0;
@@ -24,7 +24,7 @@
 
     private void askEight() {
         for (int i = 0; i < MOST; i++) {
-            outbound.ask(new Address("m-" + i, "h:" + i, "a"));
+            outbound.ask(new MachineAddress("m-" + i, "h:" + i, "a"));
         }
     }
 
--- a/src/test/java/garnetscale/core/line/JobOrderTest.java
+++ b/src/test/java/garnetscale/core/queue/JobOrderTest.java
@@ -1,18 +1,18 @@
-package garnetscale.core.line;
+package garnetscale.core.queue;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import garnetscale.core.Params;
-import garnetscale.core.TestParams;
+import garnetscale.core.SchedulerConfig;
+import garnetscale.core.TestConfig;
 import garnetscale.core.job.JobRecord;
 import garnetscale.core.job.JobSpec;
 import garnetscale.core.job.JobState;
 import garnetscale.core.job.Priority;
 import garnetscale.core.job.TestJob;
-import garnetscale.core.store.Change;
-import garnetscale.core.store.Keys;
-import garnetscale.core.store.Records;
-import garnetscale.core.store.StateReplica;
+import garnetscale.core.state.KeyChange;
+import garnetscale.core.state.Keys;
+import garnetscale.core.state.Records;
+import garnetscale.core.state.StateReplica;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -22,7 +22,7 @@
 
     private static final long CANCEL_MS = 40_000;
 
-    private final List<Change> jobs = new ArrayList<>();
+    private final List<KeyChange> jobs = new ArrayList<>();
 
     private void job(String id, Priority priority, int tasks, long submittedMs, Double dueS) {
         JobSpec s = TestJob.named(id)
@@ -33,15 +33,15 @@
                 .estimateS(30)
                 .deadlineS(dueS)
                 .build();
-        jobs.add(new Change(Keys.job(id), Records.job(new JobRecord(s, JobState.LIVE, submittedMs)), 1));
+        jobs.add(new KeyChange(Keys.job(id), Records.job(new JobRecord(s, JobState.LIVE, submittedMs)), 1));
     }
 
     private List<String> line(long nowMs) {
         StateReplica m = new StateReplica();
         m.reset(jobs, 1);
-        JobOrder order = new JobOrder(TestParams.small()
-                .members(List.of())
-                .objectives(new Params.Objective("deadline", "c", 0, 0.9, 1))
+        JobOrder order = new JobOrder(TestConfig.small()
+                .controllers(List.of())
+                .objectives(new SchedulerConfig.ServiceLevelObjective("deadline", "c", 0, 0.9, 1))
                 .workers(1000, 10_000, CANCEL_MS)
                 .build());
         return JobQueue.sort(m.jobs(), order, nowMs).stream()
--- a/src/test/java/garnetscale/core/sim/ClusterShape.java
+++ b/src/test/java/garnetscale/core/sim/ClusterShape.java
@@ -1,11 +1,11 @@
 package garnetscale.core.sim;
 
 import garnetscale.core.Features;
-import garnetscale.core.Params;
-import garnetscale.core.TestParams;
+import garnetscale.core.SchedulerConfig;
+import garnetscale.core.TestConfig;
 import garnetscale.core.balance.BalanceSettings;
 import garnetscale.core.machine.MachineType;
-import garnetscale.core.store.Layouts;
+import garnetscale.core.state.Layouts;
 import garnetscale.core.upgrade.VersionRange;
 import java.util.ArrayList;
 import java.util.List;
@@ -17,7 +17,7 @@
         int workers,
         int valueBytes,
         List<MachineType> types,
-        List<Params.Objective> objectives,
+        List<SchedulerConfig.ServiceLevelObjective> objectives,
         double red,
         double blue,
         BalanceSettings balance) {
@@ -38,7 +38,7 @@
                 workers,
                 valueBytes,
                 List.of(SimulatedCluster.TYPE),
-                List.of(new Params.Objective("wait", "c", 2, 0.9, 0)),
+                List.of(new SchedulerConfig.ServiceLevelObjective("wait", "c", 2, 0.9, 0)),
                 4.0 * workers,
                 Math.floor(2.7 * workers),
                 BalanceSettings.OFF);
@@ -62,24 +62,24 @@
         return zones.get(i % zones.size());
     }
 
-    Params params(String self) {
-        return params(self, Layouts.SUPPORTED);
+    SchedulerConfig config(String self) {
+        return config(self, Layouts.SUPPORTED);
     }
 
     /** The settings of a node that supports these layouts. */
-    Params params(String self, VersionRange layouts) {
-        List<Params.Member> members = new ArrayList<>();
+    SchedulerConfig config(String self, VersionRange layouts) {
+        List<SchedulerConfig.ControllerAddress> controllers = new ArrayList<>();
         for (int i = 0; i < nodes; i++) {
-            members.add(new Params.Member("n" + i, zone(i), ""));
+            controllers.add(new SchedulerConfig.ControllerAddress("n" + i, zone(i), ""));
         }
-        return TestParams.small()
+        return TestConfig.small()
                 .self(self)
-                .members(members)
+                .controllers(controllers)
                 .zones(zones)
                 .teams(
-                        new Params.Team("red", 8, red(), 0, Double.POSITIVE_INFINITY),
-                        new Params.Team("blue", 8, blue(), 0, Double.POSITIVE_INFINITY))
-                .objectives(objectives.toArray(new Params.Objective[0]))
+                        new SchedulerConfig.Team("red", 8, red(), 0, Double.POSITIVE_INFINITY),
+                        new SchedulerConfig.Team("blue", 8, blue(), 0, Double.POSITIVE_INFINITY))
+                .objectives(objectives.toArray(new SchedulerConfig.ServiceLevelObjective[0]))
                 .workers(SimulatedCluster.REPORT, SimulatedCluster.LEASE, SimulatedCluster.CANCEL)
                 .valueBytes(valueBytes)
                 .features(new Features(true, 0.5, layouts, Features.NEVER, balance))
--- a/src/test/java/garnetscale/core/sim/DecisionDigest.java
+++ b/src/test/java/garnetscale/core/sim/DecisionDigest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import garnetscale.core.store.Layouts;
+import garnetscale.core.state.Layouts;
 import garnetscale.core.upgrade.UpgradeStep;
 import garnetscale.core.upgrade.VersionRange;
 import java.io.BufferedWriter;
--- a/src/test/java/garnetscale/core/sim/DecisionObserver.java
+++ b/src/test/java/garnetscale/core/sim/DecisionObserver.java
@@ -1,7 +1,8 @@
 package garnetscale.core.sim;
 
-import garnetscale.core.block.BlockHolder;
-import garnetscale.core.store.Txn;
+import garnetscale.core.partition.HeartbeatReply;
+import garnetscale.core.partition.OwnerEffect;
+import garnetscale.core.state.Transaction;
 
 /** Is told of every decision of the simulated controllers, in the order in which they are made. It must not change anything. */
 interface DecisionObserver {
@@ -10,11 +11,11 @@
     DecisionObserver NONE = new DecisionObserver() {};
 
     /** A controller sends a transaction to the state service, which may store it, refuse it or never receive it. */
-    default void onTransaction(long now, String node, Txn transaction) {}
+    default void onTransaction(long now, String node, Transaction transaction) {}
 
     /** The block holder of a controller asks for something to be done outside. */
-    default void onEffect(long now, String node, BlockHolder.Effect effect) {}
+    default void onEffect(long now, String node, OwnerEffect effect) {}
 
     /** The block holder of a controller replies to the report of a machine. */
-    default void onReply(long now, String node, String machine, BlockHolder.Reply reply) {}
+    default void onReply(long now, String node, String machine, HeartbeatReply reply) {}
 }
--- a/src/test/java/garnetscale/core/sim/DecisionRecorder.java
+++ b/src/test/java/garnetscale/core/sim/DecisionRecorder.java
@@ -1,13 +1,14 @@
 package garnetscale.core.sim;
 
-import garnetscale.core.bid.Bid;
-import garnetscale.core.bid.BidBatch;
-import garnetscale.core.block.BlockHolder;
-import garnetscale.core.block.Observation;
+import garnetscale.core.bidding.Bid;
+import garnetscale.core.bidding.BidBatch;
 import garnetscale.core.job.TaskId;
-import garnetscale.core.machine.ReportedTask;
+import garnetscale.core.machine.TaskStatus;
 import garnetscale.core.machine.WorkerCommand;
-import garnetscale.core.store.Txn;
+import garnetscale.core.partition.HeartbeatReply;
+import garnetscale.core.partition.MachineStatus;
+import garnetscale.core.partition.OwnerEffect;
+import garnetscale.core.state.Transaction;
 import java.nio.charset.StandardCharsets;
 import java.security.MessageDigest;
 import java.security.NoSuchAlgorithmException;
@@ -56,13 +57,13 @@
     }
 
     @Override
-    public void onTransaction(long now, String node, Txn transaction) {
+    public void onTransaction(long now, String node, Transaction transaction) {
         transactionCount++;
         begin("transaction", now, node);
         for (Map.Entry<String, Long> guard : new TreeMap<>(transaction.guards()).entrySet()) {
             tag("guard").value(guard.getKey()).value(guard.getValue());
         }
-        for (Txn.Op operation : transaction.ops()) {
+        for (Transaction.Op operation : transaction.ops()) {
             tag(operation.value() == null ? "delete" : "put").value(operation.key());
             value(operation.value()).value(operation.lease());
         }
@@ -70,17 +71,17 @@
     }
 
     @Override
-    public void onEffect(long now, String node, BlockHolder.Effect effect) {
+    public void onEffect(long now, String node, OwnerEffect effect) {
         effectCount++;
         begin("effect", now, node);
-        if (effect instanceof BlockHolder.Effect.Command command) {
+        if (effect instanceof OwnerEffect.SendCommands command) {
             tag("command").value(command.machine()).value(command.address());
-            value(command.token()).value(command.shift()).orders(command.orders());
-        } else if (effect instanceof BlockHolder.Effect.Probe probe) {
+            value(command.fencingToken()).value(command.agentEpoch()).commands(command.commands());
+        } else if (effect instanceof OwnerEffect.ProbeWorker probe) {
             tag("probe").value(probe.machine()).value(probe.address());
-        } else if (effect instanceof BlockHolder.Effect.Tell tell) {
-            tag("tell").observation(tell.observation());
-        } else if (effect instanceof BlockHolder.Effect.Offer offer) {
+        } else if (effect instanceof OwnerEffect.PublishStatus tell) {
+            tag("tell").machineStatus(tell.machineStatus());
+        } else if (effect instanceof OwnerEffect.SubmitBids offer) {
             tag("offer").batch(offer.batch());
         } else {
             throw new IllegalArgumentException("unknown effect: " + effect);
@@ -89,24 +90,24 @@
     }
 
     @Override
-    public void onReply(long now, String node, String machine, BlockHolder.Reply reply) {
+    public void onReply(long now, String node, String machine, HeartbeatReply reply) {
         replyCount++;
         begin("reply", now, node);
         value(machine);
-        if (reply instanceof BlockHolder.Reply.Answer answer) {
-            tag("answer").value(answer.token()).orders(answer.orders());
-        } else if (reply instanceof BlockHolder.Reply.Redirect redirect) {
+        if (reply instanceof HeartbeatReply.Acknowledge answer) {
+            tag("answer").value(answer.fencingToken()).commands(answer.commands());
+        } else if (reply instanceof HeartbeatReply.Redirect redirect) {
             tag("redirect").value(redirect.node());
-        } else if (reply instanceof BlockHolder.Reply.Refuse refusal) {
-            tag("refuse").value(refusal.why());
+        } else if (reply instanceof HeartbeatReply.Reject refusal) {
+            tag("refuse").value(refusal.reason());
         } else {
             throw new IllegalArgumentException("unknown reply: " + reply);
         }
         end();
     }
 
-    private void orders(List<WorkerCommand> orders) {
-        for (WorkerCommand order : orders) {
+    private void commands(List<WorkerCommand> commands) {
+        for (WorkerCommand order : commands) {
             if (order instanceof WorkerCommand.Start start) {
                 tag("start").task(start.task()).value(start.attempt());
             } else if (order instanceof WorkerCommand.Stop stop) {
@@ -119,23 +120,23 @@
         }
     }
 
-    private void observation(Observation observation) {
-        value(observation.node()).value(observation.incarnation());
-        value(observation.block()).value(observation.term());
-        value(observation.machine()).value(observation.address());
-        value(observation.type()).value(observation.zone()).value(observation.spot());
-        value(observation.shift()).value(observation.noticeS()).value(observation.silent());
-        for (ReportedTask reported : observation.tasks()) {
+    private void machineStatus(MachineStatus machineStatus) {
+        value(machineStatus.node()).value(machineStatus.incarnation());
+        value(machineStatus.partition()).value(machineStatus.term());
+        value(machineStatus.machine()).value(machineStatus.address());
+        value(machineStatus.type()).value(machineStatus.zone()).value(machineStatus.spot());
+        value(machineStatus.agentEpoch()).value(machineStatus.evictionNoticeS()).value(machineStatus.silent());
+        for (TaskStatus reported : machineStatus.tasks()) {
             tag("task").task(reported.task()).value(reported.attempt());
-            ordinal(reported.state()).ordinal(reported.cause()).value(reported.saved());
+            ordinal(reported.state()).ordinal(reported.cause()).value(reported.checkpointed());
         }
-        tag("gone").value(observation.gone());
+        tag("gone").value(machineStatus.terminated());
     }
 
     private void batch(BidBatch batch) {
-        value(batch.node()).value(batch.incarnation()).value(batch.ledger()).value(batch.terms());
+        value(batch.node()).value(batch.incarnation()).value(batch.revision()).value(batch.terms());
         for (Bid bid : batch.bids()) {
-            tag("bid").value(bid.machine()).value(bid.shift()).value(bid.job());
+            tag("bid").value(bid.machine()).value(bid.agentEpoch()).value(bid.job());
             value(bid.slots()).value(bid.finishS());
         }
     }
--- a/src/test/java/garnetscale/core/sim/FourThousandMachinesTest.java
+++ b/src/test/java/garnetscale/core/sim/FourThousandMachinesTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import garnetscale.core.store.Layouts;
+import garnetscale.core.state.Layouts;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -52,6 +52,6 @@
         assertEquals(List.of(), cluster.state.oversized());
         assertEquals(0, cluster.refusedWrites);
         assertTrue(cluster.rules.starts > 3 * MACHINES, "only " + cluster.rules.starts + " starts");
-        assertEquals(Layouts.SPLIT_BASE, cluster.stored().layout());
+        assertEquals(Layouts.SPLIT_SNAPSHOT, cluster.stored().layout());
     }
 }
--- a/src/test/java/garnetscale/core/sim/MeetingsTest.java
+++ b/src/test/java/garnetscale/core/sim/MeetingsTest.java
@@ -517,10 +517,10 @@
             for (long t = 15_000; t < 100_000; t += 15_000) {
                 w.at(t, () -> {
                     String m = w.workers.get(w.random.nextInt(w.workers.size())).id;
-                    long shift = w.worker(m).model.shift();
+                    long agentEpoch = w.worker(m).model.agentEpoch();
                     w.deafen(m, SimulatedCluster.LEASE + 3000);
                     w.at(SimulatedCluster.LEASE + 4000, () -> {
-                        if (w.worker(m).model.shift() > shift) {
+                        if (w.worker(m).model.agentEpoch() > agentEpoch) {
                             w.met("copies of an earlier session");
                         }
                     });
--- a/src/test/java/garnetscale/core/sim/Rules.java
+++ b/src/test/java/garnetscale/core/sim/Rules.java
@@ -2,7 +2,7 @@
 
 import garnetscale.core.job.JobSpec;
 import garnetscale.core.job.TaskId;
-import garnetscale.standin.WorkerModel;
+import garnetscale.emulator.WorkerModel;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -69,7 +69,7 @@
         for (TaskId t : running.keySet()) {
             JobSpec j = jobs.get(t.job());
             used += j.team().equals(job.team()) ? j.cpus() : 0;
-            if (job.oneZone()
+            if (job.zoneAffinity()
                     && t.job().equals(task.job())
                     && !zones.get(running.get(t)).equals(zones.get(machine))) {
                 broke("wrong_place", task + " starts on " + machine + " while " + t + " is on " + running.get(t));
--- a/src/test/java/garnetscale/core/sim/SimulatedCluster.java
+++ b/src/test/java/garnetscale/core/sim/SimulatedCluster.java
@@ -1,7 +1,6 @@
 package garnetscale.core.sim;
 
-import garnetscale.core.Params;
-import garnetscale.core.block.Blocks;
+import garnetscale.core.SchedulerConfig;
 import garnetscale.core.job.JobRecord;
 import garnetscale.core.job.JobSpec;
 import garnetscale.core.job.JobState;
@@ -9,17 +8,18 @@
 import garnetscale.core.job.TaskId;
 import garnetscale.core.job.TestJob;
 import garnetscale.core.machine.MachineType;
-import garnetscale.core.machine.Report;
-import garnetscale.core.store.Keys;
-import garnetscale.core.store.Records;
-import garnetscale.core.store.StateReplica;
-import garnetscale.core.store.Txn;
+import garnetscale.core.machine.WorkerHeartbeat;
+import garnetscale.core.partition.PartitionMap;
+import garnetscale.core.state.Keys;
+import garnetscale.core.state.Records;
+import garnetscale.core.state.StateReplica;
+import garnetscale.core.state.Transaction;
 import garnetscale.core.upgrade.UpgradeDecision;
 import garnetscale.core.upgrade.UpgradeStep;
 import garnetscale.core.upgrade.VersionRange;
-import garnetscale.net.Budget;
-import garnetscale.standin.StateLimits;
-import garnetscale.standin.StateModel;
+import garnetscale.emulator.StateLimits;
+import garnetscale.emulator.StateModel;
+import garnetscale.net.TokenBucket;
 import garnetscale.timeline.Timeline;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -48,9 +48,9 @@
     /** The part of the rate that a leader uses. */
     static final double LEADER_SHARE = 0.675;
     /** What the state service takes in one transaction, and in one value. */
-    private static final int TXN_OPS = 24;
+    private static final int TRANSACTION_OPS = 24;
 
-    private static final int TXN_BYTES = 64 * 1024;
+    private static final int TRANSACTION_BYTES = 64 * 1024;
 
     /** A deliberate mistake, to show that the rules are watched. */
     enum Fault {
@@ -72,9 +72,9 @@
     private final Map<String, String> zones = new HashMap<>();
     private final StateReplica observer = new StateReplica();
     private final Map<String, Long> refusedUntil = new HashMap<>();
-    final List<Report> kept = new ArrayList<>();
-    private final Map<String, Long> blockTerms = new HashMap<>();
-    private final Map<String, Long> blockMovedAt = new HashMap<>();
+    final List<WorkerHeartbeat> kept = new ArrayList<>();
+    private final Map<String, Long> partitionTerms = new HashMap<>();
+    private final Map<String, Long> partitionMovedAt = new HashMap<>();
     final Fault fault;
     final ClusterShape shape;
     long outageUntil;
@@ -83,7 +83,7 @@
     /** Besides following by short requests, nodes watch by ones that hang open, also through a refusal. */
     boolean watches;
     /** Told of each transaction of a controller that was applied. */
-    Consumer<Txn> onStored = txn -> {};
+    Consumer<Transaction> onStored = transaction -> {};
     /** Told of each decision of a controller. */
     DecisionObserver decisions = DecisionObserver.NONE;
     /** Controllers on which load balancing is off from their next start on. */
@@ -95,9 +95,9 @@
     /** Share of cancellations of which the peers aren't told: their links are down just then. */
     double wordLoss;
     /** The changes a second that the state service takes, and what was refused beyond it; unbounded unless set. */
-    private Budget writes = new Budget(Double.MAX_VALUE, Double.MAX_VALUE, 0);
+    private TokenBucket writes = new TokenBucket(Double.MAX_VALUE, Double.MAX_VALUE, 0);
 
-    Params paced;
+    SchedulerConfig paced;
     int refusedWrites;
     /** Until then reports are kept, and so long after a new leader's beginning their copies reach every controller. */
     long keepUntil;
@@ -120,10 +120,10 @@
         super(seed);
         this.fault = fault;
         this.shape = shape;
-        this.state = new StateModel(new StateLimits(shape.valueBytes(), TXN_OPS, TXN_BYTES));
+        this.state = new StateModel(new StateLimits(shape.valueBytes(), TRANSACTION_OPS, TRANSACTION_BYTES));
         this.rules = new Rules(Map.of("red", shape.red(), "blue", shape.blue()), zones, CANCEL, () -> now);
-        state.commit(new Txn().put(Keys.TYPES, Records.types(shape.types())));
-        observer.reset(state.list(Keys.MIRRORED, null, 10), state.ledger());
+        state.commit(new Transaction().put(Keys.TYPES, Records.types(shape.types())));
+        observer.reset(state.list(Keys.MIRRORED, null, 10), state.revision());
         rules.placed =
                 (machine, attempt) -> stored().placements(machine).stream().anyMatch(p -> p.attempt() == attempt);
         for (int i = 0; i < shape.nodes(); i++) {
@@ -137,8 +137,8 @@
 
     /** From now on the state service refuses more changes a second than the settings say, and leaders pace themselves. */
     void limitWrites() {
-        paced = shape.params("n0");
-        writes = new Budget(paced.stateWritesPerS(), paced.stateWritesPerS(), now);
+        paced = shape.config("n0");
+        writes = new TokenBucket(paced.stateWritesPerS(), paced.stateWritesPerS(), now);
     }
 
     /** What a node's process supports from its next start on. */
@@ -153,10 +153,10 @@
         return node.up ? node.leader.upgrade(now, step) : new UpgradeDecision.Refused("it is down");
     }
 
-    int commit(SimulatedNode by, Txn txn) {
+    int commit(SimulatedNode by, Transaction transaction) {
         int active = stored().version().active();
-        int status = commit(txn);
-        if (status == 200 && !txn.ops().isEmpty() && !by.layouts.contains(active)) {
+        int status = commit(transaction);
+        if (status == 200 && !transaction.ops().isEmpty() && !by.layouts.contains(active)) {
             rules.broken.add(now + " wrote outside its versions: " + by.name + " supports " + by.layouts + ", " + active
                     + " was active");
         }
@@ -169,14 +169,14 @@
         return status;
     }
 
-    private int commit(Txn txn) {
-        if (!writes.take(now, txn.ops().size())) {
+    private int commit(Transaction transaction) {
+        if (!writes.take(now, transaction.ops().size())) {
             refusedWrites++;
             return TOO_MANY;
         }
-        int status = state.commit(txn);
+        int status = state.commit(transaction);
         if (status == 200) {
-            onStored.accept(txn);
+            onStored.accept(transaction);
         }
         return status;
     }
@@ -193,7 +193,7 @@
 
     /** What is stored at this moment. */
     StateReplica stored() {
-        observer.advance(state.changes(Keys.MIRRORED, observer.ledger()), state.ledger());
+        observer.advance(state.changes(Keys.MIRRORED, observer.revision()), state.revision());
         return observer;
     }
 
@@ -206,7 +206,7 @@
         for (SimulatedWorker w : workers) {
             if (isFrozen(w.id)) {
                 // PROTOCOL: a machine that hangs may go on within its lease, and not after it.
-                w.model.lapse(now);
+                w.model.expire(now);
             } else {
                 w.model.advance(now);
             }
@@ -218,22 +218,23 @@
             met("leader changed");
             deliverKept();
         }
-        for (String block : new Blocks(shape.params("n0")).all()) {
-            long term = m.block(block) == null ? 0 : m.block(block).term();
-            Long before = blockTerms.put(block, term);
+        for (String partition : new PartitionMap(shape.config("n0")).all()) {
+            long term =
+                    m.partition(partition) == null ? 0 : m.partition(partition).term();
+            Long before = partitionTerms.put(partition, term);
             if (before != null && before != term) {
-                blockMovedAt.put(block, now);
+                partitionMovedAt.put(partition, now);
             }
         }
     }
 
     /** Old reports reach every controller, and nobody reads the answers. */
     private void deliverKept() {
-        for (Report r : kept) {
+        for (WorkerHeartbeat r : kept) {
             for (SimulatedNode n : nodes) {
                 at(keptDelay + random.nextInt(400), () -> {
                     met("old report at a new leader");
-                    n.onReport(r, reply -> {});
+                    n.onHeartbeat(r, reply -> {});
                 });
             }
         }
@@ -261,7 +262,7 @@
         List<String> inside = new ArrayList<>();
         List<String> outside = new ArrayList<>(List.of("state"));
         workers.forEach(w -> (zones.get(w.id).equals(zone) ? inside : outside).add(w.id));
-        nodes.forEach(n -> (shape.params(n.name).zoneOfNode(n.name).equals(zone) ? inside : outside).add(n.name));
+        nodes.forEach(n -> (shape.config(n.name).zoneOfNode(n.name).equals(zone) ? inside : outside).add(n.name));
         for (String a : inside) {
             for (String b : outside) {
                 cut(a + ">" + b, ms);
@@ -302,7 +303,7 @@
 
     /** The type of a machine. */
     String typeOf(String worker) {
-        return shape.type(Blocks.number(worker)).name();
+        return shape.type(PartitionMap.number(worker)).name();
     }
 
     long leaderTerm() {
@@ -333,8 +334,8 @@
     }
 
     /** The cloud is about to take the machine, which reports so from now on. */
-    void drain(String worker, double noticeS) {
-        byId.get(worker).model.notice(noticeS);
+    void drain(String worker, double evictionNoticeS) {
+        byId.get(worker).model.evictionNotice(evictionNoticeS);
     }
 
     /** The machine stands still, and goes on where it was. */
@@ -352,16 +353,17 @@
 
     /** The node that holds a machine's block by what is stored. */
     String holderOf(String worker) {
-        Blocks b = new Blocks(shape.params("n0"));
-        var lease = stored().block(b.blockOf(worker, zones.get(worker)));
-        return lease == null ? "" : lease.holder();
+        PartitionMap b = new PartitionMap(shape.config("n0"));
+        var lease = stored().partition(b.partitionOf(worker, zones.get(worker)));
+        return lease == null ? "" : lease.owner();
     }
 
     /** How long ago a machine's block last got a new term. */
     long sinceMoved(String worker) {
         return now
-                - blockMovedAt.getOrDefault(
-                        new Blocks(shape.params("n0")).blockOf(worker, zones.get(worker)), Long.MIN_VALUE / 2);
+                - partitionMovedAt.getOrDefault(
+                        new PartitionMap(shape.config("n0")).partitionOf(worker, zones.get(worker)),
+                        Long.MIN_VALUE / 2);
     }
 
     /** A node that believes that it leads, or any when none does. */
@@ -424,13 +426,14 @@
         submit(id, team, Priority.NORMAL, tasks, cpus, seconds, false);
     }
 
-    void submit(String id, String team, Priority priority, int tasks, double cpus, double seconds, boolean oneZone) {
+    void submit(
+            String id, String team, Priority priority, int tasks, double cpus, double seconds, boolean zoneAffinity) {
         submit(TestJob.named(id)
                 .team(team)
                 .priority(priority)
                 .tasks(tasks)
                 .cpus(cpus)
-                .oneZone(oneZone)
+                .zoneAffinity(zoneAffinity)
                 .imageGb(0.5)
                 .estimateS(seconds)
                 .build());
@@ -439,7 +442,7 @@
     void submit(JobSpec job) {
         String id = job.id();
         rules.jobs.put(id, job);
-        state.commit(new Txn()
+        state.commit(new Transaction()
                 .guard(Keys.job(id), 0)
                 .put(Keys.job(id), Records.job(new JobRecord(job, JobState.LIVE, now))));
         rules.told(id, "LIVE");
@@ -451,8 +454,8 @@
             return;
         }
         JobRecord r = Records.job(id, e.value());
-        state.commit(new Txn()
-                .guard(Keys.job(id), e.stamp())
+        state.commit(new Transaction()
+                .guard(Keys.job(id), e.modRevision())
                 .put(Keys.job(id), Records.job(r.withState(JobState.CANCELLED))));
         rules.told(id, "CANCELLED");
     }
@@ -464,18 +467,16 @@
         }
         cancel(id);
         if (random.nextDouble() >= wordLoss) {
-            nodes.stream()
-                    .filter(n -> n.name.equals(node) && n.up)
-                    .forEach(n -> n.peers(p -> p.holder.onCancelled(id)));
+            nodes.stream().filter(n -> n.name.equals(node) && n.up).forEach(n -> n.peers(p -> p.owner.onCancelled(id)));
         }
         return true;
     }
 
     /** What users would be told now; true when the job is over. */
     boolean poll(String id) {
-        StateModel.Entry over = state.get(Keys.archived(id));
+        StateModel.Entry over = state.get(Keys.terminalJob(id));
         if (over != null) {
-            rules.told(id, Records.archived(over.value()).state().name());
+            rules.told(id, Records.terminalJob(over.value()).state().name());
             return true;
         }
         StateModel.Entry e = state.get(Keys.job(id));
--- a/src/test/java/garnetscale/core/sim/SimulatedNode.java
+++ b/src/test/java/garnetscale/core/sim/SimulatedNode.java
@@ -1,29 +1,31 @@
 package garnetscale.core.sim;
 
-import garnetscale.core.Params;
+import garnetscale.core.SchedulerConfig;
 import garnetscale.core.balance.BalanceSettings;
-import garnetscale.core.bid.Estimator;
-import garnetscale.core.block.BlockHolder;
-import garnetscale.core.block.Blocks;
-import garnetscale.core.block.LeaderInfo;
-import garnetscale.core.block.NodeInfo;
-import garnetscale.core.block.Observation;
-import garnetscale.core.lead.Leader;
-import garnetscale.core.lead.Pipeline;
-import garnetscale.core.machine.Address;
+import garnetscale.core.bidding.Estimator;
+import garnetscale.core.leader.Leader;
+import garnetscale.core.leader.TransactionPipeline;
+import garnetscale.core.machine.MachineAddress;
 import garnetscale.core.machine.Placement;
-import garnetscale.core.machine.Report;
 import garnetscale.core.machine.WorkerCommand;
-import garnetscale.core.store.Change;
-import garnetscale.core.store.Keys;
-import garnetscale.core.store.Layouts;
-import garnetscale.core.store.Records;
-import garnetscale.core.store.StateReplica;
-import garnetscale.core.store.Txn;
-import garnetscale.core.store.TxnResult;
+import garnetscale.core.machine.WorkerHeartbeat;
+import garnetscale.core.partition.ControllerInfo;
+import garnetscale.core.partition.HeartbeatReply;
+import garnetscale.core.partition.LeaderInfo;
+import garnetscale.core.partition.MachineStatus;
+import garnetscale.core.partition.OwnerEffect;
+import garnetscale.core.partition.PartitionMap;
+import garnetscale.core.partition.PartitionOwner;
+import garnetscale.core.state.KeyChange;
+import garnetscale.core.state.Keys;
+import garnetscale.core.state.Layouts;
+import garnetscale.core.state.Records;
+import garnetscale.core.state.StateReplica;
+import garnetscale.core.state.Transaction;
+import garnetscale.core.state.TransactionOutcome;
 import garnetscale.core.upgrade.VersionRange;
-import garnetscale.net.Budget;
-import garnetscale.standin.WorkerModel;
+import garnetscale.emulator.WorkerModel;
+import garnetscale.net.TokenBucket;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.BiConsumer;
@@ -35,9 +37,9 @@
     final String name;
     private final SimulatedCluster cluster;
     private StateReplica replica;
-    BlockHolder holder;
+    PartitionOwner owner;
     Leader leader;
-    private Pipeline pipeline;
+    private TransactionPipeline pipeline;
     private long lease;
     private boolean listing;
     private long leadTerm;
@@ -48,7 +50,7 @@
     /** What this process supports. */
     VersionRange layouts;
     /** A leader's part of the changes a second. */
-    private Budget pace;
+    private TokenBucket pace;
 
     SimulatedNode(SimulatedCluster cluster, String name) {
         this.cluster = cluster;
@@ -63,13 +65,13 @@
         replica = new StateReplica(layouts);
         ClusterShape shape =
                 cluster.unbalanced.contains(name) ? cluster.shape.withBalance(BalanceSettings.OFF) : cluster.shape;
-        Params p = shape.params(name, layouts);
-        Blocks blocks = new Blocks(p);
-        holder = new BlockHolder(p, replica, blocks, new Estimator(SimulatedCluster.REPORT));
-        leader = new Leader(p, replica, blocks, line -> cluster.onLog.accept(name, line));
-        pipeline = new Pipeline(replica, leader);
+        SchedulerConfig p = shape.config(name, layouts);
+        PartitionMap partitions = new PartitionMap(p);
+        owner = new PartitionOwner(p, replica, partitions, new Estimator(SimulatedCluster.REPORT));
+        leader = new Leader(p, replica, partitions, line -> cluster.onLog.accept(name, line));
+        pipeline = new TransactionPipeline(replica, leader);
         double leaderWrites = SimulatedCluster.LEADER_SHARE * p.stateWritesPerS();
-        pace = new Budget(leaderWrites, leaderWrites, cluster.now);
+        pace = new TokenBucket(leaderWrites, leaderWrites, cluster.now);
         lease = -1;
         leadTerm = -1;
         listing = false;
@@ -78,13 +80,18 @@
         loop(mine, 400, this::renew);
         loop(mine, 60, this::follow);
         loop(mine, 3100, this::watch);
-        loop(mine, 1000, () -> peers(n -> n.leader.hears(cluster.now, name, holder.deaf())));
+        loop(
+                mine,
+                1000,
+                () -> peers(n -> n.leader.onWorkerReachability(cluster.now, name, owner.isolatedFromWorkers())));
         loop(mine, 1000, () -> {
             if (leader.leadingTerm() >= 0) {
-                List<Address> book = cluster.workers.stream()
-                        .map(w -> new Address(w.id, w.id, w.model.report().zone()))
+                List<MachineAddress> machineDirectory = cluster.workers.stream()
+                        .map(w -> new MachineAddress(
+                                w.id, w.id, w.model.heartbeat().zone()))
                         .toList();
-                peers(n -> n.holder.onBook(book, leader.lateJobs(), List.copyOf(leader.suspects())));
+                peers(n -> n.owner.onMachineDirectory(
+                        machineDirectory, leader.lateJobs(), List.copyOf(leader.suspects())));
             }
         });
     }
@@ -157,7 +164,7 @@
         }
         int mine = life;
         long sentAt = cluster.now;
-        long since = replica.ledger();
+        long since = replica.revision();
         cluster.send(
                 name,
                 "state",
@@ -166,23 +173,23 @@
                         cluster.now + 3000,
                         a -> cluster.send("state", name, () -> {
                             if (life == mine && !listing) {
-                                replica.advance(a.changes(), a.ledger());
-                                if (!replica.torn()) {
-                                    holder.confirmed(sentAt);
+                                replica.advance(a.changes(), a.revision());
+                                if (!replica.inconsistent()) {
+                                    owner.confirmed(sentAt);
                                 }
                             }
                         })));
     }
 
     private void hangOpen(long since, long until, Consumer<Answer> answer) {
-        List<Change> changes = cluster.refuses(name) ? List.of() : cluster.state.changes(Keys.MIRRORED, since);
+        List<KeyChange> changes = cluster.refuses(name) ? List.of() : cluster.state.changes(Keys.MIRRORED, since);
         if (cluster.refuses(name) || changes.isEmpty() && cluster.now < until) {
             if (cluster.refuses(name)) {
                 cluster.met("a watch hung open through a refusal");
             }
             cluster.at(40, () -> hangOpen(since, until, answer));
         } else {
-            answer.accept(new Answer(changes, cluster.state.ledger()));
+            answer.accept(new Answer(changes, cluster.state.revision()));
         }
     }
 
@@ -210,34 +217,34 @@
                 ok -> {
                     if (ok == 0 && lease == mine) {
                         lease = -1;
-                        holder.incarnate(-1);
-                        leader.incarnate(-1);
+                        owner.onLeaseGranted(-1);
+                        leader.onLeaseGranted(-1);
                     }
                 },
                 () -> {});
     }
 
-    private record Answer(List<Change> changes, long ledger) {}
+    private record Answer(List<KeyChange> changes, long revision) {}
 
     private void follow() {
         if (listing) {
             return;
         }
-        if (!replica.loaded() || replica.torn()) {
+        if (!replica.loaded() || replica.inconsistent()) {
             listing = true;
             page(cluster.now, null, new ArrayList<>(), -1);
             return;
         }
         long sentAt = cluster.now;
-        long since = replica.ledger();
+        long since = replica.revision();
         ask(
-                () -> new Answer(cluster.state.changes(Keys.MIRRORED, since), cluster.state.ledger()),
+                () -> new Answer(cluster.state.changes(Keys.MIRRORED, since), cluster.state.revision()),
                 new Answer(null, 0),
                 a -> {
                     if (a.changes() != null && !listing) {
-                        replica.advance(a.changes(), a.ledger());
-                        if (!replica.torn()) {
-                            holder.confirmed(sentAt);
+                        replica.advance(a.changes(), a.revision());
+                        if (!replica.inconsistent()) {
+                            owner.confirmed(sentAt);
                         }
                     }
                 },
@@ -245,10 +252,10 @@
     }
 
     /** Reads a page of a listing; the store goes on changing between pages. */
-    private void page(long sentAt, String since, List<Change> sofar, long first) {
+    private void page(long sentAt, String since, List<KeyChange> sofar, long first) {
         ask(
                 () -> new Answer(
-                        cluster.state.list(Keys.MIRRORED, since, SimulatedCluster.PAGE), cluster.state.ledger()),
+                        cluster.state.list(Keys.MIRRORED, since, SimulatedCluster.PAGE), cluster.state.revision()),
                 new Answer(null, 0),
                 a -> {
                     if (a.changes() == null) {
@@ -256,76 +263,78 @@
                         return;
                     }
                     sofar.addAll(a.changes());
-                    long ledger = first < 0 ? a.ledger() : first;
+                    long revision = first < 0 ? a.revision() : first;
                     if (a.changes().size() == SimulatedCluster.PAGE) {
-                        page(sentAt, sofar.get(sofar.size() - 1).key(), sofar, ledger);
+                        page(sentAt, sofar.get(sofar.size() - 1).key(), sofar, revision);
                         return;
                     }
                     listing = false;
-                    replica.reset(sofar, ledger);
+                    replica.reset(sofar, revision);
                     if (replica.loaded()) {
-                        holder.confirmed(sentAt);
+                        owner.confirmed(sentAt);
                     }
                 },
                 () -> listing = false);
     }
 
     private void register() {
-        NodeInfo me = replica.node(name);
+        ControllerInfo me = replica.node(name);
         if (lease >= 0 && (me == null || me.incarnation() != lease)) {
             commit(
-                    new Txn()
-                            .guard(Keys.node(name), replica.stamp(Keys.node(name)))
+                    new Transaction()
+                            .guard(Keys.node(name), replica.modRevision(Keys.node(name)))
                             .put(
                                     Keys.node(name),
-                                    Records.node(new NodeInfo(
+                                    Records.node(new ControllerInfo(
                                             name,
                                             lease,
-                                            cluster.shape.params(name).zoneOfNode(name),
+                                            cluster.shape.config(name).zoneOfNode(name),
                                             layouts)),
                                     lease),
                     (r, l) -> {});
         } else if (lease >= 0) {
-            holder.incarnate(lease);
-            leader.incarnate(lease);
+            owner.onLeaseGranted(lease);
+            leader.onLeaseGranted(lease);
         }
     }
 
-    private void commit(Txn txn, BiConsumer<TxnResult, Long> done) {
+    private void commit(Transaction transaction, BiConsumer<TransactionOutcome, Long> done) {
         if (!replica.loaded()) {
-            done.accept(TxnResult.REFUSED, -1L);
+            done.accept(TransactionOutcome.REFUSED, -1L);
             return;
         }
-        replica.guardVersion(txn);
-        cluster.decisions.onTransaction(cluster.now, name, txn);
+        replica.guardVersion(transaction);
+        cluster.decisions.onTransaction(cluster.now, name, transaction);
         if (cluster.now < cluster.lateUntil && cluster.random.nextDouble() < cluster.lateShare) {
             int mine = life;
             cluster.at(
                     cluster.lateAtOnce ? 1 + cluster.random.nextInt(5) : 2000 + cluster.random.nextInt(10_000),
                     () -> cluster.met(
-                            cluster.now >= cluster.outageUntil && cluster.commit(this, txn) == 200
+                            cluster.now >= cluster.outageUntil && cluster.commit(this, transaction) == 200
                                     ? "carried out without an answer"
                                     : "late and overtaken"));
             after(2000, () -> {
                 if (life == mine) {
-                    done.accept(TxnResult.MAYBE, -1L);
+                    done.accept(TransactionOutcome.MAYBE, -1L);
                 }
             });
             return;
         }
         ask(
                 () -> {
-                    int status = cluster.commit(this, txn);
-                    TxnResult result = status == 200
-                            ? TxnResult.OK
+                    int status = cluster.commit(this, transaction);
+                    TransactionOutcome result = status == 200
+                            ? TransactionOutcome.OK
                             : status == 409
-                                    ? TxnResult.CONFLICT
-                                    : status == SimulatedCluster.TOO_MANY ? TxnResult.REFUSED : TxnResult.NO_LEASE;
-                    return new Object[] {result, cluster.state.ledger()};
+                                    ? TransactionOutcome.CONFLICT
+                                    : status == SimulatedCluster.TOO_MANY
+                                            ? TransactionOutcome.REFUSED
+                                            : TransactionOutcome.NO_LEASE;
+                    return new Object[] {result, cluster.state.revision()};
                 },
-                new Object[] {TxnResult.REFUSED, -1L},
-                r -> done.accept((TxnResult) r[0], (Long) r[1]),
-                () -> done.accept(TxnResult.MAYBE, -1L));
+                new Object[] {TransactionOutcome.REFUSED, -1L},
+                r -> done.accept((TransactionOutcome) r[0], (Long) r[1]),
+                () -> done.accept(TransactionOutcome.MAYBE, -1L));
     }
 
     private void work() {
@@ -333,14 +342,14 @@
             return;
         }
         register();
-        holder.tick(cluster.now);
-        holder.drain().forEach(this::carryOut);
+        owner.tick(cluster.now);
+        owner.drain().forEach(this::carryOut);
         if (lease < 0) {
             return;
         }
         if (!leader.leads(cluster.now)) {
             leadTerm = -1;
-            Txn election = leader.election(cluster.now);
+            Transaction election = leader.election(cluster.now);
             if (election != null && cluster.random.nextInt(4) == 0) {
                 commit(election, (r, l) -> {});
             }
@@ -349,7 +358,7 @@
         if (leader.leadingTerm() != leadTerm) {
             leadTerm = leader.leadingTerm();
             pipeline.restart();
-            peers(n -> n.holder.resynchronize(cluster.now));
+            peers(n -> n.owner.resynchronize(cluster.now));
         }
         if (cluster.fault == SimulatedCluster.Fault.FREE_UNSEEN && cluster.random.nextInt(50) == 0) {
             lie(List.copyOf(leader.machines()));
@@ -357,86 +366,86 @@
         if (cluster.paced != null && pace.waitMs(cluster.now, 1) > 0) {
             return;
         }
-        Txn txn = pipeline.next(() -> leader.plan(cluster.now));
-        if (txn != null) {
-            pace.force(cluster.now, txn.ops().size());
-            commit(txn, (result, ledger) -> {
-                pipeline.ended(result, ledger);
+        Transaction transaction = pipeline.next(() -> leader.plan(cluster.now));
+        if (transaction != null) {
+            pace.force(cluster.now, transaction.ops().size());
+            commit(transaction, (result, revision) -> {
+                pipeline.ended(result, revision);
                 pipeline.ready();
             });
         }
     }
 
     /** Tells the leader that what is placed on some machines is gone, without any proof. */
-    private void lie(List<Observation> seen) {
+    private void lie(List<MachineStatus> seen) {
         for (int i = 0; i < seen.size(); i += 20) {
-            Observation o = seen.get(cluster.random.nextInt(seen.size()));
+            MachineStatus o = seen.get(cluster.random.nextInt(seen.size()));
             List<Long> all = replica.placements(o.machine()).stream()
                     .map(Placement::attempt)
                     .toList();
-            leader.onObservation(
+            leader.onMachineStatus(
                     cluster.now,
-                    new Observation(
+                    new MachineStatus(
                             o.node(),
                             o.incarnation(),
-                            o.block(),
+                            o.partition(),
                             o.term(),
                             o.machine(),
                             o.address(),
                             o.type(),
                             o.zone(),
                             o.spot(),
-                            o.shift(),
-                            o.noticeS(),
+                            o.agentEpoch(),
+                            o.evictionNoticeS(),
                             o.silent(),
                             o.tasks(),
                             all));
         }
     }
 
-    void onReport(Report r, Consumer<BlockHolder.Reply> answer) {
+    void onHeartbeat(WorkerHeartbeat r, Consumer<HeartbeatReply> answer) {
         if (up && replica.loaded()) {
-            BlockHolder.Reply reply = holder.onReport(cluster.now, r);
+            HeartbeatReply reply = owner.onHeartbeat(cluster.now, r);
             cluster.decisions.onReply(cluster.now, name, r.machine(), reply);
             answer.accept(reply);
-            if (reply instanceof BlockHolder.Reply.Answer a) {
-                startsSent(r.machine(), a.orders());
+            if (reply instanceof HeartbeatReply.Acknowledge a) {
+                startsSent(r.machine(), a.commands());
             }
-            holder.drain().forEach(this::carryOut);
+            owner.drain().forEach(this::carryOut);
         }
     }
 
-    private void carryOut(BlockHolder.Effect e) {
+    private void carryOut(OwnerEffect e) {
         cluster.decisions.onEffect(cluster.now, name, e);
         LeaderInfo l = replica.leader();
-        if (e instanceof BlockHolder.Effect.Command c) {
+        if (e instanceof OwnerEffect.SendCommands c) {
             command(c);
-        } else if (e instanceof BlockHolder.Effect.Probe p) {
+        } else if (e instanceof OwnerEffect.ProbeWorker p) {
             WorkerModel w = cluster.worker(p.machine()).model;
             int mine = life;
             boolean[] over = new boolean[1];
             cluster.send(name, p.machine(), () -> {
                 w.advance(cluster.now);
-                Report r = w.report();
+                WorkerHeartbeat r = w.heartbeat();
                 cluster.send(p.machine(), name, () -> {
                     if (life == mine && !over[0]) {
                         over[0] = true;
-                        holder.onProbeEnded();
-                        holder.onProbeAnswer(cluster.now, r);
+                        owner.onProbeEnded();
+                        owner.onProbeAnswer(cluster.now, r);
                     }
                 });
             });
             after(2000, () -> {
                 if (life == mine && !over[0]) {
                     over[0] = true;
-                    holder.onProbeEnded();
+                    owner.onProbeEnded();
                 }
             });
         } else if (l != null) {
             SimulatedNode to = cluster.nodes.get(Integer.parseInt(l.node().substring(1)));
-            Consumer<SimulatedNode> message = e instanceof BlockHolder.Effect.Tell t
-                    ? n -> n.leader.onObservation(cluster.now, t.observation())
-                    : n -> n.leader.onBids(cluster.now, ((BlockHolder.Effect.Offer) e).batch());
+            Consumer<SimulatedNode> message = e instanceof OwnerEffect.PublishStatus t
+                    ? n -> n.leader.onMachineStatus(cluster.now, t.machineStatus())
+                    : n -> n.leader.onBids(cluster.now, ((OwnerEffect.SubmitBids) e).batch());
             if (to == this) {
                 message.accept(this);
             } else {
@@ -449,31 +458,31 @@
         }
     }
 
-    private void startsSent(String machine, List<WorkerCommand> orders) {
-        orders.stream()
+    private void startsSent(String machine, List<WorkerCommand> commands) {
+        commands.stream()
                 .filter(WorkerCommand.Start.class::isInstance)
                 .forEach(o -> cluster.onStartSent.accept(machine, o.task()));
     }
 
-    private void command(BlockHolder.Effect.Command c) {
-        startsSent(c.machine(), c.orders());
+    private void command(OwnerEffect.SendCommands c) {
+        startsSent(c.machine(), c.commands());
         WorkerModel w = cluster.worker(c.machine()).model;
         int mine = life;
         boolean[] over = new boolean[1];
         cluster.send(name, c.machine(), () -> {
-            w.command(cluster.now, c.token(), c.shift(), c.orders());
-            Report r = w.report();
+            w.command(cluster.now, c.fencingToken(), c.agentEpoch(), c.commands());
+            WorkerHeartbeat r = w.heartbeat();
             cluster.send(c.machine(), name, () -> {
                 if (life == mine && !over[0]) {
                     over[0] = true;
-                    holder.onCommandAnswer(cluster.now, c.machine(), c.token(), r);
+                    owner.onCommandAnswer(cluster.now, c.machine(), c.fencingToken(), r);
                 }
             });
         });
         after(4000, () -> {
             if (life == mine && !over[0]) {
                 over[0] = true;
-                holder.onCommandLost(cluster.now, c.machine(), c.token());
+                owner.onCommandLost(cluster.now, c.machine(), c.fencingToken());
             }
         });
     }
--- a/src/test/java/garnetscale/core/sim/SimulatedWorker.java
+++ b/src/test/java/garnetscale/core/sim/SimulatedWorker.java
@@ -1,9 +1,9 @@
 package garnetscale.core.sim;
 
-import garnetscale.core.block.BlockHolder;
 import garnetscale.core.machine.MachineType;
-import garnetscale.core.machine.Report;
-import garnetscale.standin.WorkerModel;
+import garnetscale.core.machine.WorkerHeartbeat;
+import garnetscale.core.partition.HeartbeatReply;
+import garnetscale.emulator.WorkerModel;
 
 /** A worker in simulated time: its model, and the reports that it sends to one controller at a time. */
 final class SimulatedWorker {
@@ -20,17 +20,17 @@
         this.model =
                 new WorkerModel(id, id, type, zone, SimulatedCluster.LEASE, 0, cluster.rules.jobs::get, cluster.rules);
         model.fail(t -> cluster.broken.contains(t.job()));
-        cluster.at(cluster.random.nextInt(1000), this::report);
+        cluster.at(cluster.random.nextInt(1000), this::heartbeat);
     }
 
     /** One report in flight at a time; its answer counts for four seconds. */
-    private void report() {
+    private void heartbeat() {
         if (cluster.isFrozen(id)) {
-            cluster.thawed(id, this::report);
+            cluster.thawed(id, this::heartbeat);
             return;
         }
         model.advance(cluster.now);
-        Report r = model.report();
+        WorkerHeartbeat r = model.heartbeat();
         long mine = ++generation;
         long sentAt = cluster.now;
         SimulatedNode node = cluster.nodes.get(target % cluster.nodes.size());
@@ -39,7 +39,7 @@
             SimulatedNode other = cluster.nodes.get(cluster.random.nextInt(cluster.nodes.size()));
             cluster.at(
                     1000 + cluster.random.nextInt(4 * (int) SimulatedCluster.LEASE),
-                    () -> other.onReport(r, reply -> {}));
+                    () -> other.onHeartbeat(r, reply -> {}));
         }
         if (cluster.now < cluster.keepUntil && cluster.kept.size() < 200) {
             cluster.kept.add(r);
@@ -52,7 +52,7 @@
         cluster.send(
                 id,
                 node.name,
-                () -> node.onReport(
+                () -> node.onHeartbeat(
                         r,
                         reply -> cluster.send(node.name, id, () -> {
                             if (mine == generation && !cluster.isFrozen(id)) {
@@ -68,15 +68,15 @@
         });
     }
 
-    private void answered(Report r, long sentAt, BlockHolder.Reply reply) {
-        if (reply instanceof BlockHolder.Reply.Answer a) {
-            model.answered(cluster.now, sentAt, r.shift(), a.token(), a.orders());
+    private void answered(WorkerHeartbeat r, long sentAt, HeartbeatReply reply) {
+        if (reply instanceof HeartbeatReply.Acknowledge a) {
+            model.answered(cluster.now, sentAt, r.agentEpoch(), a.fencingToken(), a.commands());
             cluster.at(
                     SimulatedCluster.REPORT * 3 / 4 + cluster.random.nextInt((int) SimulatedCluster.REPORT / 2),
-                    this::report);
-        } else if (reply instanceof BlockHolder.Reply.Redirect to && to.node() != null) {
+                    this::heartbeat);
+        } else if (reply instanceof HeartbeatReply.Redirect to && to.node() != null) {
             target = Integer.parseInt(to.node().substring(1));
-            cluster.at(cluster.random.nextInt(500), this::report);
+            cluster.at(cluster.random.nextInt(500), this::heartbeat);
         } else {
             next(1000);
         }
@@ -89,6 +89,6 @@
 
     private void next(long pause) {
         target++;
-        cluster.at(pause, this::report);
+        cluster.at(pause, this::heartbeat);
     }
 }
--- a/src/test/java/garnetscale/core/sim/UpgradeSimulationTest.java
+++ b/src/test/java/garnetscale/core/sim/UpgradeSimulationTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import garnetscale.core.store.Layouts;
+import garnetscale.core.state.Layouts;
 import garnetscale.core.upgrade.ClusterVersion;
 import garnetscale.core.upgrade.UpgradeDecision;
 import garnetscale.core.upgrade.UpgradeStep;
@@ -139,7 +139,7 @@
                     new ClusterVersion(NEW.latest(), NEW.latest()),
                     cluster.stored().version(),
                     "seed " + seed);
-            assertEquals(Layouts.SPLIT_BASE, cluster.stored().layout(), "seed " + seed);
+            assertEquals(Layouts.SPLIT_SNAPSHOT, cluster.stored().layout(), "seed " + seed);
         }
         for (String what : List.of(
                 "activated",
--- a/src/test/java/garnetscale/core/store/BaseListingTest.java
+++ b/src/test/java/garnetscale/core/state/SnapshotListingTest.java
@@ -1,4 +1,4 @@
-package garnetscale.core.store;
+package garnetscale.core.state;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -13,13 +13,13 @@
 import org.junit.jupiter.api.Test;
 
 /** Pages of different moments: of a part that was written anew the newer bucket counts, of the rest the older one. */
-class BaseListingTest {
+class SnapshotListingTest {
 
     private static final Bucket ROOT = Bucket.root(0);
     /** Machines of shard 0; the next bit of their hashes is 0, 1, 0 and 1. */
     private static final String[] MACHINES = {"m-0", "m-32", "m-64", "m-96"};
 
-    private final BaseListing listing = new BaseListing();
+    private final SnapshotListing listing = new SnapshotListing();
 
     private static Map<String, Object> page(long number, String... machines) {
         Map<String, MachineRecord> records = new LinkedHashMap<>();
@@ -39,7 +39,7 @@
     void aMachineThatIsGoneFromTheNewerBucketDoesNotComeBackFromTheOlder() {
         listing.add(ROOT.key(), page(10, MACHINES));
         listing.add(ROOT.child(0).key(), page(20, "m-0"));
-        assertFalse(listing.isTorn());
+        assertFalse(listing.isInconsistent());
         assertEquals(Set.of("m-0", "m-32", "m-96"), machines());
         assertEquals(20, listing.index().regionOf(0).number());
         assertEquals(10, listing.index().regionOf(32).number());
@@ -48,17 +48,17 @@
     @Test
     void halvesThatArePlacedApartAreTheWhole() {
         listing.add(ROOT.child(0).key(), page(20, "m-0", "m-64"));
-        assertTrue(listing.isTorn(), "the other half is missing");
+        assertTrue(listing.isInconsistent(), "the other half is missing");
         listing.add(ROOT.child(1).key(), page(30, "m-32", "m-96"));
-        assertFalse(listing.isTorn());
+        assertFalse(listing.isInconsistent());
         assertEquals(Set.of(MACHINES), machines());
     }
 
     @Test
     void aRootOfSeveralPagesMustBeOfOneMoment() {
         listing.add(WorkLog.baseKey(0, 0), Map.of("n", 10, "m", Map.of(), "f", Map.of(), "c", 2));
-        assertTrue(listing.isTorn(), "a page is missing");
+        assertTrue(listing.isInconsistent(), "a page is missing");
         listing.add(WorkLog.baseKey(0, 1), Map.of("n", 11, "m", Map.of(), "f", Map.of(), "c", 2));
-        assertTrue(listing.isTorn(), "the pages are of different moments");
+        assertTrue(listing.isInconsistent(), "the pages are of different moments");
     }
 }
--- a/src/test/java/garnetscale/core/store/SplitBaseTest.java
+++ b/src/test/java/garnetscale/core/state/SplitSnapshotTest.java
@@ -1,4 +1,4 @@
-package garnetscale.core.store;
+package garnetscale.core.state;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -11,8 +11,8 @@
 import garnetscale.core.machine.Placement;
 import garnetscale.core.upgrade.ClusterVersion;
 import garnetscale.core.upgrade.VersionRange;
-import garnetscale.standin.StateLimits;
-import garnetscale.standin.StateModel;
+import garnetscale.emulator.StateLimits;
+import garnetscale.emulator.StateModel;
 import garnetscale.wire.Cbor;
 import java.io.IOException;
 import java.io.InputStream;
@@ -27,11 +27,11 @@
 import org.junit.jupiter.api.Test;
 
 /** A base that has outgrown its shards is split within the service's limits, and read alike by whoever comes at any moment. */
-class SplitBaseTest {
+class SplitSnapshotTest {
 
     private static final int VALUE_BYTES = 16 * 1024;
     private static final int OPS = 24;
-    private static final int TXN_BYTES = 64 * 1024;
+    private static final int TRANSACTION_BYTES = 64 * 1024;
     /** Machines in all, and placements on each: a shard takes 120 KB, twice what a transaction may hold. */
     private static final int MACHINES = 4000;
 
@@ -39,25 +39,25 @@
     private static final int MACHINES_IN_ENTRY = 12;
     private static final int PAGE = 40;
 
-    private final StateModel state = new StateModel(new StateLimits(VALUE_BYTES, OPS, TXN_BYTES));
+    private final StateModel state = new StateModel(new StateLimits(VALUE_BYTES, OPS, TRANSACTION_BYTES));
     private final Random random = new Random(11);
     private final StateReplica leader = new StateReplica();
     private long attempts;
     /** Transactions that could only fold. */
     private int full;
 
-    SplitBaseTest() {
-        state.commit(new Txn()
+    SplitSnapshotTest() {
+        state.commit(new Transaction()
                 .put(
                         Keys.job("wk-1"),
                         Records.job(new JobRecord(
                                 TestJob.named("wk-1").tasks(100_000).build(), JobState.LIVE, 0))));
-        leader.reset(state.list(Keys.MIRRORED, null, 1000), state.ledger());
-        activate(Layouts.SPLIT_BASE);
+        leader.reset(state.list(Keys.MIRRORED, null, 1000), state.revision());
+        activate(Layouts.SPLIT_SNAPSHOT);
     }
 
     private void activate(int version) {
-        state.commit(new Txn().put(Keys.VERSION, Records.version(new ClusterVersion(version, Layouts.FIRST))));
+        state.commit(new Transaction().put(Keys.VERSION, Records.version(new ClusterVersion(version, Layouts.FIRST))));
         follow(leader);
     }
 
@@ -84,11 +84,11 @@
         BitSet finished = leader.job("wk-1").finishedSet();
         finished.set(task);
         String part = WorkLog.partOf("wk-1", task);
-        Txn txn = new Txn();
+        Transaction transaction = new Transaction();
         boolean isFull = !log.fits(0);
         full += isFull ? 1 : 0;
-        log.write(txn, isFull ? Map.of() : records, Map.of(part, WorkLog.bitsOf(finished, part)));
-        assertEquals(200, state.commit(txn), () -> state.oversized().toString());
+        log.write(transaction, isFull ? Map.of() : records, Map.of(part, WorkLog.bitsOf(finished, part)));
+        assertEquals(200, state.commit(transaction), () -> state.oversized().toString());
         follow(leader);
     }
 
@@ -116,15 +116,15 @@
     }
 
     private void follow(StateReplica replica) {
-        replica.advance(state.changes(Keys.MIRRORED, replica.ledger()), state.ledger());
+        replica.advance(state.changes(Keys.MIRRORED, replica.revision()), state.revision());
     }
 
     /** Lists in pages, with the store going on between them; null when what was read doesn't hold together. */
     private StateReplica list() {
-        List<Change> all = new ArrayList<>();
-        long first = state.ledger();
+        List<KeyChange> all = new ArrayList<>();
+        long first = state.revision();
         String since = null;
-        List<Change> page;
+        List<KeyChange> page;
         do {
             page = state.list(Keys.MIRRORED, since, PAGE);
             all.addAll(page);
@@ -152,7 +152,7 @@
     @Test
     void aFleetOfFourThousandIsStoredWithinTheLimitsAndReadAlike() {
         StateReplica follower = new StateReplica();
-        follower.reset(state.list(Keys.MIRRORED, null, 1000), state.ledger());
+        follower.reset(state.list(Keys.MIRRORED, null, 1000), state.revision());
         for (int i = 0; i < MACHINES; i += MACHINES_IN_ENTRY) {
             List<String> machines = new ArrayList<>();
             for (int k = i; k < Math.min(MACHINES, i + MACHINES_IN_ENTRY); k++) {
@@ -173,17 +173,18 @@
             }
             StateReplica lister = list();
             follow(follower);
-            assertFalse(follower.torn(), "round " + round);
+            assertFalse(follower.inconsistent(), "round " + round);
             assertEquals(seen(leader), seen(follower), "follower in round " + round);
             if (lister != null) {
                 listings++;
-                assertFalse(lister.torn(), "round " + round);
+                assertFalse(lister.inconsistent(), "round " + round);
                 assertEquals(seen(leader), seen(lister), "lister in round " + round);
             }
         }
         assertTrue(listings >= 8, "only " + listings + " of 12 listings held together");
         assertTrue(
-                leader.base().regionCount() > 4 * WorkLog.SHARDS, leader.base().regionCount() + " regions");
+                leader.snapshot().regionCount() > 4 * WorkLog.SHARDS,
+                leader.snapshot().regionCount() + " regions");
         assertEquals(List.of(), state.oversized());
     }
 
@@ -197,7 +198,7 @@
         }
         int entries = state.list(Keys.LOG, null, 100_000).size();
         assertTrue(entries > WorkLog.RING, "only " + entries + " entries");
-        assertTrue(entries <= WorkLog.capacity(leader.base().regionCount()), entries + " entries");
+        assertTrue(entries <= WorkLog.capacity(leader.snapshot().regionCount()), entries + " entries");
     }
 
     /** Without the layout that allows it nothing is split: then the service refuses what has outgrown a transaction. */
@@ -235,17 +236,17 @@
             write(List.of(shard.get(i % shard.size())));
         }
         Bucket root = Bucket.root(Bucket.shardOf(Bucket.hashOfMachine(shard.get(0))));
-        assertTrue(leader.base().pages(root) > 1, "one page only");
-        activate(Layouts.SPLIT_BASE);
+        assertTrue(leader.snapshot().pages(root) > 1, "one page only");
+        activate(Layouts.SPLIT_SNAPSHOT);
         for (int i = 0; i < 2 * WorkLog.RING; i++) {
             write(List.of(shard.get(i % shard.size())));
             StateReplica fresh = new StateReplica();
-            fresh.reset(state.list(Keys.MIRRORED, null, 100_000), state.ledger());
+            fresh.reset(state.list(Keys.MIRRORED, null, 100_000), state.revision());
             assertTrue(fresh.loaded(), "entry " + i);
             assertEquals(seen(leader), seen(fresh), "entry " + i);
         }
-        assertEquals(0, leader.base().pages(root));
-        assertEquals(Layouts.SPLIT_BASE, leader.layout());
+        assertEquals(0, leader.snapshot().pages(root));
+        assertEquals(Layouts.SPLIT_SNAPSHOT, leader.layout());
     }
 
     /**
@@ -265,7 +266,7 @@
         }
         Map<String, Integer> found = new HashMap<>();
         Map<String, Integer> expected = new HashMap<>();
-        for (Change page : state.list(Keys.BASE, null, 100_000)) {
+        for (KeyChange page : state.list(Keys.SNAPSHOT, null, 100_000)) {
             int slash = page.key().lastIndexOf('/');
             String shard = page.key().substring(0, slash);
             found.merge(shard, Integer.parseInt(page.key().substring(slash + 1)) + 1, Math::max);
@@ -290,12 +291,13 @@
             few.add(machine(i));
         }
         assertTrue(
-                leader.base().regionCount() > 4 * WorkLog.SHARDS, leader.base().regionCount() + " regions");
+                leader.snapshot().regionCount() > 4 * WorkLog.SHARDS,
+                leader.snapshot().regionCount() + " regions");
         for (int i = 0; i < few.size(); i += MACHINES_IN_ENTRY) {
             write(few.subList(i, i + MACHINES_IN_ENTRY));
         }
         // Round the ring, so that the keys that the first layout uses hold entries of any age.
-        for (int i = 4 * leader.base().regionCount(); i > 0; i--) {
+        for (int i = 4 * leader.snapshot().regionCount(); i > 0; i--) {
             write(List.of(few.get(random.nextInt(few.size()))));
         }
         activate(Layouts.FIRST);
@@ -314,22 +316,22 @@
         }
         assertReadAlike("converted");
         assertTrue(full > 0, "the log was never full");
-        for (Change entry : state.list(Keys.LOG, null, 100_000)) {
-            assertEquals(LogRing.firstLayoutKey(WorkLog.numberOf(entry.value())), entry.key());
+        for (KeyChange entry : state.list(Keys.LOG, null, 100_000)) {
+            assertEquals(LogRingBuffer.firstLayoutKey(WorkLog.numberOf(entry.value())), entry.key());
         }
-        for (Change page : state.list(Keys.BASE, null, 100_000)) {
-            assertTrue(BaseIndex.bucketOf(page.key()).isRoot(), page.key());
+        for (KeyChange page : state.list(Keys.SNAPSHOT, null, 100_000)) {
+            assertTrue(SnapshotIndex.bucketOf(page.key()).isRoot(), page.key());
         }
-        activate(Layouts.SPLIT_BASE);
+        activate(Layouts.SPLIT_SNAPSHOT);
         fill();
         assertReadAlike("on again");
-        assertEquals(Layouts.SPLIT_BASE, leader.layout());
+        assertEquals(Layouts.SPLIT_SNAPSHOT, leader.layout());
         assertEquals(List.of(), state.oversized());
     }
 
     private void assertReadAlike(String when) {
         StateReplica fresh = new StateReplica();
-        fresh.reset(state.list(Keys.MIRRORED, null, 100_000), state.ledger());
+        fresh.reset(state.list(Keys.MIRRORED, null, 100_000), state.revision());
         assertTrue(fresh.loaded(), when);
         assertEquals(seen(leader), seen(fresh), when);
     }
@@ -344,13 +346,13 @@
     @Test
     void whatTheProgramBeforeStoredIsRead() throws IOException {
         Map<?, ?> kept;
-        try (InputStream in = SplitBaseTest.class.getResourceAsStream("/layouts/first-layout.cbor")) {
+        try (InputStream in = SplitSnapshotTest.class.getResourceAsStream("/layouts/first-layout.cbor")) {
             kept = Cbor.readMap(in.readAllBytes());
         }
-        List<Change> stored = new ArrayList<>();
+        List<KeyChange> stored = new ArrayList<>();
         for (Object pair : (List<?>) kept.get("pairs")) {
             Map<?, ?> row = (Map<?, ?>) pair;
-            stored.add(new Change((String) row.get("key"), row.get("v"), ((Number) row.get("stamp")).longValue()));
+            stored.add(new KeyChange((String) row.get("key"), row.get("v"), ((Number) row.get("stamp")).longValue()));
         }
         StateReplica replica = new StateReplica();
         replica.reset(stored, ((Number) kept.get("ledger")).longValue());
@@ -363,23 +365,27 @@
                 .forEach((job, finished) -> assertEquals(
                         finished, replica.job((String) job).finishedSet().toString()));
 
-        Txn everything = new Txn();
+        Transaction everything = new Transaction();
         stored.forEach(c -> everything.put(c.key(), c.value()));
-        everything.put(Keys.VERSION, Records.version(new ClusterVersion(Layouts.SPLIT_BASE, Layouts.FIRST)));
+        everything.put(Keys.VERSION, Records.version(new ClusterVersion(Layouts.SPLIT_SNAPSHOT, Layouts.FIRST)));
         StateModel taken = new StateModel();
         taken.commit(everything);
         StateReplica follower = new StateReplica();
-        follower.reset(taken.list(Keys.MIRRORED, null, 100_000), taken.ledger());
+        follower.reset(taken.list(Keys.MIRRORED, null, 100_000), taken.revision());
         for (int i = 0; i < 3 * WorkLog.RING; i++) {
-            LogWriter log = new LogWriter(follower, new LogWriter.Limits(VALUE_BYTES, OPS, Layouts.SPLIT_BASE, false));
-            Txn txn = new Txn();
-            log.write(txn, Map.of("m-999999", new MachineRecord("a", List.of(), Map.of("img", (double) i))), Map.of());
-            assertEquals(200, taken.commit(txn));
-            follower.advance(taken.changes(Keys.MIRRORED, follower.ledger()), taken.ledger());
+            LogWriter log =
+                    new LogWriter(follower, new LogWriter.Limits(VALUE_BYTES, OPS, Layouts.SPLIT_SNAPSHOT, false));
+            Transaction transaction = new Transaction();
+            log.write(
+                    transaction,
+                    Map.of("m-999999", new MachineRecord("a", List.of(), Map.of("img", (double) i))),
+                    Map.of());
+            assertEquals(200, taken.commit(transaction));
+            follower.advance(taken.changes(Keys.MIRRORED, follower.revision()), taken.revision());
         }
-        assertEquals(Layouts.SPLIT_BASE, follower.layout());
+        assertEquals(Layouts.SPLIT_SNAPSHOT, follower.layout());
         StateReplica fresh = new StateReplica();
-        fresh.reset(taken.list(Keys.MIRRORED, null, 100_000), taken.ledger());
+        fresh.reset(taken.list(Keys.MIRRORED, null, 100_000), taken.revision());
         Map<String, List<String>> after = placementsOf(fresh);
         after.remove("m-999999");
         assertEquals(expected.get("placements"), after);
@@ -389,22 +395,24 @@
     @Test
     void aListingWithoutOneOfTheBucketsIsTorn() {
         fill();
-        List<Change> all = state.list(Keys.MIRRORED, null, 100_000);
-        List<Change> buckets = all.stream()
-                .filter(c -> c.key().startsWith(Keys.BASE)
-                        && !BaseIndex.bucketOf(c.key()).isRoot())
+        List<KeyChange> all = state.list(Keys.MIRRORED, null, 100_000);
+        List<KeyChange> buckets = all.stream()
+                .filter(c -> c.key().startsWith(Keys.SNAPSHOT)
+                        && !SnapshotIndex.bucketOf(c.key()).isRoot())
                 .toList();
         assertTrue(buckets.size() > WorkLog.SHARDS, buckets.size() + " buckets");
-        int torn = 0;
-        for (Change missed : buckets) {
+        int inconsistent = 0;
+        for (KeyChange missed : buckets) {
             StateReplica replica = new StateReplica();
-            replica.reset(all.stream().filter(c -> c != missed).toList(), state.ledger());
+            replica.reset(all.stream().filter(c -> c != missed).toList(), state.revision());
             // Where an older bucket above it is still stored, the entries since then are needed, and there or missing.
             boolean isBehind = replica.sequence() < leader.sequence();
-            assertTrue(replica.torn() || isBehind || seen(replica).equals(seen(leader)), "without " + missed.key());
-            torn += replica.torn() ? 1 : 0;
+            assertTrue(
+                    replica.inconsistent() || isBehind || seen(replica).equals(seen(leader)),
+                    "without " + missed.key());
+            inconsistent += replica.inconsistent() ? 1 : 0;
         }
-        assertTrue(torn > WorkLog.SHARDS, "only " + torn + " were torn");
+        assertTrue(inconsistent > WorkLog.SHARDS, "only " + inconsistent + " were torn");
     }
 
     private static Map<String, List<String>> placementsOf(StateReplica replica) {
@@ -413,7 +421,7 @@
             placements.put(
                     machine,
                     replica.placements(machine).stream()
-                            .map(p -> p.task() + " " + p.attempt() + " " + p.shift() + " " + p.stop())
+                            .map(p -> p.task() + " " + p.attempt() + " " + p.agentEpoch() + " " + p.stop())
                             .toList());
         }
         return placements;
--- a/src/test/java/garnetscale/core/store/StoredFormsTest.java
+++ b/src/test/java/garnetscale/core/state/StoredFormsTest.java
@@ -1,11 +1,8 @@
-package garnetscale.core.store;
+package garnetscale.core.state;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import garnetscale.ExpectedForms;
-import garnetscale.core.block.BlockLease;
-import garnetscale.core.block.LeaderInfo;
-import garnetscale.core.block.NodeInfo;
 import garnetscale.core.job.JobRecord;
 import garnetscale.core.job.JobSpec;
 import garnetscale.core.job.JobState;
@@ -13,6 +10,9 @@
 import garnetscale.core.job.TaskId;
 import garnetscale.core.machine.MachineType;
 import garnetscale.core.machine.Placement;
+import garnetscale.core.partition.ControllerInfo;
+import garnetscale.core.partition.LeaderInfo;
+import garnetscale.core.partition.PartitionLease;
 import garnetscale.core.upgrade.ClusterVersion;
 import garnetscale.core.upgrade.VersionRange;
 import java.util.ArrayList;
@@ -112,12 +112,12 @@
                         Keys.TYPES,
                         Keys.VERSION,
                         Keys.LOG,
-                        Keys.BASE,
+                        Keys.SNAPSHOT,
                         Keys.job(JOB),
-                        Keys.archived(JOB),
-                        Keys.block("a/0"),
+                        Keys.terminalJob(JOB),
+                        Keys.partition("a/0"),
                         Keys.node("n-0")));
-        assertEquals(JOB, Keys.archivedJob(Keys.archived(JOB)));
+        assertEquals(JOB, Keys.terminalJobOfKey(Keys.terminalJob(JOB)));
     }
 
     @Test
@@ -148,10 +148,10 @@
     }
 
     @Test
-    void archivedJob() {
-        Records.Archived archived = new Records.Archived(JobState.CANCELLED, 16, 3, "red");
-        EXPECTED.checkTree("archived job", Records.archived(archived));
-        assertEquals(archived, Records.archived((Object) Records.archived(archived)));
+    void terminalJobOfKey() {
+        Records.TerminalJob terminalJob = new Records.TerminalJob(JobState.CANCELLED, 16, 3, "red");
+        EXPECTED.checkTree("archived job", Records.terminalJob(terminalJob));
+        assertEquals(terminalJob, Records.terminalJob((Object) Records.terminalJob(terminalJob)));
     }
 
     @Test
@@ -185,14 +185,14 @@
 
     @Test
     void blockLease() {
-        BlockLease lease = new BlockLease("n-0", 7, 1_048_577);
-        EXPECTED.checkTree("block lease", Records.block(lease));
-        assertEquals(lease, Records.block((Object) Records.block(lease)));
+        PartitionLease lease = new PartitionLease("n-0", 7, 1_048_577);
+        EXPECTED.checkTree("block lease", Records.partition(lease));
+        assertEquals(lease, Records.partition((Object) Records.partition(lease)));
     }
 
     @Test
     void node() {
-        NodeInfo node = new NodeInfo("n-0", 7, "a", new VersionRange(1, 2));
+        ControllerInfo node = new ControllerInfo("n-0", 7, "a", new VersionRange(1, 2));
         EXPECTED.checkTree("node", Records.node(node));
         assertEquals(node, Records.node("n-0", Records.node(node)));
     }
@@ -258,7 +258,7 @@
                         root.child(1).child(1).key()));
         assertEquals(
                 root.child(1).child(1),
-                BaseIndex.bucketOf(root.child(1).child(1).key()));
+                SnapshotIndex.bucketOf(root.child(1).child(1).key()));
     }
 
     /** Where machines and parts of finished sets lie: any other hash would look for them in other keys. */
--- a/src/test/java/garnetscale/core/store/StoredLogTest.java
+++ b/src/test/java/garnetscale/core/state/StoredLogTest.java
@@ -1,4 +1,4 @@
-package garnetscale.core.store;
+package garnetscale.core.state;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -9,7 +9,7 @@
 import garnetscale.core.job.TestJob;
 import garnetscale.core.machine.Placement;
 import garnetscale.core.upgrade.ClusterVersion;
-import garnetscale.standin.StateModel;
+import garnetscale.emulator.StateModel;
 import garnetscale.wire.StateCodec;
 import java.util.ArrayList;
 import java.util.BitSet;
@@ -34,24 +34,24 @@
 
     private final StateModel state = new StateModel();
     private final StateReplica replica = new StateReplica();
-    private final List<Txn> written = new ArrayList<>();
+    private final List<Transaction> written = new ArrayList<>();
 
     StoredLogTest() {
-        state.commit(new Txn()
+        state.commit(new Transaction()
                 .put(
                         Keys.job(JOB),
                         Records.job(
                                 new JobRecord(TestJob.named(JOB).tasks(TASKS).build(), JobState.LIVE, 0))));
-        replica.reset(state.list(Keys.MIRRORED, null, 1000), state.ledger());
+        replica.reset(state.list(Keys.MIRRORED, null, 1000), state.revision());
     }
 
-    private void commit(Txn txn) {
-        assertEquals(200, state.commit(txn));
-        replica.advance(state.changes(Keys.MIRRORED, replica.ledger()), state.ledger());
+    private void commit(Transaction transaction) {
+        assertEquals(200, state.commit(transaction));
+        replica.advance(state.changes(Keys.MIRRORED, replica.revision()), state.revision());
     }
 
     private void activate(int version) {
-        commit(new Txn().put(Keys.VERSION, Records.version(new ClusterVersion(version, Layouts.FIRST))));
+        commit(new Transaction().put(Keys.VERSION, Records.version(new ClusterVersion(version, Layouts.FIRST))));
     }
 
     /** Places an attempt on one machine in place of what it had, and finishes a task. */
@@ -66,10 +66,10 @@
         String part = WorkLog.partOf(JOB, task);
         Map<String, MachineRecord> machines = new LinkedHashMap<>();
         machines.put("m-" + number % MACHINES, machine);
-        Txn txn = new Txn();
-        log.write(txn, machines, Map.of(part, WorkLog.bitsOf(finished, part)));
-        commit(txn);
-        written.add(txn);
+        Transaction transaction = new Transaction();
+        log.write(transaction, machines, Map.of(part, WorkLog.bitsOf(finished, part)));
+        commit(transaction);
+        written.add(transaction);
     }
 
     private void write(int entries, int layout, boolean splitsAny) {
@@ -85,8 +85,8 @@
     /** The keys that each transaction writes, and removes (marked by a minus sign). */
     private void checkKeys(String name, int from) {
         List<Object> keys = new ArrayList<>();
-        for (Txn txn : written.subList(from, written.size())) {
-            keys.add(txn.ops().stream()
+        for (Transaction transaction : written.subList(from, written.size())) {
+            keys.add(transaction.ops().stream()
                     .map(op -> (op.value() == null ? "-" : "") + op.key())
                     .toList());
         }
@@ -106,10 +106,10 @@
     @Test
     void splitBase() {
         write(FIRST_FOLD, Layouts.FIRST, false);
-        activate(Layouts.SPLIT_BASE);
-        write(1, Layouts.SPLIT_BASE, true);
+        activate(Layouts.SPLIT_SNAPSHOT);
+        write(1, Layouts.SPLIT_SNAPSHOT, true);
         check("layout 2 first split", FIRST_FOLD);
-        write(ENTRIES, Layouts.SPLIT_BASE, true);
+        write(ENTRIES, Layouts.SPLIT_SNAPSHOT, true);
         check("layout 2 entry after the split", FIRST_FOLD + 1);
         check("layout 2 last entry", written.size() - 1);
         checkKeys("layout 2 keys", FIRST_FOLD);
@@ -117,8 +117,8 @@
 
     @Test
     void backToTheFirstLayout() {
-        activate(Layouts.SPLIT_BASE);
-        write(ENTRIES, Layouts.SPLIT_BASE, true);
+        activate(Layouts.SPLIT_SNAPSHOT);
+        write(ENTRIES, Layouts.SPLIT_SNAPSHOT, true);
         activate(Layouts.FIRST);
         write(1, Layouts.FIRST, false);
         check("conversion to layout 1", ENTRIES);
--- a/src/test/java/garnetscale/core/store/WorkLogTest.java
+++ b/src/test/java/garnetscale/core/state/WorkLogTest.java
@@ -1,4 +1,4 @@
-package garnetscale.core.store;
+package garnetscale.core.state;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -10,7 +10,7 @@
 import garnetscale.core.job.TaskId;
 import garnetscale.core.job.TestJob;
 import garnetscale.core.machine.Placement;
-import garnetscale.standin.StateModel;
+import garnetscale.emulator.StateModel;
 import java.util.ArrayList;
 import java.util.BitSet;
 import java.util.LinkedHashMap;
@@ -58,23 +58,23 @@
             String part = WorkLog.partOf("wk-2", task);
             parts.put(part, WorkLog.bitsOf(all, part));
         }
-        Txn txn = new Txn();
-        log.write(txn, machines, parts);
-        assertEquals(200, state.commit(txn));
+        Transaction transaction = new Transaction();
+        log.write(transaction, machines, parts);
+        assertEquals(200, state.commit(transaction));
         follow(leader);
     }
 
     private void follow(StateReplica m) {
-        m.advance(state.changes(Keys.MIRRORED, m.ledger()), state.ledger());
+        m.advance(state.changes(Keys.MIRRORED, m.revision()), state.revision());
     }
 
     /** Lists in pages, with the store going on between them, as long as it takes to get a listing that holds together. */
     private StateReplica list() {
         for (int tries = 0; tries < 20; tries++) {
-            List<Change> all = new ArrayList<>();
-            long first = state.ledger();
+            List<KeyChange> all = new ArrayList<>();
+            long first = state.revision();
             String since = null;
-            List<Change> page;
+            List<KeyChange> page;
             do {
                 page = state.list(Keys.MIRRORED, since, PAGE);
                 all.addAll(page);
@@ -87,7 +87,7 @@
             m.reset(all, first);
             if (m.loaded()) {
                 follow(m);
-                assertFalse(m.torn());
+                assertFalse(m.inconsistent());
                 return m;
             }
         }
@@ -111,16 +111,17 @@
     void followersAndListersSeeTheSame() {
         for (int i = 1; i <= 2; i++) {
             String id = "wk-" + i;
-            state.commit(new Txn().put(Keys.job(id), Records.job(new JobRecord(job(id, 10_000), JobState.LIVE, 0))));
+            state.commit(
+                    new Transaction().put(Keys.job(id), Records.job(new JobRecord(job(id, 10_000), JobState.LIVE, 0))));
         }
-        leader.reset(state.list(Keys.MIRRORED, null, 1000), state.ledger());
+        leader.reset(state.list(Keys.MIRRORED, null, 1000), state.revision());
         StateReplica follower = list();
         for (int round = 0; round < 40; round++) {
             for (int i = random.nextInt(40); i >= 0; i--) {
                 write();
             }
             follow(follower);
-            assertFalse(follower.torn());
+            assertFalse(follower.inconsistent());
             assertEquals(seen(leader), seen(follower), "follower in round " + round);
             StateReplica lister = list();
             assertEquals(seen(leader), seen(lister), "lister in round " + round);
@@ -133,17 +134,17 @@
     /** A follower that the answer brings only a slot's newest entry has to notice that it lost the others. */
     @Test
     void lostEntriesAreNoticed() {
-        state.commit(new Txn()
+        state.commit(new Transaction()
                 .put(Keys.job("wk-1"), Records.job(new JobRecord(job("wk-1", 10_000), JobState.LIVE, 0)))
                 .put(Keys.job("wk-2"), Records.job(new JobRecord(job("wk-2", 10_000), JobState.LIVE, 0))));
-        leader.reset(state.list(Keys.MIRRORED, null, 1000), state.ledger());
+        leader.reset(state.list(Keys.MIRRORED, null, 1000), state.revision());
         StateReplica follower = list();
-        long from = follower.ledger();
+        long from = follower.revision();
         write();
         write();
-        List<Change> log = state.changes(Keys.MIRRORED, from);
-        follower.advance(log.subList(log.size() - 1, log.size()), state.ledger());
-        assertTrue(follower.torn());
+        List<KeyChange> log = state.changes(Keys.MIRRORED, from);
+        follower.advance(log.subList(log.size() - 1, log.size()), state.revision());
+        assertTrue(follower.inconsistent());
     }
 
     /** The largest records that the limits allow still make values and transactions that the service takes. */
--- a/src/test/java/garnetscale/core/trace/TraceRunner.java
+++ b/src/test/java/garnetscale/core/trace/TraceRunner.java
@@ -1,32 +1,34 @@
 package garnetscale.core.trace;
 
-import garnetscale.core.Params;
-import garnetscale.core.TestParams;
-import garnetscale.core.bid.Bid;
-import garnetscale.core.bid.Estimator;
-import garnetscale.core.block.BlockHolder;
-import garnetscale.core.block.Blocks;
-import garnetscale.core.block.NodeInfo;
+import garnetscale.core.SchedulerConfig;
+import garnetscale.core.TestConfig;
+import garnetscale.core.bidding.Bid;
+import garnetscale.core.bidding.Estimator;
 import garnetscale.core.job.JobRecord;
 import garnetscale.core.job.JobSpec;
 import garnetscale.core.job.JobState;
 import garnetscale.core.job.Priority;
 import garnetscale.core.job.TaskId;
 import garnetscale.core.job.TestJob;
-import garnetscale.core.lead.Leader;
-import garnetscale.core.lead.Pipeline;
+import garnetscale.core.leader.Leader;
+import garnetscale.core.leader.TransactionPipeline;
 import garnetscale.core.machine.MachineType;
-import garnetscale.core.machine.Report;
-import garnetscale.core.machine.ReportedTask;
+import garnetscale.core.machine.TaskStatus;
 import garnetscale.core.machine.WorkerCommand;
-import garnetscale.core.store.Keys;
-import garnetscale.core.store.Layouts;
-import garnetscale.core.store.Records;
-import garnetscale.core.store.StateReplica;
-import garnetscale.core.store.Txn;
-import garnetscale.core.store.TxnResult;
-import garnetscale.standin.StateModel;
-import garnetscale.standin.WorkerModel;
+import garnetscale.core.machine.WorkerHeartbeat;
+import garnetscale.core.partition.ControllerInfo;
+import garnetscale.core.partition.HeartbeatReply;
+import garnetscale.core.partition.OwnerEffect;
+import garnetscale.core.partition.PartitionMap;
+import garnetscale.core.partition.PartitionOwner;
+import garnetscale.core.state.Keys;
+import garnetscale.core.state.Layouts;
+import garnetscale.core.state.Records;
+import garnetscale.core.state.StateReplica;
+import garnetscale.core.state.Transaction;
+import garnetscale.core.state.TransactionOutcome;
+import garnetscale.emulator.StateModel;
+import garnetscale.emulator.WorkerModel;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -47,19 +49,19 @@
     private final class Node {
         final String name;
         final StateReplica replica = new StateReplica();
-        final Params params;
-        final BlockHolder holder;
+        final SchedulerConfig config;
+        final PartitionOwner owner;
         final Leader leader;
-        final Pipeline pipeline;
+        final TransactionPipeline pipeline;
         long lease;
 
         Node(String name) {
             this.name = name;
-            params = params(name);
-            Blocks blocks = new Blocks(params);
-            holder = new BlockHolder(params, replica, blocks, new Estimator(params.reportMs()));
-            leader = new Leader(params, replica, blocks, s -> say(name + " logs: " + s));
-            pipeline = new Pipeline(replica, leader);
+            config = config(name);
+            PartitionMap partitions = new PartitionMap(config);
+            owner = new PartitionOwner(config, replica, partitions, new Estimator(config.heartbeatIntervalMs()));
+            leader = new Leader(config, replica, partitions, s -> say(name + " logs: " + s));
+            pipeline = new TransactionPipeline(replica, leader);
         }
     }
 
@@ -67,29 +69,31 @@
     private final Map<String, Node> nodes = new TreeMap<>();
     private final Map<String, WorkerModel> workers = new TreeMap<>();
     private final Map<String, JobSpec> jobs = new HashMap<>();
-    private final List<BlockHolder.Effect.Command> commands = new ArrayList<>();
+    private final List<OwnerEffect.SendCommands> commands = new ArrayList<>();
     /** Workers that nothing reaches; what they send themselves gets through. */
-    private final Set<String> deaf = new HashSet<>();
+    private final Set<String> isolatedFromWorkers = new HashSet<>();
     /** The newest report of each worker, of which copies may come late. */
-    private final Map<String, Report> copies = new HashMap<>();
+    private final Map<String, WorkerHeartbeat> copies = new HashMap<>();
 
-    private final Map<String, Txn> held = new HashMap<>();
+    private final Map<String, Transaction> held = new HashMap<>();
     private final StringBuilder out = new StringBuilder();
     private long now;
 
     TraceRunner() {
-        state.commit(new Txn().put(Keys.TYPES, Records.types(TYPES)));
+        state.commit(new Transaction().put(Keys.TYPES, Records.types(TYPES)));
     }
 
-    private static Params params(String self) {
-        return TestParams.small()
+    private static SchedulerConfig config(String self) {
+        return TestConfig.small()
                 .self(self)
-                .members(List.of(new Params.Member("n0", "a", ""), new Params.Member("n1", "b", "")))
+                .controllers(List.of(
+                        new SchedulerConfig.ControllerAddress("n0", "a", ""),
+                        new SchedulerConfig.ControllerAddress("n1", "b", "")))
                 .zones(List.of("a", "b"))
                 .teams(
-                        new Params.Team("red", 8, 12, 0, Double.POSITIVE_INFINITY),
-                        new Params.Team("blue", 8, Double.POSITIVE_INFINITY, 0, 1))
-                .objectives(new Params.Objective("wait", "c", 2, 0.9, 0))
+                        new SchedulerConfig.Team("red", 8, 12, 0, Double.POSITIVE_INFINITY),
+                        new SchedulerConfig.Team("blue", 8, Double.POSITIVE_INFINITY, 0, 1))
+                .objectives(new SchedulerConfig.ServiceLevelObjective("wait", "c", 2, 0.9, 0))
                 .build();
     }
 
@@ -162,23 +166,23 @@
                                 }));
             case "job" -> job(w);
             case "cancel" -> cancel(w[1]);
-            case "told" -> nodes.get(w[1]).holder.onCancelled(w[2]);
+            case "told" -> nodes.get(w[1]).owner.onCancelled(w[2]);
             case "retell" -> {
-                nodes.get(w[1]).holder.resynchronize(now);
+                nodes.get(w[1]).owner.resynchronize(now);
                 effects(nodes.get(w[1]), false);
             }
             case "slow" -> workers.get(w[1]).slowDown(Double.parseDouble(w[2]));
             case "book" ->
                 nodes.get(w[1])
-                        .holder
-                        .onBook(
+                        .owner
+                        .onMachineDirectory(
                                 List.of(),
                                 nodes.get(w[1]).leader.lateJobs(),
                                 List.copyOf(nodes.get(w[1]).leader.suspects()));
-            case "deaf" -> deaf.add(w[1]);
-            case "hears" -> deaf.remove(w[1]);
+            case "deaf" -> isolatedFromWorkers.add(w[1]);
+            case "hears" -> isolatedFromWorkers.remove(w[1]);
             case "copy" -> copy(copies.get(w[1]), nodes.get(w[2]));
-            case "report" -> report(workers.get(w[1]), nodes.get(w[2]), flag(w, "lost"));
+            case "report" -> heartbeat(workers.get(w[1]), nodes.get(w[2]), flag(w, "lost"));
             case "tick" -> effects(nodes.get(w[1]), true);
             case "lead" -> lead(nodes.get(w[1]), w.length > 2 ? w[2] : "ok");
             case "arrives" -> say(commit(held.remove(w[1])) + " for the held transaction");
@@ -204,28 +208,31 @@
     private void up(String name) {
         Node n = new Node(name);
         n.lease = state.grant(now, 1_000_000_000);
-        String zone = n.params.zoneOfNode(name);
-        state.commit(new Txn()
-                .put(Keys.node(name), Records.node(new NodeInfo(name, n.lease, zone, Layouts.SUPPORTED)), n.lease));
-        n.holder.incarnate(n.lease);
-        n.leader.incarnate(n.lease);
+        String zone = n.config.zoneOfNode(name);
+        state.commit(new Transaction()
+                .put(
+                        Keys.node(name),
+                        Records.node(new ControllerInfo(name, n.lease, zone, Layouts.SUPPORTED)),
+                        n.lease));
+        n.owner.onLeaseGranted(n.lease);
+        n.leader.onLeaseGranted(n.lease);
         nodes.put(name, n);
         sync(n);
     }
 
     private void sync(Node n) {
         if (n.replica.loaded()) {
-            n.replica.advance(state.changes(Keys.MIRRORED, n.replica.ledger()), state.ledger());
+            n.replica.advance(state.changes(Keys.MIRRORED, n.replica.revision()), state.revision());
         } else {
-            n.replica.reset(state.list(Keys.MIRRORED, null, 1000), state.ledger());
+            n.replica.reset(state.list(Keys.MIRRORED, null, 1000), state.revision());
         }
-        n.holder.confirmed(now);
+        n.owner.confirmed(now);
     }
 
     /** What a node that starts now would read. */
     private StateReplica stored() {
         StateReplica m = new StateReplica();
-        m.reset(state.list(Keys.MIRRORED, null, 1000), state.ledger());
+        m.reset(state.list(Keys.MIRRORED, null, 1000), state.revision());
         return m;
     }
 
@@ -235,13 +242,13 @@
                 .priority(Priority.valueOf(option(w, "rank", "NORMAL")))
                 .tasks(Integer.parseInt(option(w, "n", "1")))
                 .cpus(Double.parseDouble(option(w, "cpus", "2")))
-                .oneZone(flag(w, "one-zone"))
-                .spread(flag(w, "spread"))
+                .zoneAffinity(flag(w, "one-zone"))
+                .zoneAntiAffinity(flag(w, "spread"))
                 .imageGb(2)
                 .estimateS(Double.parseDouble(option(w, "est", "30")))
                 .build();
         jobs.put(w[1], s);
-        state.commit(new Txn()
+        state.commit(new Transaction()
                 .guard(Keys.job(w[1]), 0)
                 .put(Keys.job(w[1]), Records.job(new JobRecord(s, JobState.LIVE, now))));
     }
@@ -249,70 +256,71 @@
     private void cancel(String id) {
         StateModel.Entry e = state.get(Keys.job(id));
         if (e == null) {
-            say("nothing to cancel: " + text(state.get(Keys.archived(id)).value()));
+            say("nothing to cancel: " + text(state.get(Keys.terminalJob(id)).value()));
             return;
         }
         JobRecord r = Records.job(id, e.value());
-        state.commit(new Txn()
-                .guard(Keys.job(id), e.stamp())
+        state.commit(new Transaction()
+                .guard(Keys.job(id), e.modRevision())
                 .put(Keys.job(id), Records.job(r.withState(JobState.CANCELLED))));
     }
 
-    private void report(WorkerModel m, Node n, boolean lost) {
+    private void heartbeat(WorkerModel m, Node n, boolean lost) {
         m.advance(now);
-        Report r = m.report();
+        WorkerHeartbeat r = m.heartbeat();
         copies.put(m.id(), r);
-        BlockHolder.Reply reply = n.holder.onReport(now, r);
-        if (reply instanceof BlockHolder.Reply.Answer a) {
-            say(n.name + " answers " + m.id() + " " + token(a.token()) + " " + orders(a.orders())
+        HeartbeatReply reply = n.owner.onHeartbeat(now, r);
+        if (reply instanceof HeartbeatReply.Acknowledge a) {
+            say(n.name + " answers " + m.id() + " " + fencingToken(a.fencingToken()) + " " + commands(a.commands())
                     + (lost ? ", lost" : ""));
-            if (!lost && !deaf.contains(m.id())) {
-                m.answered(now, now, r.shift(), a.token(), a.orders());
+            if (!lost && !isolatedFromWorkers.contains(m.id())) {
+                m.answered(now, now, r.agentEpoch(), a.fencingToken(), a.commands());
             }
-        } else if (reply instanceof BlockHolder.Reply.Redirect to) {
+        } else if (reply instanceof HeartbeatReply.Redirect to) {
             say(n.name + " sends " + m.id() + " to " + to.node());
         } else {
-            say(n.name + " refuses " + m.id() + ": " + ((BlockHolder.Reply.Refuse) reply).why());
+            say(n.name + " refuses " + m.id() + ": " + ((HeartbeatReply.Reject) reply).reason());
         }
         effects(n, false);
     }
 
     /** A copy of a report that came before; the answer goes nowhere. */
-    private void copy(Report r, Node n) {
-        BlockHolder.Reply reply = n.holder.onReport(now, r);
+    private void copy(WorkerHeartbeat r, Node n) {
+        HeartbeatReply reply = n.owner.onHeartbeat(now, r);
         say(n.name
-                + (reply instanceof BlockHolder.Reply.Answer a
-                        ? " answers a copy " + token(a.token()) + " " + orders(a.orders())
-                        : reply instanceof BlockHolder.Reply.Redirect ? " sends a copy elsewhere" : " refuses a copy"));
+                + (reply instanceof HeartbeatReply.Acknowledge a
+                        ? " answers a copy " + fencingToken(a.fencingToken()) + " " + commands(a.commands())
+                        : reply instanceof HeartbeatReply.Redirect ? " sends a copy elsewhere" : " refuses a copy"));
         effects(n, false);
     }
 
     private void effects(Node n, boolean tick) {
         if (tick) {
-            n.holder.tick(now);
+            n.owner.tick(now);
         }
-        for (BlockHolder.Effect e : n.holder.drain()) {
-            if (e instanceof BlockHolder.Effect.Command c) {
-                say(n.name + " commands " + c.machine() + " " + token(c.token()) + " " + orders(c.orders()));
+        for (OwnerEffect e : n.owner.drain()) {
+            if (e instanceof OwnerEffect.SendCommands c) {
+                say(n.name + " commands " + c.machine() + " " + fencingToken(c.fencingToken()) + " "
+                        + commands(c.commands()));
                 commands.add(c);
-            } else if (e instanceof BlockHolder.Effect.Probe p) {
+            } else if (e instanceof OwnerEffect.ProbeWorker p) {
                 WorkerModel m = workers.get(p.machine());
-                boolean answered = m != null && !deaf.contains(p.machine());
+                boolean answered = m != null && !isolatedFromWorkers.contains(p.machine());
                 say(n.name + " asks " + p.machine() + (answered ? "" : ", no answer"));
-                n.holder.onProbeEnded();
+                n.owner.onProbeEnded();
                 if (answered) {
                     m.advance(now);
-                    n.holder.onProbeAnswer(now, m.report());
+                    n.owner.onProbeAnswer(now, m.heartbeat());
                 }
-            } else if (e instanceof BlockHolder.Effect.Tell t) {
-                say(n.name + " tells: " + t.observation().machine()
-                        + (t.observation().silent() ? " silent" : "") + " "
-                        + tasks(t.observation().tasks())
-                        + (t.observation().gone().isEmpty()
+            } else if (e instanceof OwnerEffect.PublishStatus t) {
+                say(n.name + " tells: " + t.machineStatus().machine()
+                        + (t.machineStatus().silent() ? " silent" : "") + " "
+                        + tasks(t.machineStatus().tasks())
+                        + (t.machineStatus().terminated().isEmpty()
                                 ? ""
-                                : " gone " + t.observation().gone().size()));
-                nodes.values().forEach(o -> o.leader.onObservation(now, t.observation()));
-            } else if (e instanceof BlockHolder.Effect.Offer o) {
+                                : " gone " + t.machineStatus().terminated().size()));
+                nodes.values().forEach(o -> o.leader.onMachineStatus(now, t.machineStatus()));
+            } else if (e instanceof OwnerEffect.SubmitBids o) {
                 List<String> bids = new ArrayList<>();
                 for (Bid b : o.batch().bids()) {
                     bids.add(b.machine() + " for " + b.slots() + " of " + b.job() + " in " + b.finishS() + " s");
@@ -326,7 +334,7 @@
     /** Sends the leader's next transaction. Its end: ok, applied or lost (both without an answer), or held. */
     private void lead(Node n, String end) {
         if (!n.leader.leads(now)) {
-            Txn election = n.leader.election(now);
+            Transaction election = n.leader.election(now);
             say(n.name
                     + (election == null
                             ? " doesn't stand: there is a leader"
@@ -335,32 +343,35 @@
             n.leader.leads(now);
             return;
         }
-        Txn txn = n.pipeline.next(() -> n.leader.plan(now));
-        if (txn == null) {
+        Transaction transaction = n.pipeline.next(() -> n.leader.plan(now));
+        if (transaction == null) {
             say(n.name + " has nothing to write");
             return;
         }
         StringBuilder ops = new StringBuilder();
-        for (Txn.Op op : txn.ops()) {
+        for (Transaction.Op op : transaction.ops()) {
             ops.append(ops.isEmpty() ? "" : "; ")
                     .append(op.key())
                     .append(op.value() == null ? " removed" : " = " + text(op.value()));
         }
         String result = end.equals("lost") || end.equals("held")
                 ? "no answer"
-                : commit(txn) + (end.equals("applied") ? ", no answer" : "");
+                : commit(transaction) + (end.equals("applied") ? ", no answer" : "");
         if (end.equals("held")) {
-            held.put(n.name, txn);
+            held.put(n.name, transaction);
         }
         say(n.name + " writes " + ops + " -> " + result);
         boolean ok = end.equals("ok");
         n.pipeline.ended(
-                !ok ? TxnResult.MAYBE : result.equals("200") ? TxnResult.OK : TxnResult.CONFLICT, state.ledger());
+                !ok
+                        ? TransactionOutcome.MAYBE
+                        : result.equals("200") ? TransactionOutcome.OK : TransactionOutcome.CONFLICT,
+                state.revision());
         n.pipeline.ready();
     }
 
-    private String commit(Txn txn) {
-        return String.valueOf(state.commit(txn));
+    private String commit(Transaction transaction) {
+        return String.valueOf(state.commit(transaction));
     }
 
     /**
@@ -372,44 +383,44 @@
             say("no command is under way");
             return;
         }
-        BlockHolder.Effect.Command c = commands.get(0);
+        OwnerEffect.SendCommands c = commands.get(0);
         WorkerModel m = workers.get(c.machine());
         Node n = nodes.values().stream()
-                .filter(x -> x.holder.machineNames().contains(c.machine()))
+                .filter(x -> x.owner.machineNames().contains(c.machine()))
                 .findFirst()
                 .orElse(null);
         if (how.equals("lost")) {
-            n.holder.onCommandLost(now, c.machine(), c.token());
+            n.owner.onCommandLost(now, c.machine(), c.fencingToken());
             return;
         }
-        boolean done = m.command(now, c.token(), c.shift(), c.orders());
-        say(m.id() + (done ? " takes " : " refuses ") + "the command " + token(c.token()));
+        boolean done = m.command(now, c.fencingToken(), c.agentEpoch(), c.commands());
+        say(m.id() + (done ? " takes " : " refuses ") + "the command " + fencingToken(c.fencingToken()));
         if (!how.equals("carried-out")) {
             commands.remove(0);
         }
         if (!how.equals("late")) {
-            n.holder.onCommandAnswer(now, c.machine(), c.token(), m.report());
+            n.owner.onCommandAnswer(now, c.machine(), c.fencingToken(), m.heartbeat());
             effects(n, false);
         }
     }
 
-    private static String token(long token) {
-        long term = token >> 20;
-        return "(term " + (term >> 20) + "." + (term & 0xfffff) + " token " + (token & 0xfffff) + ")";
+    private static String fencingToken(long fencingToken) {
+        long term = fencingToken >> 20;
+        return "(term " + (term >> 20) + "." + (term & 0xfffff) + " token " + (fencingToken & 0xfffff) + ")";
     }
 
-    private static String orders(List<WorkerCommand> orders) {
+    private static String commands(List<WorkerCommand> commands) {
         List<String> list = new ArrayList<>();
-        for (WorkerCommand o : orders) {
+        for (WorkerCommand o : commands) {
             list.add(o.getClass().getSimpleName().toLowerCase(java.util.Locale.ROOT) + " " + o.task() + "#"
                     + (o.attempt() & 0xffffff));
         }
         return list.toString();
     }
 
-    private static String tasks(List<ReportedTask> tasks) {
+    private static String tasks(List<TaskStatus> tasks) {
         List<String> list = new ArrayList<>();
-        for (ReportedTask t : tasks) {
+        for (TaskStatus t : tasks) {
             list.add(t.task() + "#" + (t.attempt() & 0xffffff) + " " + (t.exited() ? t.cause() : t.state()));
         }
         return list.toString();
--- a/src/test/java/garnetscale/core/upgrade/UpgradeCluster.java
+++ b/src/test/java/garnetscale/core/upgrade/UpgradeCluster.java
@@ -1,12 +1,12 @@
 package garnetscale.core.upgrade;
 
-import garnetscale.core.block.LeaderInfo;
-import garnetscale.core.block.NodeInfo;
-import garnetscale.core.store.Keys;
-import garnetscale.core.store.Records;
-import garnetscale.core.store.StateReplica;
-import garnetscale.core.store.Txn;
-import garnetscale.standin.StateModel;
+import garnetscale.core.partition.ControllerInfo;
+import garnetscale.core.partition.LeaderInfo;
+import garnetscale.core.state.Keys;
+import garnetscale.core.state.Records;
+import garnetscale.core.state.StateReplica;
+import garnetscale.core.state.Transaction;
+import garnetscale.emulator.StateModel;
 import java.util.HashMap;
 import java.util.Map;
 
@@ -45,7 +45,11 @@
             leases.put(name, lease);
             commit(
                     controller,
-                    new Txn().put(Keys.node(name), Records.node(new NodeInfo(name, lease, "a", supported)), lease));
+                    new Transaction()
+                            .put(
+                                    Keys.node(name),
+                                    Records.node(new ControllerInfo(name, lease, "a", supported)),
+                                    lease));
             follow(controller);
         }
         return controller;
@@ -64,22 +68,23 @@
         long lease = leases.getOrDefault(controller.name, 0L);
         commit(
                 controller,
-                new Txn().put(Keys.LEADER, Records.leader(new LeaderInfo(controller.name, lease, ++term)), lease));
+                new Transaction()
+                        .put(Keys.LEADER, Records.leader(new LeaderInfo(controller.name, lease, ++term)), lease));
     }
 
     /** Sends a change as every controller does: it fails unless the version is the one that the sender knows. */
-    int commit(Controller by, Txn txn) {
-        return by.replica.loaded() ? state.commit(by.replica.guardVersion(txn)) : 0;
+    int commit(Controller by, Transaction transaction) {
+        return by.replica.loaded() ? state.commit(by.replica.guardVersion(transaction)) : 0;
     }
 
     void list(Controller controller) {
-        controller.replica.reset(state.list(Keys.MIRRORED, null, Integer.MAX_VALUE), state.ledger());
+        controller.replica.reset(state.list(Keys.MIRRORED, null, Integer.MAX_VALUE), state.revision());
     }
 
     void follow(Controller controller) {
         StateReplica replica = controller.replica;
         if (replica.loaded()) {
-            replica.advance(state.changes(Keys.MIRRORED, replica.ledger()), state.ledger());
+            replica.advance(state.changes(Keys.MIRRORED, replica.revision()), state.revision());
         } else {
             list(controller);
         }
@@ -88,7 +93,7 @@
     /** The active version as it is stored. */
     ClusterVersion version() {
         StateReplica all = new StateReplica(new VersionRange(1, Integer.MAX_VALUE));
-        all.reset(state.list(Keys.VERSION, null, 1), state.ledger());
+        all.reset(state.list(Keys.VERSION, null, 1), state.revision());
         return all.version();
     }
 }
--- a/src/test/java/garnetscale/core/upgrade/UpgradeCoordinatorTest.java
+++ b/src/test/java/garnetscale/core/upgrade/UpgradeCoordinatorTest.java
@@ -9,10 +9,10 @@
 import garnetscale.core.job.JobRecord;
 import garnetscale.core.job.JobState;
 import garnetscale.core.job.TestJob;
-import garnetscale.core.store.Keys;
-import garnetscale.core.store.Layouts;
-import garnetscale.core.store.Records;
-import garnetscale.core.store.Txn;
+import garnetscale.core.state.Keys;
+import garnetscale.core.state.Layouts;
+import garnetscale.core.state.Records;
+import garnetscale.core.state.Transaction;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
@@ -46,8 +46,8 @@
         return leader.upgrades.decide(now, step);
     }
 
-    private Txn transaction(UpgradeStep step) {
-        return assertInstanceOf(UpgradeDecision.Commit.class, ask(step)).txn();
+    private Transaction transaction(UpgradeStep step) {
+        return assertInstanceOf(UpgradeDecision.Commit.class, ask(step)).transaction();
     }
 
     private String refusal(UpgradeStep step) {
@@ -59,8 +59,8 @@
         cluster.follow(leader);
     }
 
-    private static Txn job(String id) {
-        return new Txn()
+    private static Transaction job(String id) {
+        return new Transaction()
                 .guard(Keys.job(id), 0)
                 .put(Keys.job(id), Records.job(new JobRecord(TestJob.named(id).build(), JobState.LIVE, 0)));
     }
@@ -96,12 +96,12 @@
     void whoeverJoinsLeavesOrReturnsMakesTheActivationFail() {
         cluster.start("n1", NEW);
         settle();
-        Txn beforeReturn = transaction(UpgradeStep.ACTIVATE);
+        Transaction beforeReturn = transaction(UpgradeStep.ACTIVATE);
         cluster.start("n1", OLD);
         assertEquals(409, cluster.commit(leader, beforeReturn));
         cluster.start("n1", NEW);
         settle();
-        Txn beforeLeaving = transaction(UpgradeStep.ACTIVATE);
+        Transaction beforeLeaving = transaction(UpgradeStep.ACTIVATE);
         cluster.end("n1");
         assertEquals(409, cluster.commit(leader, beforeLeaving));
         assertEquals(ClusterVersion.FIRST, cluster.version());
@@ -110,7 +110,7 @@
     /** One that joins for the first time isn't among those relied on; it reads the version first, and so stands aside. */
     @Test
     void anOldControllerThatJoinsMeanwhileStandsAside() {
-        Txn activation = transaction(UpgradeStep.ACTIVATE);
+        Transaction activation = transaction(UpgradeStep.ACTIVATE);
         UpgradeCluster.Controller old = cluster.start("n1", OLD);
         assertTrue(old.replica.loaded());
         assertEquals(200, cluster.commit(leader, activation));
@@ -118,7 +118,7 @@
         cluster.follow(old);
         assertFalse(old.replica.loaded());
         assertEquals(
-                "g/version as of revision " + cluster.state.get(Keys.VERSION).stamp()
+                "g/version as of revision " + cluster.state.get(Keys.VERSION).modRevision()
                         + ": version 2, and this controller supports 1 to 1",
                 old.replica.unreadable());
         assertEquals(0, cluster.commit(old, job("wk-1")));
@@ -132,7 +132,7 @@
 
     @Test
     void aLeaderThatWasReplacedActivatesNothing() {
-        Txn late = transaction(UpgradeStep.ACTIVATE);
+        Transaction late = transaction(UpgradeStep.ACTIVATE);
         UpgradeCluster.Controller next = cluster.start("n1", NEW);
         cluster.elect(next);
         assertEquals(409, cluster.commit(leader, late));
@@ -141,7 +141,7 @@
 
     @Test
     void aLateActivationDoesNotUndoADeactivation() {
-        Txn repeated = transaction(UpgradeStep.ACTIVATE);
+        Transaction repeated = transaction(UpgradeStep.ACTIVATE);
         assertEquals(200, cluster.commit(leader, repeated));
         carryOut(UpgradeStep.DEACTIVATE);
         assertEquals(409, cluster.state.commit(repeated));
@@ -152,7 +152,7 @@
     @Test
     void aRecordThatDoesNotParseIsAnErrorOfThatRecord() {
         cluster.state.commit(job("wk-1"));
-        cluster.state.commit(new Txn().put(Keys.job("wk-2"), Map.of("s", "LIVE")));
+        cluster.state.commit(new Transaction().put(Keys.job("wk-2"), Map.of("s", "LIVE")));
         cluster.follow(leader);
         assertNotNull(leader.replica.unreadable());
         assertTrue(leader.replica.unreadable().startsWith("g/j/wk-2 as of revision "), leader.replica.unreadable());
@@ -160,7 +160,7 @@
         cluster.list(leader);
         assertFalse(leader.replica.loaded());
         cluster.state.commit(job("wk-2")
-                .guard(Keys.job("wk-2"), cluster.state.get(Keys.job("wk-2")).stamp()));
+                .guard(Keys.job("wk-2"), cluster.state.get(Keys.job("wk-2")).modRevision()));
         cluster.list(leader);
         assertTrue(leader.replica.loaded(), "readable again, and so is everything");
         assertNotNull(leader.replica.job("wk-1"));
--- a/src/test/java/garnetscale/core/upgrade/UpgradePropertiesTest.java
+++ b/src/test/java/garnetscale/core/upgrade/UpgradePropertiesTest.java
@@ -6,10 +6,10 @@
 import garnetscale.core.job.JobRecord;
 import garnetscale.core.job.JobState;
 import garnetscale.core.job.TestJob;
-import garnetscale.core.store.Keys;
-import garnetscale.core.store.Layouts;
-import garnetscale.core.store.Records;
-import garnetscale.core.store.Txn;
+import garnetscale.core.state.Keys;
+import garnetscale.core.state.Layouts;
+import garnetscale.core.state.Records;
+import garnetscale.core.state.Transaction;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -49,7 +49,7 @@
     /** Versions that became active, over all tries. */
     private static int activations;
 
-    private record Sent(UpgradeCluster.Controller by, Txn txn) {}
+    private record Sent(UpgradeCluster.Controller by, Transaction transaction) {}
 
     @Provide
     Arbitrary<List<Event>> events() {
@@ -113,7 +113,7 @@
             case WRITE -> {
                 if (controller.replica.loaded()) {
                     JobRecord record = new JobRecord(TestJob.named(job).build(), JobState.LIVE, 0);
-                    send(cluster, controller, new Txn().put(Keys.job(job), Records.job(record)), sent);
+                    send(cluster, controller, new Transaction().put(Keys.job(job), Records.job(record)), sent);
                 }
             }
             default -> {
@@ -123,21 +123,22 @@
                 if (leads
                         && controller.upgrades.decide(now, UpgradeStep.valueOf(kind.name()))
                                 instanceof UpgradeDecision.Commit commit) {
-                    send(cluster, controller, commit.txn(), sent);
+                    send(cluster, controller, commit.transaction(), sent);
                 }
             }
         }
     }
 
-    private static void send(UpgradeCluster cluster, UpgradeCluster.Controller by, Txn txn, List<Sent> sent) {
-        Sent message = new Sent(by, by.replica.guardVersion(txn));
+    private static void send(
+            UpgradeCluster cluster, UpgradeCluster.Controller by, Transaction transaction, List<Sent> sent) {
+        Sent message = new Sent(by, by.replica.guardVersion(transaction));
         sent.add(message);
         commit(cluster, message);
     }
 
     private static void commit(UpgradeCluster cluster, Sent message) {
         ClusterVersion before = cluster.version();
-        int status = cluster.state.commit(message.txn());
+        int status = cluster.state.commit(message.transaction());
         ClusterVersion after = cluster.version();
         if (status == 200) {
             assertTrue(
@@ -157,7 +158,7 @@
     @Property(tries = 200, seed = "2024")
     void aVersionIsReadAsItWasWritten(@ForAll("versions") ClusterVersion version) {
         UpgradeCluster cluster = new UpgradeCluster();
-        cluster.state.commit(new Txn().put(Keys.VERSION, Records.version(version)));
+        cluster.state.commit(new Transaction().put(Keys.VERSION, Records.version(version)));
         assertEquals(version, cluster.version());
     }
 
--- a/src/test/java/garnetscale/net/SocketsTest.java
+++ b/src/test/java/garnetscale/net/ConnectionLimiterTest.java
@@ -11,12 +11,12 @@
 import org.junit.jupiter.api.Test;
 
 /** One controller is the only one left: 1,600 workers come to it while users and its own commands have the sockets. */
-class SocketsTest {
+class ConnectionLimiterTest {
 
     private static final int LIMIT = 2266;
     private static final int WORKERS = 1600;
 
-    private final Sockets sockets = new Sockets(LIMIT);
+    private final ConnectionLimiter sockets = new ConnectionLimiter(LIMIT);
 
     private List<Channel> rest(int count, boolean users) {
         List<Channel> list = new ArrayList<>();
@@ -66,7 +66,7 @@
     /** What is at rest doesn't make sockets scarce, since a new connection takes its place. */
     @Test
     void socketsAreScarceByWhatIsInUse() {
-        Sockets shared = new Sockets(LIMIT, 0.5);
+        ConnectionLimiter shared = new ConnectionLimiter(LIMIT, 0.5);
         int usable = LIMIT - LIMIT / 8;
         for (int i = 0; i < usable; i++) {
             assertTrue(shared.enter());
--- a/src/test/java/garnetscale/net/HttpClientTest.java
+++ b/src/test/java/garnetscale/net/HttpClientTest.java
@@ -37,7 +37,7 @@
     void anAnswerThatIsTooLongEndsItsCallAndNoOther() {
         ChannelFuture listening = new HttpServer(
                         loop,
-                        new Sockets(20),
+                        new ConnectionLimiter(20),
                         16,
                         (method, path, body, answer) ->
                                 answer.accept(Reply.of(200, new byte[path.equals("/long") ? MAX_BODY + 1 : MAX_BODY])))
--- a/src/test/java/garnetscale/net/HttpServerTest.java
+++ b/src/test/java/garnetscale/net/HttpServerTest.java
@@ -29,11 +29,11 @@
     @BeforeEach
     void start() {
         loop = new NioEventLoopGroup(1);
-        port = listen(new Sockets(12));
+        port = listen(new ConnectionLimiter(12));
     }
 
     /** Serves what echoes every body, and returns its port. */
-    private int listen(Sockets sockets) {
+    private int listen(ConnectionLimiter sockets) {
         ChannelFuture f = new HttpServer(
                         loop, sockets, 16, (method, path, body, answer) -> answer.accept(new Reply(200, body, 2)))
                 .listen("127.0.0.1:0")
@@ -148,7 +148,7 @@
     /** There may be more workers than sockets: each is answered, and gives its socket to the next. */
     @Test
     void workersTakeTurnsWithSocketsThatAreScarce() throws IOException {
-        int sharing = listen(new Sockets(12, 0.5));
+        int sharing = listen(new ConnectionLimiter(12, 0.5));
         List<Socket> open = new ArrayList<>();
         try {
             for (int i = 0; i < 40; i++) {
