--- a/src/test/java/garnetscale/peer/PeerBytesTest.java
+++ b/src/test/java/garnetscale/peer/PeerBytesTest.java
@@ -1,16 +1,16 @@
 package garnetscale.peer;
 
 import garnetscale.ExpectedForms;
-import garnetscale.core.bid.Bid;
-import garnetscale.core.bid.BidBatch;
-import garnetscale.core.block.Observation;
+import garnetscale.core.bidding.Bid;
+import garnetscale.core.bidding.BidBatch;
 import garnetscale.core.job.JobState;
 import garnetscale.core.job.TaskId;
-import garnetscale.core.machine.Address;
 import garnetscale.core.machine.ExitCause;
-import garnetscale.core.machine.ReportedTask;
+import garnetscale.core.machine.MachineAddress;
 import garnetscale.core.machine.TaskState;
-import garnetscale.core.store.Records;
+import garnetscale.core.machine.TaskStatus;
+import garnetscale.core.partition.MachineStatus;
+import garnetscale.core.state.Records;
 import garnetscale.core.upgrade.UpgradeStep;
 import java.util.Arrays;
 import java.util.List;
@@ -31,8 +31,8 @@
         return new PeerCodec().encode(message);
     }
 
-    private static byte[] observation(Double noticeSeconds, List<ReportedTask> tasks, List<Long> gone) {
-        return encode(new PeerMessage.Seen(new Observation(
+    private static byte[] machineStatus(Double noticeSeconds, List<TaskStatus> tasks, List<Long> terminated) {
+        return encode(new PeerMessage.MachineStatusUpdate(new MachineStatus(
                 "n-0",
                 4,
                 "a/0",
@@ -46,25 +46,26 @@
                 noticeSeconds,
                 false,
                 tasks,
-                gone)));
+                terminated)));
     }
 
-    private static byte[] observation(TaskState state, ExitCause cause, boolean saved) {
-        return observation(null, List.of(new ReportedTask(TASK, ATTEMPT, state, cause, saved)), List.of());
+    private static byte[] machineStatus(TaskState state, ExitCause cause, boolean checkpointed) {
+        return machineStatus(null, List.of(new TaskStatus(TASK, ATTEMPT, state, cause, checkpointed)), List.of());
     }
 
     @Test
     void heartbeat() {
-        EXPECTED.check("heartbeat of the leader", encode(new PeerMessage.Heartbeat("n-0", 4, 17, 250, false)));
-        EXPECTED.check("heartbeat of another", encode(new PeerMessage.Heartbeat("n-0", 4, -1, 250, true)));
+        EXPECTED.check(
+                "heartbeat of the leader", encode(new PeerMessage.ControllerHeartbeat("n-0", 4, 17, 250, false)));
+        EXPECTED.check("heartbeat of another", encode(new PeerMessage.ControllerHeartbeat("n-0", 4, -1, 250, true)));
     }
 
     @Test
     void observationWithAndWithoutOptionalFields() {
-        EXPECTED.check("observation minimal", observation(null, List.of(), List.of()));
-        ReportedTask running = new ReportedTask(TASK, ATTEMPT, TaskState.RUNNING, null, false);
-        ReportedTask exited = new ReportedTask(TASK, ATTEMPT + 1, TaskState.EXITED, ExitCause.STOPPED, true);
-        EXPECTED.check("observation full", observation(17.5, List.of(running, exited), List.of(5L, ATTEMPT)));
+        EXPECTED.check("observation minimal", machineStatus(null, List.of(), List.of()));
+        TaskStatus running = new TaskStatus(TASK, ATTEMPT, TaskState.RUNNING, null, false);
+        TaskStatus exited = new TaskStatus(TASK, ATTEMPT + 1, TaskState.EXITED, ExitCause.STOPPED, true);
+        EXPECTED.check("observation full", machineStatus(17.5, List.of(running, exited), List.of(5L, ATTEMPT)));
     }
 
     @Test
@@ -72,7 +73,7 @@
         EXPECTED.check(
                 "task states",
                 Arrays.stream(TaskState.values())
-                        .map(state -> observation(state, null, false))
+                        .map(state -> machineStatus(state, null, false))
                         .toList());
     }
 
@@ -81,24 +82,26 @@
         EXPECTED.check(
                 "exit causes",
                 Arrays.stream(ExitCause.values())
-                        .map(cause -> observation(TaskState.EXITED, cause, true))
+                        .map(cause -> machineStatus(TaskState.EXITED, cause, true))
                         .toList());
     }
 
     @Test
     void machineList() {
-        EXPECTED.check("machine list empty", encode(new PeerMessage.Book(List.of(), List.of(), List.of())));
+        EXPECTED.check("machine list empty", encode(new PeerMessage.MachineDirectory(List.of(), List.of(), List.of())));
         EXPECTED.check(
                 "machine list full",
-                encode(new PeerMessage.Book(
-                        List.of(new Address("m-000231", "10.1.0.232:9000", "a"), new Address("m-2", "", "b")),
+                encode(new PeerMessage.MachineDirectory(
+                        List.of(
+                                new MachineAddress("m-000231", "10.1.0.232:9000", "a"),
+                                new MachineAddress("m-2", "", "b")),
                         List.of("wk-000412"),
                         List.of("wk-000413", "wk-000414"))));
     }
 
     @Test
     void cancellation() {
-        EXPECTED.check("cancellation", encode(new PeerMessage.Cancelled("wk-000412")));
+        EXPECTED.check("cancellation", encode(new PeerMessage.JobCancelled("wk-000412")));
     }
 
     @Test
@@ -106,8 +109,8 @@
         EXPECTED.check(
                 "end of a job",
                 Arrays.stream(JobState.values())
-                        .map(state ->
-                                encode(new PeerMessage.Over("wk-000412", new Records.Archived(state, 16, 15, "red"))))
+                        .map(state -> encode(new PeerMessage.JobTerminated(
+                                "wk-000412", new Records.TerminalJob(state, 16, 15, "red"))))
                         .toList());
     }
 
@@ -128,8 +131,8 @@
     void inquiries() {
         EXPECTED.check(
                 "inquiries",
-                Arrays.stream(PeerMessage.Inquiry.Kind.values())
-                        .map(kind -> encode(new PeerMessage.Inquiry(kind, "wk-000412")))
+                Arrays.stream(PeerMessage.OperatorRequest.Kind.values())
+                        .map(kind -> encode(new PeerMessage.OperatorRequest(kind, "wk-000412")))
                         .toList());
     }
 
@@ -138,7 +141,8 @@
         EXPECTED.check(
                 "upgrade steps",
                 Arrays.stream(UpgradeStep.values())
-                        .map(step -> encode(new PeerMessage.Inquiry(PeerMessage.Inquiry.Kind.UPGRADE, step.name())))
+                        .map(step -> encode(
+                                new PeerMessage.OperatorRequest(PeerMessage.OperatorRequest.Kind.UPGRADE, step.name())))
                         .toList());
     }
 
@@ -146,8 +150,8 @@
     void answers() {
         EXPECTED.check(
                 "answers",
-                Arrays.stream(PeerMessage.Answer.Outcome.values())
-                        .map(outcome -> encode(new PeerMessage.Answer(outcome, "{\"reason\":\"none\"}")))
+                Arrays.stream(PeerMessage.OperatorResponse.Outcome.values())
+                        .map(outcome -> encode(new PeerMessage.OperatorResponse(outcome, "{\"reason\":\"none\"}")))
                         .toList());
     }
 }
--- a/src/test/java/garnetscale/peer/PeerCodecTest.java
+++ b/src/test/java/garnetscale/peer/PeerCodecTest.java
@@ -5,16 +5,16 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import garnetscale.core.bid.Bid;
-import garnetscale.core.bid.BidBatch;
-import garnetscale.core.block.Observation;
+import garnetscale.core.bidding.Bid;
+import garnetscale.core.bidding.BidBatch;
 import garnetscale.core.job.JobState;
 import garnetscale.core.job.TaskId;
-import garnetscale.core.machine.Address;
 import garnetscale.core.machine.ExitCause;
-import garnetscale.core.machine.ReportedTask;
+import garnetscale.core.machine.MachineAddress;
 import garnetscale.core.machine.TaskState;
-import garnetscale.core.store.Records;
+import garnetscale.core.machine.TaskStatus;
+import garnetscale.core.partition.MachineStatus;
+import garnetscale.core.state.Records;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.io.InputStream;
@@ -34,15 +34,26 @@
 /** What controllers say to each other comes out as it went in, and half of it doesn't come out at all. */
 class PeerCodecTest {
 
+    /** The names that the schema, which is the form on the wire, has for the messages. */
+    private static final Map<Class<? extends PeerMessage>, String> SCHEMA_NAMES = Map.of(
+            PeerMessage.ControllerHeartbeat.class, "Heartbeat",
+            PeerMessage.JobTerminated.class, "Over",
+            PeerMessage.JobCancelled.class, "Cancelled",
+            PeerMessage.MachineDirectory.class, "Book",
+            PeerMessage.MachineStatusUpdate.class, "Observation",
+            PeerMessage.Bids.class, "BidSheet",
+            PeerMessage.OperatorRequest.class, "Inquiry",
+            PeerMessage.OperatorResponse.class, "Answer");
+
     private static final List<PeerMessage> MESSAGES = List.of(
-            new PeerMessage.Heartbeat("hive-0", 4, -1, 250, true),
-            new PeerMessage.Over("wk-000412", new Records.Archived(JobState.DONE, 16, 16, "red")),
-            new PeerMessage.Cancelled("wk-000412"),
-            new PeerMessage.Book(
-                    List.of(new Address("m-000231", "10.1.0.232:9000", "a")),
+            new PeerMessage.ControllerHeartbeat("hive-0", 4, -1, 250, true),
+            new PeerMessage.JobTerminated("wk-000412", new Records.TerminalJob(JobState.DONE, 16, 16, "red")),
+            new PeerMessage.JobCancelled("wk-000412"),
+            new PeerMessage.MachineDirectory(
+                    List.of(new MachineAddress("m-000231", "10.1.0.232:9000", "a")),
                     List.of("wk-000412"),
                     List.of("wk-000413")),
-            new PeerMessage.Seen(new Observation(
+            new PeerMessage.MachineStatusUpdate(new MachineStatus(
                     "hive-0",
                     4,
                     "a/0",
@@ -56,14 +67,15 @@
                     17.5,
                     false,
                     List.of(
-                            new ReportedTask(new TaskId("wk-000412", 3), 16777217, TaskState.RUNNING, null, false),
-                            new ReportedTask(
+                            new TaskStatus(new TaskId("wk-000412", 3), 16777217, TaskState.RUNNING, null, false),
+                            new TaskStatus(
                                     new TaskId("wk-000398", 0), 16777218, TaskState.EXITED, ExitCause.STOPPED, true)),
                     List.of(16777219L))),
             new PeerMessage.Bids(new BidBatch(
                     "hive-0", 4, 431, Map.of("a/0", 1048577L), List.of(new Bid("m-000231", 2, "wk-000412", 3, 41.5)))),
-            new PeerMessage.Inquiry(PeerMessage.Inquiry.Kind.JOB, "wk-000412"),
-            new PeerMessage.Answer(PeerMessage.Answer.Outcome.REFUSED, "{\"reason\":\"no job wk-000412\"}"));
+            new PeerMessage.OperatorRequest(PeerMessage.OperatorRequest.Kind.JOB, "wk-000412"),
+            new PeerMessage.OperatorResponse(
+                    PeerMessage.OperatorResponse.Outcome.REFUSED, "{\"reason\":\"no job wk-000412\"}"));
 
     @Test
     void everyMessageComesOutAsItWentIn() throws IOException {
@@ -91,9 +103,7 @@
             new GenericDatumWriter<GenericRecord>(schema).write(read, encoder);
             encoder.flush();
             assertArrayEquals(ours, out.toByteArray(), m.toString());
-            String name = m instanceof PeerMessage.Seen
-                    ? "Observation"
-                    : m instanceof PeerMessage.Bids ? "BidSheet" : m.getClass().getSimpleName();
+            String name = SCHEMA_NAMES.get(m.getClass());
             assertEquals(name, read.getSchema().getName());
             for (Schema.Field f : read.getSchema().getFields()) {
                 assertTrue(read.get(f.pos()) != null || f.name().equals("notice"), name + "." + f.name());
--- a/src/test/java/garnetscale/wire/CodecExamplesTest.java
+++ b/src/test/java/garnetscale/wire/CodecExamplesTest.java
@@ -3,17 +3,17 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
-import garnetscale.core.fleet.CloudCall;
-import garnetscale.core.fleet.Listed;
+import garnetscale.core.autoscaling.CloudCall;
+import garnetscale.core.autoscaling.CloudInstance;
 import garnetscale.core.job.TaskId;
 import garnetscale.core.machine.ExitCause;
 import garnetscale.core.machine.MachineType;
-import garnetscale.core.machine.Report;
-import garnetscale.core.machine.ReportedTask;
 import garnetscale.core.machine.TaskState;
+import garnetscale.core.machine.TaskStatus;
 import garnetscale.core.machine.WorkerCommand;
-import garnetscale.core.store.Change;
-import garnetscale.core.store.Txn;
+import garnetscale.core.machine.WorkerHeartbeat;
+import garnetscale.core.state.KeyChange;
+import garnetscale.core.state.Transaction;
 import java.io.IOException;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -58,9 +58,9 @@
     }
 
     @Test
-    void report() throws IOException {
+    void heartbeat() throws IOException {
         assertEquals(
-                new Report(
+                new WorkerHeartbeat(
                         "m-000231",
                         "10.1.0.232:9000",
                         "g8",
@@ -71,10 +71,10 @@
                         41,
                         null,
                         List.of(
-                                new ReportedTask(new TaskId("wk-000412", 3), 2, TaskState.RUNNING, null, false),
-                                new ReportedTask(
+                                new TaskStatus(new TaskId("wk-000412", 3), 2, TaskState.RUNNING, null, false),
+                                new TaskStatus(
                                         new TaskId("wk-000398", 0), 1, TaskState.EXITED, ExitCause.DONE, false))),
-                WorkerCodec.report(Cbor.write(hello())));
+                WorkerCodec.heartbeat(Cbor.write(hello())));
     }
 
     @Test
@@ -82,11 +82,11 @@
         for (String field : List.of("hive", "shift", "tick", "chores")) {
             Map<String, Object> m = hello();
             m.remove(field);
-            assertThrows(IOException.class, () -> WorkerCodec.report(Cbor.write(m)), field);
+            assertThrows(IOException.class, () -> WorkerCodec.heartbeat(Cbor.write(m)), field);
         }
         Map<String, Object> m = hello();
         m.put("chores", List.of(map("chore", "wk-1", "try", 1, "mood", "running")));
-        assertThrows(IOException.class, () -> WorkerCodec.report(Cbor.write(m)));
+        assertThrows(IOException.class, () -> WorkerCodec.heartbeat(Cbor.write(m)));
     }
 
     @Test
@@ -140,8 +140,8 @@
                                 List.of("a", "b")))))));
         assertEquals(
                 map("ask", "r-17", "breed", "g8", "field", "a", "windfall", true, "how_many", 12),
-                Cbor.readMap(CloudCodec.rent(new CloudCall.Rent("r-17", "g8", "a", true, 12))));
-        assertEquals(List.of("m-000231"), CloudCodec.rented(Cbor.write(map("hives", List.of("m-000231")))));
+                Cbor.readMap(CloudCodec.scaleOut(new CloudCall.ScaleOut("r-17", "g8", "a", true, 12))));
+        assertEquals(List.of("m-000231"), CloudCodec.scaledOut(Cbor.write(map("hives", List.of("m-000231")))));
         CloudCodec.Page page = CloudCodec.page(Cbor.write(map(
                 "hives",
                 List.of(map(
@@ -162,30 +162,33 @@
                 "has_next",
                 false)));
         assertEquals(
-                List.of(new Listed("m-000231", "10.1.0.232:9000", "g8", "a", true, Listed.State.RUNNING, 61.5)),
+                List.of(new CloudInstance(
+                        "m-000231", "10.1.0.232:9000", "g8", "a", true, CloudInstance.State.RUNNING, 61.5)),
                 page.machines());
     }
 
     @Test
     void stateService() throws IOException {
-        Txn txn = new Txn().guard("a/b", 0).put("a/b", Map.of("x", 1), 7).delete("c/d");
+        Transaction transaction =
+                new Transaction().guard("a/b", 0).put("a/b", Map.of("x", 1), 7).delete("c/d");
         assertEquals(
                 map(
                         "guards",
                         List.of(map("key", "a/b", "stamp", 0)),
                         "then",
                         List.of(map("set", "a/b", "v", map("x", 1), "tenure", 7), map("remove", "c/d"))),
-                Cbor.readMap(StateCodec.txn(txn)));
+                Cbor.readMap(StateCodec.transaction(transaction)));
         StateCodec.Batch log = StateCodec.log(Cbor.write(map(
                 "ledger",
                 433,
                 "log",
                 List.of(map("set", "c/9", "v", map("x", 1), "stamp", 433), map("remove", "c/d", "stamp", 432)))));
-        assertEquals(List.of(new Change("c/9", Map.of("x", 1), 433), new Change("c/d", null, 432)), log.changes());
-        assertEquals(433, log.ledger());
+        assertEquals(
+                List.of(new KeyChange("c/9", Map.of("x", 1), 433), new KeyChange("c/d", null, 432)), log.changes());
+        assertEquals(433, log.revision());
         StateCodec.Batch page = StateCodec.listing(Cbor.write(map(
                 "pairs", List.of(map("key", "c/9", "v", map("x", 1), "stamp", 5)), "has_next", true, "ledger", 431)));
-        assertEquals(List.of(new Change("c/9", Map.of("x", 1), 5)), page.changes());
+        assertEquals(List.of(new KeyChange("c/9", Map.of("x", 1), 5)), page.changes());
         assertEquals(true, page.more());
     }
 }
--- a/src/test/java/garnetscale/wire/WireBytesTest.java
+++ b/src/test/java/garnetscale/wire/WireBytesTest.java
@@ -3,11 +3,11 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import garnetscale.ExpectedForms;
-import garnetscale.core.fleet.CloudCall;
+import garnetscale.core.autoscaling.CloudCall;
 import garnetscale.core.job.TaskId;
-import garnetscale.core.machine.ReportedTask;
+import garnetscale.core.machine.TaskStatus;
 import garnetscale.core.machine.WorkerCommand;
-import garnetscale.core.store.Txn;
+import garnetscale.core.state.Transaction;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -45,9 +45,9 @@
         EXPECTED.check("redirect to nobody", WorkerCodec.redirect(null));
     }
 
-    private static ReportedTask reported(String state, String cause) throws IOException {
+    private static TaskStatus reported(String state, String cause) throws IOException {
         Map<String, Object> task = Map.of("chore", "wk-1/0", "try", 1, "mood", state, "cause", cause, "saved", true);
-        return WorkerCodec.report(Cbor.write(Map.of(
+        return WorkerCodec.heartbeat(Cbor.write(Map.of(
                         "hive",
                         "m-1",
                         "address",
@@ -85,10 +85,10 @@
 
     @Test
     void requestsToTheCloud() throws IOException {
-        EXPECTED.check("rental", CloudCodec.rent(new CloudCall.Rent("r-17", "g8", "a", true, 12)));
-        EXPECTED.check("deletion", CloudCodec.delete(new CloudCall.Delete(List.of("m-1", "m-2"))));
-        EXPECTED.check("first page", CloudCodec.pagePath(new CloudCall.Page("")));
-        EXPECTED.check("next page", CloudCodec.pagePath(new CloudCall.Page("m-2")));
+        EXPECTED.check("rental", CloudCodec.scaleOut(new CloudCall.ScaleOut("r-17", "g8", "a", true, 12)));
+        EXPECTED.check("deletion", CloudCodec.delete(new CloudCall.ScaleIn(List.of("m-1", "m-2"))));
+        EXPECTED.check("first page", CloudCodec.pagePath(new CloudCall.ListInstances("")));
+        EXPECTED.check("next page", CloudCodec.pagePath(new CloudCall.ListInstances("m-2")));
     }
 
     /** A machine's state in the cloud's list, by its place among the states. */
@@ -105,21 +105,21 @@
 
     @Test
     void requestsToTheStateService() throws IOException {
-        Txn txn = new Txn()
+        Transaction transaction = new Transaction()
                 .guard("g/term", 0)
                 .guard("g/leader", 1L << 40)
                 .put("g/term", Map.of("t", 3L))
                 .put("g/leader", Map.of("h", "n-0"), 7)
                 .delete("g/j/wk-1");
-        checkDecoded("transaction", StateCodec.txn(txn));
-        EXPECTED.checkTree("transaction before encoding", StateCodec.tree(txn));
-        checkDecoded("transaction that only guards", StateCodec.txn(new Txn().guard("g/term", 5)));
+        checkDecoded("transaction", StateCodec.transaction(transaction));
+        EXPECTED.checkTree("transaction before encoding", StateCodec.tree(transaction));
+        checkDecoded("transaction that only guards", StateCodec.transaction(new Transaction().guard("g/term", 5)));
         EXPECTED.check("lease", StateCodec.lease(10_000));
     }
 
     @Test
     void answersOfTheStateService() throws IOException {
-        assertEquals(433, StateCodec.ledger(Cbor.write(Map.of("ledger", 433))));
+        assertEquals(433, StateCodec.revision(Cbor.write(Map.of("ledger", 433))));
         assertEquals(Set.of("g/a", "g/b"), StateCodec.failed(Cbor.write(Map.of("failed", List.of("g/a", "g/b")))));
         assertEquals(7, StateCodec.lease(Cbor.write(Map.of("tenure", 7))));
         assertEquals(Map.of("t", 3), StateCodec.value(Cbor.write(Map.of("v", Map.of("t", 3)))));
