--- a/src/main/java/garnetscale/controller/ClusterInspector.java
+++ b/src/main/java/garnetscale/controller/ClusterInspector.java
@@ -209,6 +209,15 @@
         return tree;
     }
 
+    /** The word that {@code job} has for a stop; operators' scripts look for these. */
+    private static String statusWord(Placement.Stop stop) {
+        return switch (stop) {
+            case KEEP -> "KEEP";
+            case CHECKPOINT -> "SAVE";
+            case NOW -> "NOW";
+        };
+    }
+
     private List<Map<String, Object>> placements(String job) {
         List<Map<String, Object>> rows = new ArrayList<>();
         for (String machine : replica.placedMachines()) {
@@ -218,7 +227,7 @@
                     row.put("task", placement.task().index());
                     row.put("machine", machine);
                     row.put("zone", replica.placedZone(machine));
-                    row.put("stop", placement.stop().name());
+                    row.put("stop", statusWord(placement.stop()));
                     rows.add(row);
                 }
             }
--- a/src/main/java/garnetscale/emulator/EmulatedServices.java
+++ b/src/main/java/garnetscale/emulator/EmulatedServices.java
@@ -3,6 +3,7 @@
 import garnetscale.core.job.JobSpec;
 import garnetscale.core.job.TaskId;
 import garnetscale.core.machine.MachineType;
+import garnetscale.core.machine.TaskState;
 import garnetscale.core.machine.TaskStatus;
 import garnetscale.core.machine.WorkerCommand;
 import garnetscale.core.machine.WorkerHeartbeat;
@@ -232,13 +233,23 @@
         return list;
     }
 
+    private static String mood(TaskState state) {
+        return switch (state) {
+            case FETCHING -> "fetching";
+            case RUNNING -> "running";
+            case CHECKPOINTING -> "saving";
+            case EXITED -> "exited";
+            case UNKNOWN -> "unknown";
+        };
+    }
+
     private static Map<String, Object> body(WorkerHeartbeat r) {
         List<Object> tasks = new ArrayList<>();
         for (TaskStatus t : r.tasks()) {
             Map<String, Object> m = new LinkedHashMap<>();
             m.put("chore", t.task().toString());
             m.put("try", t.attempt());
-            m.put("mood", t.state().name().toLowerCase(java.util.Locale.ROOT));
+            m.put("mood", mood(t.state()));
             if (t.cause() != null) {
                 m.put(
                         "cause",
