--- a/src/main/java/garnetscale/core/leader/AttemptNumbers.java
+++ b/src/main/java/garnetscale/core/leader/AttemptNumbers.java
@@ -19,24 +19,26 @@
         begin(newTerm, 0);
     }
 
-    /** Begins behind a number of a term. */
-    void begin(long newTerm, int last) {
+    /** Begins behind the number that was given last in a term. */
+    void begin(long newTerm, int lastSequence) {
         term = newTerm;
-        sequence = last;
+        sequence = lastSequence;
     }
 
+    /**
+     * The number of the next attempt, higher than all before.
+     *
+     * @throws IllegalStateException when the term's numbers are used up
+     */
     long next() {
         if (sequence >= FencingTokens.MAX_ATTEMPTS) {
-            throw new IllegalStateException("the attempts of term " + term + " are used up");
+            throw new IllegalStateException(
+                    "can't number another attempt: the numbers of the term are used up, term=" + term);
         }
         return FencingTokens.attempt(term, ++sequence);
     }
 
-    /** How many were given in this term. */
-    int given() {
-        return sequence;
-    }
-
+    /** Whether it is time to step down. */
     boolean isNearlyUsedUp() {
         return sequence >= FencingTokens.MAX_ATTEMPTS - RESERVED;
     }
--- a/src/main/java/garnetscale/core/leader/DrainStops.java
+++ b/src/main/java/garnetscale/core/leader/DrainStops.java
@@ -8,62 +8,74 @@
 import java.util.function.Consumer;
 
 /**
- * Stops work on machines that the cloud takes away: what can save does so while there is time, what would not be finished
+ * Drains machines with an eviction notice: what can write a checkpoint does so while there is time, what would not be finished
  * starts again elsewhere at once, and what will be finished is left to.
  */
 final class DrainStops {
 
-    /** Estimates are rough: a task is given up for lost only when it would need this many times what is left. */
-    private static final double SURELY = 1.3;
-    /** A save may take longer than its job says. */
+    /** Estimates are rough: a task counts as lost only when it would need this many times the seconds that are left. */
+    private static final double LOST_RATIO = 1.3;
+    /** A checkpoint may take longer to write than its job says. */
     private static final double CHECKPOINT_SLACK = 1.5;
+    /** A task is stopped when no more is left than this many times what its stop takes. */
+    private static final double STOP_AHEAD_RATIO = 2;
 
     private final StateReplica replica;
     private final Estimator estimator;
-    private final double heartbeatIntervalS;
+    private final long heartbeatIntervalMs;
     private final Consumer<String> log;
 
-    DrainStops(StateReplica replica, Estimator estimator, long heartbeatIntervalMs, Consumer<String> log) {
-        this.replica = replica;
-        this.estimator = estimator;
-        this.heartbeatIntervalS = heartbeatIntervalMs / 1000.0;
-        this.log = log;
+    DrainStops(LeaderContext context) {
+        this.replica = context.replica();
+        this.estimator = context.estimator();
+        this.heartbeatIntervalMs = context.config().heartbeatIntervalMs();
+        this.log = context.log();
     }
 
-    void plan(SchedulingCycle turn) {
-        for (MachineState machine : turn.machines()) {
-            if (machine.last.evictionNoticeS() != null && !machine.last.silent()) {
-                drain(turn, machine);
+    /** Adds the stops that are due to the cycle's draft. */
+    void plan(SchedulingCycle cycle) {
+        for (MachineState machine : cycle.machines()) {
+            if (machine.status.evictionNoticeS() != null && !machine.status.silent()) {
+                drain(cycle, machine);
             }
         }
     }
 
-    private void drain(SchedulingCycle turn, MachineState machine) {
-        double left = machine.last.evictionNoticeS() - (turn.now() - machine.seen) / 1000.0;
+    private void drain(SchedulingCycle cycle, MachineState machine) {
+        double leftS = machine.status.evictionNoticeS() - cycle.secondsSince(machine.statusAt);
         for (Placement placement : replica.placements(machine.id)) {
             JobView job = replica.job(placement.task().job());
             if (job == null
                     || !job.live()
                     || placement.stop() != Placement.Stop.KEEP
-                    || !turn.draft().hasRoom(false)) {
+                    || !cycle.draft().hasRoomForChange()) {
                 continue;
             }
             JobSpec spec = job.spec();
-            double checkpointing = spec.checkpointWriteS() * CHECKPOINT_SLACK + 1 + heartbeatIntervalS;
-            boolean isLost = remainingS(turn.now(), machine, placement, spec) > left * SURELY;
-            if (isLost && (!spec.writesCheckpoints() || left < 2 * checkpointing)) {
-                boolean saves = spec.writesCheckpoints() && left > spec.checkpointWriteS();
-                turn.draft().stop(machine.id, placement, saves ? Placement.Stop.CHECKPOINT : Placement.Stop.NOW);
-                log.accept("task " + placement.task() + " is stopped on " + machine.id + ", which is taken in "
-                        + Math.round(left) + " s");
+            boolean isLost = remainingS(cycle, machine, placement, spec) > leftS * LOST_RATIO;
+            if (isLost && (!spec.writesCheckpoints() || leftS < STOP_AHEAD_RATIO * stopS(spec, heartbeatIntervalMs))) {
+                boolean writesCheckpoint = spec.writesCheckpoints() && leftS > spec.checkpointWriteS();
+                Placement.Stop stop = writesCheckpoint ? Placement.Stop.CHECKPOINT : Placement.Stop.NOW;
+                cycle.draft().stop(machine.id, placement, stop);
+                log.accept("stopping task: its machine is about to be evicted, task=" + placement.task() + ", machine="
+                        + machine.id + ", eviction_in_s=" + Math.round(leftS));
             }
         }
     }
 
-    private double remainingS(long now, MachineState machine, Placement placement, JobSpec job) {
+    private double remainingS(SchedulingCycle cycle, MachineState machine, Placement placement, JobSpec job) {
         Long since = machine.runningSince.get(placement.attempt());
         return since == null
                 ? estimator.runS(job, machine.id)
-                : estimator.remainingS(job, machine.id, (now - since) / 1000.0);
+                : estimator.remainingS(job, machine.id, cycle.secondsSince(since));
+    }
+
+    /**
+     * Seconds until a stop that is decided now has freed the room: the owner's command, the checkpoint if the job writes any, and
+     * the heartbeat that proves the exit.
+     */
+    static double stopS(JobSpec job, long heartbeatIntervalMs) {
+        double checkpointS = job.writesCheckpoints() ? job.checkpointWriteS() * CHECKPOINT_SLACK + 1 : 0;
+        return checkpointS + heartbeatIntervalMs / 1000.0;
     }
 }
--- a/src/main/java/garnetscale/core/leader/FailureTracker.java
+++ b/src/main/java/garnetscale/core/leader/FailureTracker.java
@@ -1,8 +1,10 @@
 package garnetscale.core.leader;
 
+import garnetscale.core.Times;
 import garnetscale.core.job.TaskId;
 import java.util.HashMap;
 import java.util.HashSet;
+import java.util.Iterator;
 import java.util.LinkedHashSet;
 import java.util.Map;
 import java.util.Set;
@@ -10,131 +12,135 @@
 import java.util.function.Predicate;
 
 /**
- * Whose fault failing tasks are, told by who else succeeds. A job that fails on several machines and completes nothing
- * is the suspect, and what it did there is held against none of them, neither what comes nor what came before it was
- * one: two bad submissions that are spread over a fleet would otherwise take all of it out of service. A suspect is
- * tried ever more rarely, with a task at a time, until one of its tasks completes or its user cancels it. Of a job that
- * has completed tasks, single tasks are told from machines in the same way.
+ * Tells jobs that fail by their own fault from faulty machines, by who else succeeds. A job that fails on several machines and
+ * completes nothing is quarantined, and its failures are held against none of the machines, neither those to come nor those from
+ * before: two bad submissions that are spread over a fleet would otherwise take all of it out of service. A quarantined job is
+ * retried ever more rarely, with a task at a time, until one of its tasks completes or its user cancels it. Of a job that has
+ * completed tasks, single tasks are quarantined in the same way.
  */
-public final class FailureTracker {
-
-    /** Machines that a job must fail on, without completing a task, before it is the suspect. */
-    private static final int SUSPECT = 3;
-    /** Of a suspect, the tasks that may be placed at a time: enough to find out, few enough to cost nothing. */
-    private static final int TRIED_AT_ONCE = 1;
-
-    private static final int REMEMBERED = 4096;
+final class FailureTracker {
+
+    /** Machines that a job must fail on, without completing a task, before it is quarantined. */
+    private static final int MACHINES_TO_QUARANTINE = 3;
+    /** Tasks of a quarantined job that may be placed at a time: enough to find out, few enough to cost nothing. */
+    private static final int MAX_TRIAL_TASKS = 1;
+    /** Attempts whose exits are remembered as evaluated. */
+    private static final int MAX_EVALUATED_ATTEMPTS = 4096;
+    /** The pause before a quarantined job or task is retried; it doubles with each retry, so many times. */
     private static final long FIRST_PAUSE_MS = 1000;
-    private static final int MOST_DOUBLED = 5;
 
-    private static final class Tries {
+    private static final int MAX_DOUBLINGS = 5;
+
+    /** The failures of a job, or of a task of a job that has completed others. */
+    private static final class FailureHistory {
         final Set<String> machines = new HashSet<>();
-        int tried;
-        boolean completed;
-        long notBefore = Long.MIN_VALUE;
+        int retries;
+        boolean hasCompletedTasks;
+        long notBefore = Times.NEVER;
+
+        boolean isQuarantined() {
+            return !hasCompletedTasks && machines.size() >= MACHINES_TO_QUARANTINE;
+        }
     }
 
-    private final Map<String, Tries> jobs = new HashMap<>();
+    private final Map<String, FailureHistory> jobs = new HashMap<>();
     /** Failing tasks of jobs that have completed others. */
-    private final Map<TaskId, Tries> tasks = new HashMap<>();
+    private final Map<TaskId, FailureHistory> tasks = new HashMap<>();
 
-    private final Set<Long> seen = new LinkedHashSet<>();
+    private final Set<Long> evaluatedAttempts = new LinkedHashSet<>();
 
-    /** False when the attempt's end was judged before: a transaction may be drafted several times. */
-    boolean firstSight(long attempt) {
-        if (!seen.add(attempt)) {
+    /** False when the attempt's exit was evaluated before: a transaction may be drafted several times. */
+    boolean isFirstEvaluation(long attempt) {
+        if (!evaluatedAttempts.add(attempt)) {
             return false;
         }
-        if (seen.size() > REMEMBERED) {
-            var it = seen.iterator();
-            it.next();
-            it.remove();
+        if (evaluatedAttempts.size() > MAX_EVALUATED_ATTEMPTS) {
+            Iterator<Long> oldest = evaluatedAttempts.iterator();
+            oldest.next();
+            oldest.remove();
         }
         return true;
     }
 
-    void completed(TaskId task) {
+    /** The task completed. */
+    void recordCompletion(TaskId task) {
         tasks.remove(task);
-        sound(task.job());
+        recordCompletion(task.job());
     }
 
-    /** The job has completed tasks, whoever saw it. */
-    void sound(String job) {
-        Tries t = jobs.computeIfAbsent(job, k -> new Tries());
-        t.completed = true;
-        t.machines.clear();
-        t.notBefore = Long.MIN_VALUE;
+    /** Some task of the job completed, whoever saw it. */
+    void recordCompletion(String job) {
+        FailureHistory history = jobs.computeIfAbsent(job, id -> new FailureHistory());
+        history.hasCompletedTasks = true;
+        history.machines.clear();
+        history.notBefore = Times.NEVER;
     }
 
-    /** Notes a failure on a machine; true when the job or the task, rather than the machine, is to blame from now on. */
-    boolean failed(long now, TaskId task, String machine) {
-        Tries job = jobs.computeIfAbsent(task.job(), k -> new Tries());
-        return failed(now, job.completed ? tasks.computeIfAbsent(task, k -> new Tries()) : job, machine);
-    }
-
-    private static boolean failed(long now, Tries t, String machine) {
-        if (!suspect(t)) {
-            t.machines.add(machine);
+    /** Records a failure on a machine; true when the job or the task, rather than the machine, is at fault from now on. */
+    boolean recordFailure(long now, TaskId task, String machine) {
+        FailureHistory ofJob = jobs.computeIfAbsent(task.job(), id -> new FailureHistory());
+        FailureHistory history =
+                ofJob.hasCompletedTasks ? tasks.computeIfAbsent(task, id -> new FailureHistory()) : ofJob;
+        if (!history.isQuarantined()) {
+            history.machines.add(machine);
         }
-        if (!suspect(t)) {
+        if (!history.isQuarantined()) {
             return false;
         }
-        // The tasks that were placed with the first failures end about now, too: they are no new tries.
-        if (now >= t.notBefore) {
-            t.notBefore = now + (FIRST_PAUSE_MS << Math.min(MOST_DOUBLED, t.tried++));
+        // The tasks that were placed with the first failures end about now, too: they are no retries.
+        if (now >= history.notBefore) {
+            history.notBefore = now + (FIRST_PAUSE_MS << Math.min(MAX_DOUBLINGS, history.retries++));
         }
         return true;
     }
 
-    private static boolean suspect(Tries t) {
-        return !t.completed && t.machines.size() >= SUSPECT;
-    }
-
     /** Whether the job itself seems to be at fault. */
-    boolean isSuspect(String job) {
-        Tries t = jobs.get(job);
-        return t != null && suspect(t);
+    boolean isQuarantined(String job) {
+        FailureHistory history = jobs.get(job);
+        return history != null && history.isQuarantined();
     }
 
     /** Whether the task fails by its own fault or its job's. */
-    boolean isSuspect(TaskId task) {
-        Tries t = tasks.get(task);
-        return isSuspect(task.job()) || t != null && suspect(t);
+    boolean isQuarantined(TaskId task) {
+        FailureHistory history = tasks.get(task);
+        return isQuarantined(task.job()) || history != null && history.isQuarantined();
     }
 
     /** Whether others of the job's tasks completed, so that a failure says something about the machine. */
-    boolean isSound(String job) {
-        Tries t = jobs.get(job);
-        return t != null && t.completed;
+    boolean hasCompletedTasks(String job) {
+        FailureHistory history = jobs.get(job);
+        return history != null && history.hasCompletedTasks;
     }
 
+    /** Whether the task's pause after its last failure is over. */
     boolean mayStart(long now, TaskId task) {
-        Tries t = tasks.get(task);
-        return t == null || now >= t.notBefore;
+        FailureHistory history = tasks.get(task);
+        return history == null || now >= history.notBefore;
     }
 
-    /** How many tasks of the job may be started now, when so many are placed. */
-    int mayPlace(long now, String job, int placed) {
-        Tries t = jobs.get(job);
-        return t == null || !suspect(t)
-                ? Integer.MAX_VALUE
-                : now < t.notBefore ? 0 : Math.max(0, TRIED_AT_ONCE - placed);
+    /** How many tasks of the job may be placed now, when {@code placed} of them are already. */
+    int allowedPlacements(long now, String job, int placed) {
+        FailureHistory history = jobs.get(job);
+        if (history == null || !history.isQuarantined()) {
+            return Integer.MAX_VALUE;
+        }
+        return now < history.notBefore ? 0 : Math.max(0, MAX_TRIAL_TASKS - placed);
     }
 
-    /** Jobs that seem to be at fault, in their names' order. */
-    Set<String> suspects() {
-        Set<String> found = new TreeSet<>();
-        jobs.forEach((job, t) -> {
-            if (suspect(t)) {
-                found.add(job);
+    /** Quarantined jobs, in the order of their names. */
+    Set<String> quarantinedJobs() {
+        Set<String> quarantined = new TreeSet<>();
+        jobs.forEach((job, history) -> {
+            if (history.isQuarantined()) {
+                quarantined.add(job);
             }
         });
-        return found;
+        return quarantined;
     }
 
-    /** Forgets jobs that are over. */
-    void retain(Predicate<String> live) {
-        jobs.keySet().removeIf(live.negate());
-        tasks.keySet().removeIf(t -> !live.test(t.job()));
+    /** Forgets jobs other than those that are still stored. */
+    void retain(Predicate<String> isStored) {
+        jobs.keySet().removeIf(isStored.negate());
+        tasks.keySet().removeIf(task -> !isStored.test(task.job()));
     }
 }
--- a/src/main/java/garnetscale/core/leader/LateBidStops.java
+++ b/src/main/java/garnetscale/core/leader/LateBidStops.java
@@ -10,7 +10,7 @@
 import java.util.Map;
 import java.util.function.Consumer;
 
-/** Stops tasks of machines to be given back for which a late bid is much better; the stop must be confirmed first. */
+/** Stops tasks of decommissioned machines for which a late bid is much better; the stop must be confirmed first. */
 final class LateBidStops {
 
     private final StateReplica replica;
@@ -19,50 +19,43 @@
     private final Map<String, MachineState> machines;
     private final Consumer<String> log;
 
-    LateBidStops(
-            StateReplica replica,
-            Auction auction,
-            Estimator estimator,
-            Map<String, MachineState> machines,
-            Consumer<String> log) {
-        this.replica = replica;
-        this.auction = auction;
-        this.estimator = estimator;
-        this.machines = machines;
-        this.log = log;
+    LateBidStops(LeaderContext context) {
+        this.replica = context.replica();
+        this.auction = context.auction();
+        this.estimator = context.estimator();
+        this.machines = context.machines();
+        this.log = context.log();
     }
 
-    void plan(SchedulingCycle turn) {
-        for (MachineState machine : turn.machines()) {
-            if (machine.decommissioned && !machine.last.silent()) {
-                replica.placements(machine.id).forEach(placement -> restart(turn, machine, placement));
+    /** Adds the stops that are due to the cycle's draft. */
+    void plan(SchedulingCycle cycle) {
+        for (MachineState machine : cycle.machines()) {
+            if (machine.decommissioned && !machine.status.silent()) {
+                replica.placements(machine.id).forEach(placement -> stopIfBetterBid(cycle, machine, placement));
             }
         }
     }
 
-    private void restart(SchedulingCycle turn, MachineState machine, Placement placement) {
+    private void stopIfBetterBid(SchedulingCycle cycle, MachineState machine, Placement placement) {
         Long since = machine.runningSince.get(placement.attempt());
         JobView job = replica.job(placement.task().job());
         if (since == null || job == null || !job.live() || placement.stop() != Placement.Stop.KEEP) {
             return;
         }
-        double earlier = estimator.remainingS(job.spec(), machine.id, (turn.now() - since) / 1000.0);
-        Bid bid = auction.best(job.spec().id(), late -> mayTake(turn.now(), late));
+        double remainingS = estimator.remainingS(job.spec(), machine.id, cycle.secondsSince(since));
+        Bid bid = auction.best(job.spec().id(), lateBid -> mayTake(cycle.now(), lateBid));
         if (bid != null
-                && LateBids.accepts(earlier, bid.finishS())
-                && turn.draft().hasRoom(false)) {
-            turn.draft()
-                    .stop(
-                            machine.id,
-                            placement,
-                            job.spec().writesCheckpoints() ? Placement.Stop.CHECKPOINT : Placement.Stop.NOW);
-            log.accept("task " + placement.task() + " is stopped on " + machine.id + ": a late bid of " + bid.machine()
-                    + " is better by " + Math.round(100 * LateBids.improvement(earlier, bid.finishS())) + "%");
+                && LateBids.accepts(remainingS, bid.finishS())
+                && cycle.draft().hasRoomForChange()) {
+            cycle.draft().stop(machine.id, placement, job.spec());
+            log.accept("stopping task: a late bid is better, task=" + placement.task() + ", machine=" + machine.id
+                    + ", bidder=" + bid.machine() + ", improvement_percent="
+                    + Math.round(100 * LateBids.improvement(remainingS, bid.finishS())));
         }
     }
 
     private boolean mayTake(long now, Bid bid) {
-        MachineState other = machines.get(bid.machine());
-        return other != null && !other.decommissioned && now >= other.avoidUntil;
+        MachineState bidder = machines.get(bid.machine());
+        return bidder != null && !bidder.decommissioned && now >= bidder.cordonedUntil;
     }
 }
--- a/src/main/java/garnetscale/core/leader/LoadObserver.java
+++ b/src/main/java/garnetscale/core/leader/LoadObserver.java
@@ -1,6 +1,7 @@
 package garnetscale.core.leader;
 
 import garnetscale.core.SchedulerConfig;
+import garnetscale.core.Times;
 import garnetscale.core.balance.Demand;
 import garnetscale.core.balance.LoadSnapshot;
 import garnetscale.core.balance.LoadTracker;
@@ -23,34 +24,34 @@
 import java.util.Map;
 
 /**
- * Feeds the load tracker from what the leader is told anyway: holders' observations, their bids and heartbeats, and the stored
- * placements. Holders report a machine only when something about it changes, so its observation is as good as the last sign of
- * life of its holder.
+ * Feeds the load tracker from what the leader is told anyway: machine statuses, bids and heartbeats of the partitions' owners, and
+ * the stored placements. Owners publish a machine's status only when something about it changes, so it is as good as the last sign
+ * of life of its owner.
  */
 final class LoadObserver {
 
-    /** A holder that wasn't heard from for this part of a worker's lease doesn't vouch for its machines any more. */
-    private static final double HEARD_WITHIN_LEASES = 0.5;
-    /** The time constant of the average utilization, in report intervals. */
-    private static final double SMOOTHING_REPORTS = 5;
+    /** An owner that wasn't heard from for this part of a worker's lease doesn't vouch for its machines any more. */
+    private static final double OWNER_HEARD_WITHIN_LEASES = 0.5;
+    /** The time constant of the average utilization, in heartbeat intervals. */
+    private static final double SMOOTHING_INTERVALS = 5;
 
     /** What a machine's load was last worked out from. */
     private record Inputs(
-            MachineStatus machineStatus,
+            MachineStatus status,
             List<Placement> placements,
             MachineType type,
-            UnknownReason unknown,
-            boolean serving) {
+            UnknownReason unknownReason,
+            boolean isServing) {
 
-        /** Both lists and observations are replaced whole, so that identity tells what changed at no cost. */
+        /** Both placements and statuses are replaced whole, so that identity tells what changed at no cost. */
         @SuppressWarnings("ReferenceEquality")
         boolean isSame(Inputs other) {
             return other != null
-                    && machineStatus == other.machineStatus
+                    && status == other.status
                     && placements == other.placements
                     && type == other.type
-                    && unknown == other.unknown
-                    && serving == other.serving;
+                    && unknownReason == other.unknownReason
+                    && isServing == other.isServing;
         }
     }
 
@@ -59,8 +60,11 @@
     private final Auction auction;
     private final Estimator estimator;
     private final LoadTracker tracker;
-    private final Map<String, Long> heardAt = new HashMap<>();
+    /** When each controller last gave a sign of life. */
+    private final Map<String, Long> lastHeardAt = new HashMap<>();
+    /** By machine. */
     private final Map<String, Inputs> inputs = new HashMap<>();
+
     private LoadSnapshot snapshot = LoadSnapshot.EMPTY;
 
     LoadObserver(SchedulerConfig config, StateReplica replica, Auction auction, Estimator estimator) {
@@ -68,87 +72,90 @@
         this.replica = replica;
         this.auction = auction;
         this.estimator = estimator;
-        this.tracker = new LoadTracker(SMOOTHING_REPORTS * config.heartbeatIntervalMs());
+        this.tracker = new LoadTracker(SMOOTHING_INTERVALS * config.heartbeatIntervalMs());
     }
 
     /** A new leadership begins: what was heard before doesn't count. */
     void clear() {
-        heardAt.clear();
+        lastHeardAt.clear();
         inputs.clear();
         tracker.clear();
         snapshot = LoadSnapshot.EMPTY;
     }
 
     /** A controller gave a sign of life. */
-    void heard(long now, String node) {
-        heardAt.put(node, now);
+    void onSignOfLife(long now, String node) {
+        lastHeardAt.put(node, now);
     }
 
-    /** The picture as of the last update. */
+    /** The load as of the last update. */
     LoadSnapshot snapshot() {
         return snapshot;
     }
 
-    /** Brings the picture up to date. */
-    LoadSnapshot update(SchedulingCycle turn) {
-        Map<String, UnknownReason> partitions = new HashMap<>();
+    /** Works out the load anew, from the machines that have changed. */
+    LoadSnapshot update(SchedulingCycle cycle) {
+        Map<String, UnknownReason> ownerReasons = new HashMap<>();
         Map<String, MachineState> present = new HashMap<>();
-        for (MachineState machine : turn.machines()) {
-            if (replica.type(machine.last.type()) != null) {
+        for (MachineState machine : cycle.machines()) {
+            if (replica.type(machine.status.type()) != null) {
                 present.put(machine.id, machine);
-                update(turn.now(), machine, partitions);
+                update(cycle.now(), machine, ownerReasons);
             }
         }
         inputs.keySet().retainAll(present.keySet());
-        tracker.retain(turn.now(), present.keySet());
-        snapshot = tracker.snapshot(turn.now(), demand(tracker.snapshot(turn.now(), Demand.NONE)));
+        tracker.retain(cycle.now(), present.keySet());
+        snapshot = tracker.snapshot(cycle.now(), demand(tracker.snapshot(cycle.now(), Demand.NONE)));
         return snapshot;
     }
 
-    private void update(long now, MachineState machine, Map<String, UnknownReason> partitions) {
-        UnknownReason unknown = unknown(now, machine, partitions);
-        boolean serving = unknown == null
-                && machine.last.evictionNoticeS() == null
-                && now >= machine.avoidUntil
-                && !machine.decommissioned;
-        MachineType type = replica.type(machine.last.type());
-        Inputs next = new Inputs(machine.last, replica.placements(machine.id), type, unknown, serving);
+    private void update(long now, MachineState machine, Map<String, UnknownReason> ownerReasons) {
+        UnknownReason unknownReason = unknownReason(now, machine, ownerReasons);
+        boolean isServing = unknownReason == null && machine.acceptsTasks(now);
+        MachineType type = replica.type(machine.status.type());
+        Inputs next = new Inputs(machine.status, replica.placements(machine.id), type, unknownReason, isServing);
         if (next.isSame(inputs.get(machine.id))) {
             return;
         }
         inputs.put(machine.id, next);
-        Map<String, Long> usedBy = new HashMap<>();
+        Map<String, Long> usedByTeam = new HashMap<>();
         for (Placement placement : next.placements()) {
             JobView job = replica.job(placement.task().job());
             if (job != null) {
-                usedBy.merge(job.spec().team(), MachineLoad.milliCpus(job.spec().cpus()), Long::sum);
+                usedByTeam.merge(
+                        job.spec().team(), MachineLoad.milliCpus(job.spec().cpus()), Long::sum);
             }
         }
-        MachineGroup group = groupOf(machine);
+        long milliCpus = MachineLoad.milliCpus(type.cpus());
         tracker.update(
-                now, machine.id, new MachineLoad(group, unknown, serving, MachineLoad.milliCpus(type.cpus()), usedBy));
+                now, machine.id, new MachineLoad(groupOf(machine), unknownReason, isServing, milliCpus, usedByTeam));
     }
 
+    /** The group that the machine's load counts in. */
     static MachineGroup groupOf(MachineState machine) {
-        return new MachineGroup(machine.last.zone(), machine.last.type());
+        return new MachineGroup(machine.status.zone(), machine.status.type());
     }
 
-    private UnknownReason unknown(long now, MachineState machine, Map<String, UnknownReason> partitions) {
-        String partition = machine.last.partition();
+    /** Why the machine's load isn't known, or null; {@code ownerReasons} keeps what was found out of the partitions' owners. */
+    private UnknownReason unknownReason(long now, MachineState machine, Map<String, UnknownReason> ownerReasons) {
+        String partition = machine.status.partition();
         PartitionLease lease = replica.partition(partition);
-        if (lease == null || lease.term() != machine.last.term() || lease.incarnation() != machine.last.incarnation()) {
+        if (lease == null
+                || lease.term() != machine.status.term()
+                || lease.incarnation() != machine.status.incarnation()) {
             return UnknownReason.PARTITION_REASSIGNED;
         }
-        if (!partitions.containsKey(partition)) {
-            partitions.put(partition, unknownOwner(now, partition, lease.owner()));
+        if (!ownerReasons.containsKey(partition)) {
+            ownerReasons.put(partition, ownerReason(now, partition, lease.owner()));
         }
-        UnknownReason ofOwner = partitions.get(partition);
-        return ofOwner == null && machine.last.silent() ? UnknownReason.MACHINE_SILENT : ofOwner;
+        UnknownReason ownerReason = ownerReasons.get(partition);
+        return ownerReason == null && machine.status.silent() ? UnknownReason.MACHINE_SILENT : ownerReason;
     }
 
-    private UnknownReason unknownOwner(long now, String partition, String owner) {
-        long heard = owner.equals(config.self()) ? now : heardAt.getOrDefault(owner, Long.MIN_VALUE / 2);
-        if (now - heard > HEARD_WITHIN_LEASES * config.leaseMs()) {
+    /** Why the owner doesn't vouch for the partition's machines, or null when it does. */
+    private UnknownReason ownerReason(long now, String partition, String owner) {
+        long heardAt = owner.equals(config.self()) ? now : lastHeardAt.getOrDefault(owner, Times.NEVER);
+        if (now - heardAt > OWNER_HEARD_WITHIN_LEASES * config.leaseMs()) {
             return UnknownReason.OWNER_UNHEARD;
         }
         return auction.speaksFor(partition) ? null : UnknownReason.OWNER_NOT_BIDDING;
@@ -156,6 +163,7 @@
 
     // ---- demand
 
+    /** CPU-seconds that waiting and placed tasks will take, by team, and the waiting ones by group. */
     private Demand demand(LoadSnapshot load) {
         Demand demand = Demand.NONE;
         for (JobView job : replica.jobs()) {
@@ -164,26 +172,27 @@
                 double waitingCpuS = taskCpuS * job.unstarted();
                 demand = demand.plus(job.spec().team(), waitingCpuS, taskCpuS * job.placedCount());
                 if (waitingCpuS > 0) {
-                    demand = split(demand, load, job.spec(), waitingCpuS);
+                    demand = plusWaiting(demand, load, job.spec(), waitingCpuS);
                 }
             }
         }
         return demand;
     }
 
-    private Demand split(Demand demand, LoadSnapshot load, JobSpec job, double waitingCpuS) {
-        List<MachineGroup> groups = new ArrayList<>();
-        double capacity = 0;
+    /** Splits what the job waits for among the groups that it fits, by their capacity. */
+    private Demand plusWaiting(Demand demand, LoadSnapshot load, JobSpec job, double waitingCpuS) {
+        List<MachineGroup> fitting = new ArrayList<>();
+        double capacityCpus = 0;
         for (MachineGroup group : load.groups().keySet()) {
             MachineType type = replica.type(group.type());
             if (type != null && JobQueue.allows(type, group.zone(), false, job)) {
-                groups.add(group);
-                capacity += load.capacityCpus(group);
+                fitting.add(group);
+                capacityCpus += load.capacityCpus(group);
             }
         }
         Demand sum = demand;
-        for (MachineGroup group : groups) {
-            double share = capacity <= 0 ? 1.0 / groups.size() : load.capacityCpus(group) / capacity;
+        for (MachineGroup group : fitting) {
+            double share = capacityCpus <= 0 ? 1.0 / fitting.size() : load.capacityCpus(group) / capacityCpus;
             sum = sum.plusWaiting(group, waitingCpuS * share);
         }
         return sum;
--- /dev/null
+++ b/src/main/java/garnetscale/core/leader/MachineEvaluator.java
@@ -0,0 +1,206 @@
+package garnetscale.core.leader;
+
+import garnetscale.core.SchedulerConfig;
+import garnetscale.core.Times;
+import garnetscale.core.bidding.Estimator;
+import garnetscale.core.job.TaskId;
+import garnetscale.core.machine.ExitCause;
+import garnetscale.core.machine.Placement;
+import garnetscale.core.machine.TaskStatus;
+import garnetscale.core.state.JobView;
+import garnetscale.core.state.StateReplica;
+import java.util.ArrayList;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import java.util.function.Consumer;
+
+/**
+ * Decides which machines are fit for work, by how fast their tasks run and by which tasks fail on them: cordons them for a while,
+ * decommissions them, and forgets those that are silent and empty. What fails by its own fault is told by the
+ * {@link FailureTracker}.
+ */
+final class MachineEvaluator {
+
+    /** A machine this many times slower than its peers is decommissioned. */
+    private static final double SLOW_FACTOR = 2.2;
+    /** Tasks of jobs that succeed elsewhere that fail on a machine in a row before it is decommissioned. */
+    private static final int FAILURES_TO_DECOMMISSION = 4;
+    /** Of the machines, one in so many may be decommissioned at a time: of more it is rather something else. */
+    private static final int MACHINES_PER_DECOMMISSIONED = 8;
+    /** The longest time that a machine is cordoned for, in heartbeat intervals. */
+    private static final long MAX_CORDON_INTERVALS = 32;
+    /** Worker leases after which a silent machine that holds nothing is forgotten. */
+    private static final int LEASES_TO_FORGET = 2;
+
+    private final SchedulerConfig config;
+    private final StateReplica replica;
+    private final Map<String, MachineState> machines;
+    private final FailureTracker failures;
+    private final Estimator estimator;
+    private final Consumer<String> log;
+
+    private Set<String> jobsOnSlowMachines = Set.of();
+    private long evaluatedAt = Times.NEVER;
+    private boolean hasNewlyQuarantined;
+
+    MachineEvaluator(LeaderContext context) {
+        this.config = context.config();
+        this.replica = context.replica();
+        this.machines = context.machines();
+        this.failures = context.failures();
+        this.estimator = context.estimator();
+        this.log = context.log();
+    }
+
+    /** Forgets silent machines and evaluates the speed of the others, twice in a heartbeat interval. */
+    void evaluate(long now) {
+        if (now - evaluatedAt >= config.heartbeatIntervalMs() / 2) {
+            evaluatedAt = now;
+            forgetSilent(now);
+            evaluateSpeed(now);
+        }
+    }
+
+    /**
+     * Forgets machines that are silent and that hold nothing. Those that the cloud took before this leader's first list leave
+     * no other trace; with them in the count too many would seem silent for any to be given up early.
+     */
+    private void forgetSilent(long now) {
+        machines.values()
+                .removeIf(machine -> machine.status.silent()
+                        && replica.placements(machine.id).isEmpty()
+                        && now - machine.statusAt > LEASES_TO_FORGET * config.leaseMs());
+    }
+
+    private void evaluateSpeed(long now) {
+        Set<String> jobs = new HashSet<>();
+        for (MachineState machine : machines.values()) {
+            List<Estimator.UnderWay> running = runningTasks(now, machine);
+            estimator.evaluate(machine.id, running);
+            double factor = estimator.machineFactor(machine.id);
+            if (factor > SLOW_FACTOR) {
+                running.forEach(task -> jobs.add(task.job().id()));
+                decommission(machine, "it is slower than its peers", ", factor=" + Math.round(10 * factor) / 10.0);
+            }
+        }
+        jobsOnSlowMachines = jobs;
+    }
+
+    private List<Estimator.UnderWay> runningTasks(long now, MachineState machine) {
+        List<Estimator.UnderWay> running = new ArrayList<>();
+        for (Placement placement : replica.placements(machine.id)) {
+            Long since = machine.runningSince.get(placement.attempt());
+            JobView job = replica.job(placement.task().job());
+            if (since != null && job != null && job.live()) {
+                running.add(new Estimator.UnderWay(job.spec(), (now - since) / 1000.0));
+            }
+        }
+        return running;
+    }
+
+    /** Decommissions a machine, unless too many are already. */
+    private void decommission(MachineState machine, String reason, String details) {
+        long decommissionedNow =
+                machines.values().stream().filter(other -> other.decommissioned).count();
+        if (!machine.decommissioned && decommissionedNow < Math.max(1, machines.size() / MACHINES_PER_DECOMMISSIONED)) {
+            machine.decommissioned = true;
+            log.accept("decommissioning machine: " + reason + ", machine=" + machine.id + details);
+        }
+    }
+
+    /** Draws conclusions from an attempt's exit; called again with the same one, does nothing. */
+    void onExit(long now, String machineId, Placement placement, TaskStatus status) {
+        if (!failures.isFirstEvaluation(placement.attempt())) {
+            return;
+        }
+        MachineState machine = machines.get(machineId);
+        if (status.cause() == ExitCause.DONE) {
+            failures.recordCompletion(placement.task());
+            if (machine != null) {
+                machine.failedTasks.clear();
+                machine.timesCordoned = 0;
+            }
+            return;
+        }
+        log.accept("task ended early, task=" + placement.task() + ", machine=" + machineId + ", cause=" + status.cause()
+                + ", checkpointed=" + status.checkpointed());
+        if (machine == null) {
+            return;
+        }
+        switch (status.cause()) {
+            case ERROR, UNKNOWN_TASK -> onFailure(now, machine, placement.task());
+            case NO_ROOM, BUSY, OTHER ->
+                machine.cordonedUntil = Math.max(machine.cordonedUntil, now + config.heartbeatIntervalMs());
+            default -> {}
+        }
+    }
+
+    private void onFailure(long now, MachineState machine, TaskId task) {
+        JobView job = replica.job(task.job());
+        if (job != null && job.finishedCount() > 0) {
+            failures.recordCompletion(task.job());
+        }
+        boolean wasQuarantined = failures.isQuarantined(task);
+        if (!failures.recordFailure(now, task, machine.id)) {
+            recordMachineFailure(now, machine, task);
+        } else if (!wasQuarantined) {
+            log.accept("quarantined job: it fails on every machine and is retried rarely, job=" + task.job() + ", task="
+                    + task + ", machine=" + machine.id);
+            machines.values().forEach(this::uncordon);
+            hasNewlyQuarantined = true;
+        }
+    }
+
+    /**
+     * A task failed whose job may be free of faults: the machine is cordoned, longer each time that it fails after a pause, and
+     * decommissioned once several tasks failed of jobs that succeed elsewhere. A job that has completed nothing yet has no say
+     * in that: hundreds of tasks of a bad submission fail before it is known for one.
+     */
+    private void recordMachineFailure(long now, MachineState machine, TaskId task) {
+        machine.failedTasks.add(task);
+        if (now >= machine.cordonedUntil) {
+            machine.timesCordoned++;
+            machine.cordonedUntil =
+                    now + Math.min(MAX_CORDON_INTERVALS, 1L << machine.timesCordoned) * config.heartbeatIntervalMs();
+        }
+        long ofSuccessfulJobs = machine.failedTasks.stream()
+                .filter(failed -> failures.hasCompletedTasks(failed.job()))
+                .count();
+        if (ofSuccessfulJobs >= FAILURES_TO_DECOMMISSION) {
+            decommission(machine, "tasks of jobs that succeed elsewhere fail on it", "");
+        }
+    }
+
+    /** Takes back what was held against a machine for tasks that turn out to fail on every machine. */
+    private void uncordon(MachineState machine) {
+        if (machine.failedTasks.removeIf(failures::isQuarantined) && machine.failedTasks.isEmpty()) {
+            machine.timesCordoned = 0;
+            machine.cordonedUntil = Times.NEVER;
+        }
+    }
+
+    /** Jobs with tasks on machines that were found slow when speed was last evaluated. */
+    Set<String> jobsOnSlowMachines() {
+        return jobsOnSlowMachines;
+    }
+
+    /** Whether jobs or tasks were quarantined since this was last asked. */
+    boolean takeNewlyQuarantined() {
+        boolean result = hasNewlyQuarantined;
+        hasNewlyQuarantined = false;
+        return result;
+    }
+
+    /** Decommissioned machines that nothing is placed on any more. */
+    List<String> emptyDecommissioned() {
+        List<String> ids = new ArrayList<>();
+        for (MachineState machine : machines.values()) {
+            if (machine.decommissioned && replica.placements(machine.id).isEmpty()) {
+                ids.add(machine.id);
+            }
+        }
+        return ids;
+    }
+}
--- a/src/main/java/garnetscale/core/leader/MachineState.java
+++ b/src/main/java/garnetscale/core/leader/MachineState.java
@@ -1,5 +1,6 @@
 package garnetscale.core.leader;
 
+import garnetscale.core.Times;
 import garnetscale.core.bidding.Estimator;
 import garnetscale.core.job.TaskId;
 import garnetscale.core.machine.ExitCause;
@@ -13,39 +14,41 @@
 import java.util.Map;
 import java.util.Set;
 
-/** What the leader knows of a machine; {@code seen} is when its holder last spoke of it. */
+/** What the leader knows of one machine. Times are milliseconds of the steady clock. */
 final class MachineState {
 
     final String id;
-    MachineStatus last;
-    long seen;
-    /** When the leader first heard that an attempt runs. */
+    /** What the machine's owner last published; set before anybody else sees this object. */
+    MachineStatus status;
+    /** When {@link #status} was received. */
+    long statusAt;
+    /** When the leader first heard that an attempt runs, by attempt. */
     final Map<Long, Long> runningSince = new HashMap<>();
-    /** No awards before this time: the machine refused or failed tasks. */
-    long avoidUntil = Long.MIN_VALUE;
-    /** Tasks that failed here without one completing between them, as far as it isn't their own fault. */
-    final Set<TaskId> failed = new HashSet<>();
-    /** How often it was avoided for that in a row. */
-    int avoided;
-    /** To be given back as soon as nothing is on it: it fails or is slow. */
+    /** Nothing is placed here before this time: the machine rejected or failed tasks. */
+    long cordonedUntil = Times.NEVER;
+    /** How often it was cordoned in a row because tasks failed. */
+    int timesCordoned;
+    /** Tasks that failed here without one completing between them, except those that fail on every machine. */
+    final Set<TaskId> failedTasks = new HashSet<>();
+    /** To be scaled in as soon as nothing is placed on it: it is slow, or its tasks fail. */
     boolean decommissioned;
 
     MachineState(String id) {
         this.id = id;
     }
 
-    /** Takes a new observation; tells the estimator of tasks that completed. */
-    void observe(long now, MachineStatus o, StateReplica replica, Estimator estimator) {
-        last = o;
-        seen = now;
+    /** Takes over what the owner published, and tells the estimator of tasks that completed. */
+    void onStatus(long now, MachineStatus published, StateReplica replica, Estimator estimator) {
+        status = published;
+        statusAt = now;
         Set<Long> present = new HashSet<>();
-        for (TaskStatus t : o.tasks()) {
-            present.add(t.attempt());
-            if (t.state() == TaskState.RUNNING) {
-                runningSince.putIfAbsent(t.attempt(), now);
-            } else if (t.cause() == ExitCause.DONE) {
-                Long since = runningSince.remove(t.attempt());
-                JobView job = replica.job(t.task().job());
+        for (TaskStatus task : published.tasks()) {
+            present.add(task.attempt());
+            if (task.state() == TaskState.RUNNING) {
+                runningSince.putIfAbsent(task.attempt(), now);
+            } else if (task.cause() == ExitCause.DONE) {
+                Long since = runningSince.remove(task.attempt());
+                JobView job = replica.job(task.task().job());
                 if (since != null && job != null) {
                     estimator.completed(job.spec(), id, (now - since) / 1000.0);
                 }
@@ -53,4 +56,14 @@
         }
         runningSince.keySet().retainAll(present);
     }
+
+    /** Whether its heartbeats arrive and the cloud hasn't announced its eviction. */
+    boolean isServing() {
+        return !status.silent() && status.evictionNoticeS() == null;
+    }
+
+    /** Whether tasks may be placed on it: it serves, and is neither cordoned nor decommissioned. */
+    boolean acceptsTasks(long now) {
+        return isServing() && now >= cordonedUntil && !decommissioned;
+    }
 }
--- /dev/null
+++ b/src/main/java/garnetscale/core/leader/MoveSources.java
@@ -0,0 +1,95 @@
+package garnetscale.core.leader;
+
+import garnetscale.core.SchedulerConfig;
+import garnetscale.core.balance.LoadSnapshot;
+import garnetscale.core.balance.RunningTask;
+import garnetscale.core.balance.SourceMachine;
+import garnetscale.core.bidding.Estimator;
+import garnetscale.core.job.JobSpec;
+import garnetscale.core.machine.FreeCapacity;
+import garnetscale.core.machine.MachineType;
+import garnetscale.core.machine.Placement;
+import garnetscale.core.state.JobView;
+import garnetscale.core.state.StateReplica;
+import java.util.ArrayList;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Set;
+
+/** The machines that tasks may be moved away from and the tasks that run there, as the planner of moves sees them. */
+final class MoveSources {
+
+    /** A start counts for its user's objectives once it wasn't stopped for so long [PROTOCOL, "How aims are counted"]. */
+    private static final double START_COUNTS_S = 30;
+
+    private final StateReplica replica;
+    private final Estimator estimator;
+    private final AwardTimes awardTimes;
+    private final long heartbeatIntervalMs;
+    /** Classes of jobs with an objective for how long they wait. */
+    private final Set<String> classesWithWaitObjective = new HashSet<>();
+
+    MoveSources(LeaderContext context) {
+        this.replica = context.replica();
+        this.estimator = context.estimator();
+        this.awardTimes = context.awardTimes();
+        this.heartbeatIntervalMs = context.config().heartbeatIntervalMs();
+        for (SchedulerConfig.ServiceLevelObjective objective : context.config().objectives()) {
+            if (objective.kind().equals("wait")) {
+                classesWithWaitObjective.add(objective.jobClass());
+            }
+        }
+    }
+
+    /** Whether the machine is slower than others, but not slow enough to be decommissioned. */
+    boolean isSlow(MachineState machine) {
+        return !machine.decommissioned && estimator.machineFactor(machine.id) > 1;
+    }
+
+    /** The serving machines whose load is known, with what the cycle's draft leaves running on them. */
+    List<SourceMachine> machines(SchedulingCycle cycle, LoadSnapshot load) {
+        List<SourceMachine> sources = new ArrayList<>();
+        for (MachineState machine : cycle.machines()) {
+            if (load.isKnown(machine.id) && load.machines().get(machine.id).serving()) {
+                sources.add(machine(cycle, machine));
+            }
+        }
+        return sources;
+    }
+
+    private SourceMachine machine(SchedulingCycle cycle, MachineState machine) {
+        MachineType type = replica.type(machine.status.type());
+        FreeCapacity free = new FreeCapacity(type);
+        List<RunningTask> tasks = new ArrayList<>();
+        for (Placement placement : cycle.draft().placements(machine.id)) {
+            JobView job = replica.job(placement.task().job());
+            if (job != null && placement.stop() == Placement.Stop.KEEP) {
+                free.take(job.spec());
+                tasks.add(task(cycle, machine, placement, job));
+            }
+        }
+        return new SourceMachine(
+                machine.id, LoadObserver.groupOf(machine), type, machine.status.spot(), isSlow(machine), free, tasks);
+    }
+
+    /**
+     * A task as the planner sees it. Its run counts from its award: the heartbeat that told of its start may have been lost or come
+     * late, and a costly task would look like a new one. For the same reason a task that an earlier leader placed isn't moved.
+     */
+    private RunningTask task(SchedulingCycle cycle, MachineState machine, Placement placement, JobView job) {
+        JobSpec spec = job.spec();
+        Long since = machine.runningSince.get(placement.attempt());
+        Long awardedAt = awardTimes.at(placement.attempt());
+        double seenRunningS = since == null ? 0 : cycle.secondsSince(since);
+        double ranAtMostS = awardedAt == null ? seenRunningS : cycle.secondsSince(awardedAt);
+        boolean isStartPending = classesWithWaitObjective.contains(spec.jobClass()) && seenRunningS < START_COUNTS_S;
+        return new RunningTask(
+                placement.task(),
+                placement.attempt(),
+                spec,
+                estimator.remainingS(spec, machine.id, ranAtMostS),
+                spec.writesCheckpoints() ? seenRunningS : 0,
+                DrainStops.stopS(spec, heartbeatIntervalMs),
+                job.live() && awardedAt != null && !isStartPending);
+    }
+}
--- a/src/main/java/garnetscale/core/leader/PartitionAssigner.java
+++ b/src/main/java/garnetscale/core/leader/PartitionAssigner.java
@@ -3,6 +3,7 @@
 import com.google.common.collect.HashMultiset;
 import com.google.common.collect.Multiset;
 import garnetscale.core.SchedulerConfig;
+import garnetscale.core.Times;
 import garnetscale.core.partition.ControllerInfo;
 import garnetscale.core.partition.FencingTokens;
 import garnetscale.core.partition.PartitionLease;
@@ -18,36 +19,44 @@
 import java.util.Map;
 import java.util.function.Consumer;
 
-/** Decides which controller holds which block. Used by the leader alone, whose term the terms of blocks are numbered in. */
+/** Decides which controller owns which partition. Used by the leader alone, in whose term the terms of partitions are numbered. */
 final class PartitionAssigner {
 
+    /** A controller has to have been there, and the leader to have led, for so many controller leases before rebalancing. */
+    private static final int LEASES_BEFORE_REBALANCING = 2;
+    /** A partition whose owner heard none of its machines isn't rebalanced for so many controller leases. */
+    private static final int LEASES_AFTER_ISOLATION = 8;
+    /** What a partition that a controller owns already weighs, against 1 for its being in another zone than the new one. */
+    private static final int COST_PER_PARTITION = 2;
+
     private final SchedulerConfig config;
     private final StateReplica replica;
     private final PartitionMap partitions;
-    private final PeerFailureDetector health;
-    /** What the holders last said of each machine. */
+    private final PeerFailureDetector failureDetector;
+    /** What the owners last published of each machine. */
     private final Collection<MachineState> machines;
 
     private final Consumer<String> log;
-    /** Since when each process has been there. */
-    private final Map<String, Long> nodeSince = new HashMap<>();
-    /** When a block was last moved because none of its machines was heard of. */
-    private final Map<String, Long> movedAt = new HashMap<>();
+    /** Since when each controller process has been there, by {@link #processKey}. */
+    private final Map<String, Long> controllerSince = new HashMap<>();
+    /** When a partition was last given to another owner because its own is isolated from its machines. */
+    private final Map<String, Long> reassignedAt = new HashMap<>();
 
     private long leadingSince;
     private int sequence;
 
+    /** {@code machines} is a live view of the leader's machines. */
     PartitionAssigner(
             SchedulerConfig config,
             StateReplica replica,
             PartitionMap partitions,
-            PeerFailureDetector health,
+            PeerFailureDetector failureDetector,
             Collection<MachineState> machines,
             Consumer<String> log) {
         this.config = config;
         this.replica = replica;
         this.partitions = partitions;
-        this.health = health;
+        this.failureDetector = failureDetector;
         this.machines = machines;
         this.log = log;
     }
@@ -56,87 +65,107 @@
     void begin(long now) {
         leadingSince = now;
         sequence = 0;
-        nodeSince.clear();
-        movedAt.clear();
+        controllerSince.clear();
+        reassignedAt.clear();
     }
 
-    /** Whether the leader's term is about to have no numbers left for blocks. */
+    /** Whether the leader's term is about to have no numbers left for the terms of partitions. */
     boolean isNearlyUsedUp() {
         return sequence >= FencingTokens.MAX_PARTITION_TERMS - partitions.all().size();
     }
 
     /**
-     * The transaction that leases blocks whose holder is gone, or moves a block home when its zone has an idle controller
-     * again; null when all is well.
+     * The transaction that leases partitions without a live owner, or moves a partition to an idle controller in its zone; null
+     * when all is well.
      */
     Transaction plan(long now, long leaderTerm) {
-        nodeSince.keySet().removeIf(n -> replica.nodes().stream().noneMatch(i -> key(i).equals(n)));
-        replica.nodes().forEach(n -> nodeSince.putIfAbsent(key(n), now));
-        Multiset<String> load = HashMultiset.create();
-        Map<String, String> deafHolder = new HashMap<>();
-        List<String> orphans = new ArrayList<>();
+        observeControllers(now);
+        // How many partitions each controller owns.
+        Multiset<String> owned = HashMultiset.create();
+        Map<String, String> isolatedOwners = new HashMap<>();
+        List<String> toLease = withoutOwner(now, owned, isolatedOwners);
+        if (toLease.isEmpty()) {
+            String rebalanced = partitionToRebalance(now, owned);
+            if (rebalanced != null) {
+                toLease.add(rebalanced);
+            }
+        }
+        Transaction transaction = new Transaction().guard(Keys.LEADER, replica.modRevision(Keys.LEADER));
+        for (String partition : toLease) {
+            ControllerInfo owner = bestOwner(partition, owned, isolatedOwners.get(partition));
+            if (owner != null && transaction.ops().size() < config.transactionOps()) {
+                owned.add(owner.name());
+                lease(partition, owner, FencingTokens.partitionTerm(leaderTerm, ++sequence), transaction);
+            }
+        }
+        return transaction.ops().isEmpty() ? null : transaction;
+    }
+
+    private void observeControllers(long now) {
+        controllerSince.keySet().removeIf(key -> replica.nodes().stream()
+                .noneMatch(node -> processKey(node).equals(key)));
+        replica.nodes().forEach(node -> controllerSince.putIfAbsent(processKey(node), now));
+    }
+
+    /** Partitions that nobody owns, or that should go to another owner; notes who owns the others, and whom to pass over. */
+    private List<String> withoutOwner(long now, Multiset<String> owned, Map<String, String> isolatedOwners) {
+        List<String> found = new ArrayList<>();
         for (String partition : partitions.all()) {
             PartitionLease lease = replica.partition(partition);
-            if (lease != null
-                    && alive(lease)
-                    && (isIsolatedFromWorkers(now, partition) || isIsolatedFromWorkers(lease.owner()))) {
-                movedAt.put(partition, now);
-                deafHolder.put(partition, lease.owner());
-                orphans.add(partition);
-            } else if (lease != null && alive(lease)) {
-                load.add(lease.owner());
+            if (lease == null || !isOwnerAlive(lease)) {
+                found.add(partition);
+            } else if (hearsNoMachine(now, partition) || isIsolatedFromWorkers(lease.owner())) {
+                reassignedAt.put(partition, now);
+                isolatedOwners.put(partition, lease.owner());
+                found.add(partition);
             } else {
-                orphans.add(partition);
+                owned.add(lease.owner());
             }
         }
-        if (orphans.isEmpty()) {
-            String moved = blockToMove(now, load);
-            if (moved != null) {
-                orphans.add(moved);
-            }
-        }
-        Transaction transaction = new Transaction().guard(Keys.LEADER, replica.modRevision(Keys.LEADER));
-        for (String partition : orphans) {
-            ControllerInfo best = null;
-            for (ControllerInfo n : replica.nodes()) {
-                if (health.isSuspect(n.name())
-                        || n.name().equals(deafHolder.get(partition))
-                        || isIsolatedFromWorkers(n.name())
-                        || !canRead(n)) {
-                    continue;
-                }
-                if (best == null || cost(n, partition, load) < cost(best, partition, load)) {
-                    best = n;
-                }
+        return found;
+    }
+
+    /** The controller to own the partition, or null when there is none that can. */
+    private ControllerInfo bestOwner(String partition, Multiset<String> owned, String isolatedOwner) {
+        ControllerInfo best = null;
+        for (ControllerInfo node : replica.nodes()) {
+            if (failureDetector.isSuspect(node.name())
+                    || node.name().equals(isolatedOwner)
+                    || isIsolatedFromWorkers(node.name())
+                    || !canRead(node)) {
+                continue;
             }
-            if (best != null && transaction.ops().size() < config.transactionOps()) {
-                load.add(best.name());
-                long term = FencingTokens.partitionTerm(leaderTerm, ++sequence);
-                transaction.put(
-                        Keys.partition(partition),
-                        Records.partition(new PartitionLease(best.name(), best.incarnation(), term)));
-                log.accept("block " + partition + " goes to " + best.name() + " under term " + term);
+            if (best == null || cost(node, partition, owned) < cost(best, partition, owned)) {
+                best = node;
             }
         }
-        return transaction.ops().isEmpty() ? null : transaction;
+        return best;
     }
 
-    /** A holder that says so itself is believed at once, as long as another one may do better. */
-    private boolean isIsolatedFromWorkers(String node) {
-        return health.isIsolatedFromWorkers(node)
+    private void lease(String partition, ControllerInfo owner, long term, Transaction transaction) {
+        transaction.put(
+                Keys.partition(partition),
+                Records.partition(new PartitionLease(owner.name(), owner.incarnation(), term)));
+        log.accept("leasing partition, partition=" + partition + ", owner=" + owner.name() + ", term=" + term);
+    }
+
+    /** A controller that says so itself is believed at once, as long as another one may do better. */
+    private boolean isIsolatedFromWorkers(String controller) {
+        return failureDetector.isIsolatedFromWorkers(controller)
                 && replica.nodes().stream()
-                        .anyMatch(n -> !health.isIsolatedFromWorkers(n.name()) && !health.isSuspect(n.name()));
+                        .anyMatch(node -> !failureDetector.isIsolatedFromWorkers(node.name())
+                                && !failureDetector.isSuspect(node.name()));
     }
 
     /**
-     * Whether the holder hears none of the block's machines, which are several: it may be cut off from the workers
-     * while the state service and its peers still reach it.
+     * Whether the owner hears none of the partition's machines, which are several: it may be cut off from the workers while the
+     * state service and its peers still reach it.
      */
-    private boolean isIsolatedFromWorkers(long now, String partition) {
+    private boolean hearsNoMachine(long now, String partition) {
         int silent = 0;
-        for (MachineState m : machines) {
-            if (m.last.partition().equals(partition)) {
-                if (!m.last.silent()) {
+        for (MachineState machine : machines) {
+            if (machine.status.partition().equals(partition)) {
+                if (!machine.status.silent()) {
                     return false;
                 }
                 silent++;
@@ -144,29 +173,25 @@
         }
         return silent > 1
                 && replica.nodes().size() > 1
-                && now - movedAt.getOrDefault(partition, leadingSince)
-                        > 2 * config.controllerLeaseMs() + 4 * config.heartbeatIntervalMs();
-    }
-
-    private String blockToMove(long now, Multiset<String> load) {
-        for (ControllerInfo n : replica.nodes()) {
-            if (load.contains(n.name())
-                    || health.isSuspect(n.name())
-                    || health.isIsolatedFromWorkers(n.name())
-                    || !canRead(n)
-                    || now - nodeSince.get(key(n)) < 2 * config.controllerLeaseMs()
-                    || now - leadingSince < 2 * config.controllerLeaseMs()) {
+                && now - reassignedAt.getOrDefault(partition, leadingSince) > failureDetector.isolationPatienceMs();
+    }
+
+    /** A partition in the zone of a controller that owns none, if its owner owns several or is in another zone; or null. */
+    private String partitionToRebalance(long now, Multiset<String> owned) {
+        for (ControllerInfo node : replica.nodes()) {
+            if (owned.contains(node.name()) || !mayTakeOver(now, node)) {
                 continue;
             }
             for (String partition : partitions.all()) {
                 PartitionLease lease = replica.partition(partition);
-                if (now - movedAt.getOrDefault(partition, Long.MIN_VALUE / 2) < 8 * config.controllerLeaseMs()) {
+                if (now - reassignedAt.getOrDefault(partition, Times.NEVER)
+                        < LEASES_AFTER_ISOLATION * config.controllerLeaseMs()) {
                     continue;
                 }
-                boolean crowded = load.count(lease.owner()) > 1;
-                if (PartitionMap.zoneOf(partition).equals(n.zone())
-                        && (crowded || !zone(lease.owner()).equals(n.zone()))) {
-                    load.remove(lease.owner());
+                boolean isOwnerCrowded = owned.count(lease.owner()) > 1;
+                if (PartitionMap.zoneOf(partition).equals(node.zone())
+                        && (isOwnerCrowded || !zone(lease.owner()).equals(node.zone()))) {
+                    owned.remove(lease.owner());
                     return partition;
                 }
             }
@@ -174,26 +199,40 @@
         return null;
     }
 
-    private String zone(String node) {
-        ControllerInfo n = replica.node(node);
-        return n == null ? "" : n.zone();
+    private boolean mayTakeOver(long now, ControllerInfo node) {
+        long settledMs = LEASES_BEFORE_REBALANCING * config.controllerLeaseMs();
+        return !failureDetector.isSuspect(node.name())
+                && !failureDetector.isIsolatedFromWorkers(node.name())
+                && canRead(node)
+                && now - controllerSince.get(processKey(node)) >= settledMs
+                && now - leadingSince >= settledMs;
+    }
+
+    private String zone(String controller) {
+        ControllerInfo node = replica.node(controller);
+        return node == null ? "" : node.zone();
     }
 
-    private static int cost(ControllerInfo n, String partition, Multiset<String> load) {
-        return 2 * load.count(n.name()) + (n.zone().equals(PartitionMap.zoneOf(partition)) ? 0 : 1);
+    private static int cost(ControllerInfo node, String partition, Multiset<String> owned) {
+        return COST_PER_PARTITION * owned.count(node.name())
+                + (node.zone().equals(PartitionMap.zoneOf(partition)) ? 0 : 1);
     }
 
-    private static String key(ControllerInfo n) {
-        return n.name() + "#" + n.incarnation();
+    private static String processKey(ControllerInfo node) {
+        return node.name() + "#" + node.incarnation();
     }
 
-    private boolean alive(PartitionLease lease) {
-        ControllerInfo n = replica.node(lease.owner());
-        return n != null && n.incarnation() == lease.incarnation() && !health.isSuspect(n.name()) && canRead(n);
+    private boolean isOwnerAlive(PartitionLease lease) {
+        ControllerInfo node = replica.node(lease.owner());
+        return node != null
+                && node.incarnation() == lease.incarnation()
+                && !failureDetector.isSuspect(node.name())
+                && canRead(node);
     }
 
-    /** Whether a controller can read what is stored; one that can't decides nothing, and so can't hold a block. */
-    private boolean canRead(ControllerInfo n) {
-        return n.layouts().contains(Math.max(replica.layout(), replica.version().active()));
+    /** Whether a controller can read what is stored; one that can't decides nothing, and so can't own a partition. */
+    private boolean canRead(ControllerInfo node) {
+        return node.layouts()
+                .contains(Math.max(replica.layout(), replica.version().active()));
     }
 }
--- /dev/null
+++ b/src/main/java/garnetscale/core/leader/PlacementPlanner.java
@@ -0,0 +1,106 @@
+package garnetscale.core.leader;
+
+import garnetscale.core.SchedulerConfig;
+import garnetscale.core.quota.QuotaUsage;
+import garnetscale.core.state.JobView;
+import garnetscale.core.state.Layouts;
+import garnetscale.core.state.LogWriter;
+import garnetscale.core.state.StateReplica;
+import garnetscale.core.state.Transaction;
+import garnetscale.core.upgrade.ClusterVersion;
+
+/**
+ * Drafts the transaction of one scheduling cycle: records what ended, places waiting tasks, and stops tasks that make room, must
+ * leave their machine or would run better elsewhere.
+ */
+final class PlacementPlanner {
+
+    private final LeaderContext context;
+    private final SchedulerConfig config;
+    private final StateReplica replica;
+    private final AttemptNumbers attempts;
+    private final ExitRecorder exitRecorder;
+    private final MachineEvaluator machineEvaluator;
+    private final HeadroomReserve reserve;
+    private final DrainStops drainStops;
+    private final PreemptionStops preemptionStops;
+    private final LateBidStops lateBidStops;
+    private final Balancer balancer;
+
+    PlacementPlanner(
+            LeaderContext context,
+            AttemptNumbers attempts,
+            ExitRecorder exitRecorder,
+            MachineEvaluator machineEvaluator,
+            Balancer balancer) {
+        this.context = context;
+        this.config = context.config();
+        this.replica = context.replica();
+        this.attempts = attempts;
+        this.exitRecorder = exitRecorder;
+        this.machineEvaluator = machineEvaluator;
+        this.reserve = new HeadroomReserve(config);
+        this.drainStops = new DrainStops(context);
+        this.preemptionStops = new PreemptionStops(context, reserve);
+        this.lateBidStops = new LateBidStops(context);
+        this.balancer = balancer;
+    }
+
+    /** A new leadership begins. */
+    void clear() {
+        preemptionStops.clear();
+    }
+
+    /** The transaction, or null when there is nothing to change; {@code wallMs} is the time of day. */
+    Transaction plan(long now, long wallMs) {
+        TransactionDraft draft = new TransactionDraft(replica, QuotaUsage.of(config, replica), logLimits());
+        SchedulingCycle cycle =
+                new SchedulingCycle(now, wallMs, context.machines().values(), draft);
+        recordExits(cycle);
+        boolean placedNothing = placeTasks(cycle) == 0;
+        machineEvaluator.evaluate(now);
+        drainStops.plan(cycle);
+        preemptionStops.plan(cycle, placedNothing);
+        if (placedNothing) {
+            lateBidStops.plan(cycle);
+        }
+        balancer.plan(cycle);
+        recordCancelledJobs(draft);
+        return draft.isEmpty() ? null : draft.toTransaction();
+    }
+
+    /** What the active version allows a transaction to hold. */
+    private LogWriter.Limits logLimits() {
+        ClusterVersion version = replica.version();
+        return new LogWriter.Limits(
+                config.valueBytes(),
+                config.transactionOps(),
+                version.active(),
+                version.isFinal() && version.active() > Layouts.FIRST);
+    }
+
+    private void recordExits(SchedulingCycle cycle) {
+        if (exitRecorder.record(cycle.now(), cycle.draft())) {
+            preemptionStops.forgetEnded();
+            context.failures().retain(job -> replica.job(job) != null);
+        }
+    }
+
+    private int placeTasks(SchedulingCycle cycle) {
+        return new TaskPlacer(context, reserve, balancer.load(), cycle).placeTasks(() -> nextAttempt(cycle.now()));
+    }
+
+    private long nextAttempt(long now) {
+        long attempt = attempts.next();
+        context.awardTimes().add(now, attempt);
+        return attempt;
+    }
+
+    private void recordCancelledJobs(TransactionDraft draft) {
+        for (JobView job : replica.jobs()) {
+            if (!job.live() && job.placedCount() == 0 && draft.hasRoomForJobEnd()) {
+                draft.recordCancelled(job);
+            }
+        }
+    }
+}
--- a/src/main/java/garnetscale/core/leader/Preemption.java
+++ b/src/main/java/garnetscale/core/leader/Preemption.java
@@ -16,170 +16,184 @@
 import java.util.Set;
 
 /**
- * Stops less urgent tasks for jobs that must start at once and find no room. What loses least work goes first:
- * tasks that save, then young ones; a task that is past a fifth of its time is let finish. What is being stopped
- * already counts as room on its way, so that one need isn't answered twice; and no task is stopped twice, unless it has
- * saved something new meanwhile, or a full fleet would start and stop the same ones over and over.
+ * Preempts less urgent tasks for jobs that must start at once and find no room. What loses least work goes first: tasks that write
+ * checkpoints, then young ones; a task that is past a fifth of its time is let finish. What is being stopped already counts as
+ * room on its way, so that one need isn't answered twice; and no task is preempted twice, unless it has written a checkpoint
+ * meanwhile, or a full fleet would start and stop the same ones over and over.
  */
 final class Preemption {
 
-    /** The part of its estimate after which a task that doesn't save is left alone. */
-    private static final double YOUNG = 0.2;
-    /** Stops in one transaction: this many, or more in a fleet of which they would be a smaller part than this. */
-    private static final int MOST = 8;
+    /** The part of its estimate after which a task that writes no checkpoints is left alone. */
+    private static final double YOUNG_SHARE = 0.2;
+    /** Stops in one transaction: this many, or more in a fleet of which they would be a smaller part than one in so many. */
+    private static final int MIN_STOP_LIMIT = 8;
 
-    private static final int MOST_OF_FLEET = 16;
+    private static final int MACHINES_PER_STOP = 16;
+    /** In place of the seconds of lost work, for a task that is to be left alone. */
+    private static final double LEAVE_ALONE = -1;
 
     /** A machine, with the room that what is to stay on it leaves, and what may be stopped on it, cheapest first. */
     private record Candidate(MachineState machine, MachineType type, FreeCapacity room, List<Victim> victims) {}
 
-    private record Victim(Placement placement, JobView job, double lostS) {}
+    private record Victim(Placement placement, JobView job, double lostCpuS) {}
 
-    /** What to stop on one machine so that a task more fits there, and the work that this loses. */
-    private record Stops(Candidate on, List<Victim> victims, int gain, double lostS) {}
+    /** What to stop on one machine so that at least one task more fits there, how many fit, and the work that this loses. */
+    private record Stops(Candidate on, List<Victim> victims, int gain, double lostCpuS) {}
 
     private final StateReplica replica;
     private final Estimator estimator;
-    private final Set<TaskId> stoppedOnce;
+    private final Set<TaskId> preemptedTasks;
+    private final SchedulingCycle cycle;
     private final TransactionDraft draft;
-    private final long now;
     private final List<Candidate> candidates = new ArrayList<>();
 
-    /** Looks at all machines, once for all the jobs that room is to be made for now. */
-    Preemption(
-            StateReplica replica,
-            Iterable<MachineState> machines,
-            Estimator estimator,
-            Set<TaskId> stoppedOnce,
-            TransactionDraft draft,
-            long now) {
-        this.stoppedOnce = stoppedOnce;
+    /**
+     * Looks at all machines, once for all the jobs that room is to be made for in the cycle.
+     *
+     * @param preemptedTasks tasks that were preempted before, which this adds to
+     */
+    Preemption(StateReplica replica, SchedulingCycle cycle, Estimator estimator, Set<TaskId> preemptedTasks) {
         this.replica = replica;
+        this.cycle = cycle;
+        this.draft = cycle.draft();
         this.estimator = estimator;
-        this.draft = draft;
-        this.now = now;
-        for (MachineState m : machines) {
-            MachineType type = m.last == null ? null : replica.type(m.last.type());
-            if (type != null
-                    && !m.last.silent()
-                    && m.last.evictionNoticeS() == null
-                    && now >= m.avoidUntil
-                    && !m.decommissioned) {
-                lookAt(new Candidate(m, type, new FreeCapacity(type), new ArrayList<>()));
+        this.preemptedTasks = preemptedTasks;
+        for (MachineState machine : cycle.machines()) {
+            MachineType type = replica.type(machine.status.type());
+            if (type != null && machine.acceptsTasks(cycle.now())) {
+                addCandidate(new Candidate(machine, type, new FreeCapacity(type), new ArrayList<>()));
             }
         }
     }
 
-    private void lookAt(Candidate c) {
-        candidates.add(c);
-        for (Placement p : draft.placements(c.machine().id)) {
-            JobView job = replica.job(p.task().job());
-            if (job == null || p.stop() != Placement.Stop.KEEP) {
+    private void addCandidate(Candidate candidate) {
+        candidates.add(candidate);
+        for (Placement placement : draft.placements(candidate.machine().id)) {
+            JobView job = replica.job(placement.task().job());
+            if (job == null || placement.stop() != Placement.Stop.KEEP) {
                 continue;
             }
-            c.room().take(job.spec());
-            if (job.live() && (!stoppedOnce.contains(p.task()) || hasSaved(c.machine(), p, job))) {
-                double lost = lostS(now, c.machine(), p, job);
-                if (lost >= 0) {
-                    c.victims().add(new Victim(p, job, lost * job.spec().cpus()));
+            candidate.room().take(job.spec());
+            if (job.live()
+                    && (!preemptedTasks.contains(placement.task())
+                            || hasWrittenCheckpoint(candidate.machine(), placement, job))) {
+                double lostS = lostS(candidate.machine(), placement, job);
+                if (lostS >= 0) {
+                    candidate
+                            .victims()
+                            .add(new Victim(placement, job, lostS * job.spec().cpus()));
                 }
             }
         }
-        c.victims().sort(Comparator.comparingDouble(Victim::lostS));
+        candidate.victims().sort(Comparator.comparingDouble(Victim::lostCpuS));
     }
 
-    private boolean hasSaved(MachineState m, Placement p, JobView job) {
-        Long since = m.runningSince.get(p.attempt());
+    private boolean hasWrittenCheckpoint(MachineState machine, Placement placement, JobView job) {
+        Long since = machine.runningSince.get(placement.attempt());
         return since != null
                 && job.spec().writesCheckpoints()
-                && (now - since) / 1000.0 >= job.spec().checkpointS();
+                && cycle.secondsSince(since) >= job.spec().checkpointS();
     }
 
     /**
      * Stops what makes room for up to so many tasks of the job; returns how many were stopped. A job that needn't start at
-     * once has a claim on what is borrowed only, and where it isn't within its team's guarantee on idle work only.
+     * once has a claim on what is borrowed only, and where it isn't within its team's guarantee on work of low priority only.
      */
-    int makeRoom(JobView job, int tasks, boolean tight, boolean guaranteed) {
+    int makeRoom(JobView job, int tasks, boolean isUrgent, boolean isGuaranteed) {
         JobSpec spec = job.spec();
-        int missing = tasks;
-        for (Candidate c : candidates) {
-            if (allows(c, spec)) {
-                missing -= c.room().slots(spec);
-            }
-        }
+        int missing = tasks - slots(spec);
         int stopped = 0;
-        int most = Math.max(MOST, candidates.size() / MOST_OF_FLEET);
-        for (boolean again = true; again && missing > 0 && stopped < most; ) {
-            again = false;
-            List<Stops> cheapest = new ArrayList<>();
-            for (Candidate c : candidates) {
-                Stops s = c.victims().isEmpty() || !allows(c, spec) ? null : cheapest(c, spec, tight, guaranteed);
-                if (s != null) {
-                    cheapest.add(s);
-                }
-            }
-            cheapest.sort(Comparator.comparingDouble(s -> s.lostS() / s.gain()));
-            for (Stops s : cheapest) {
-                if (missing <= 0 || stopped >= most || !draft.hasRoom(false)) {
+        int stopLimit = Math.max(MIN_STOP_LIMIT, candidates.size() / MACHINES_PER_STOP);
+        boolean hasStopped = true;
+        while (hasStopped && missing > 0 && stopped < stopLimit) {
+            hasStopped = false;
+            for (Stops stops : cheapestFirst(spec, isUrgent, isGuaranteed)) {
+                if (missing <= 0 || stopped >= stopLimit || !draft.hasRoomForChange()) {
                     break;
                 }
-                for (Victim v : s.victims()) {
-                    stop(s.on(), v);
+                for (Victim victim : stops.victims()) {
+                    stop(stops.on(), victim);
                     stopped++;
                 }
-                missing -= s.gain();
-                again = true;
+                missing -= stops.gain();
+                hasStopped = true;
             }
         }
         return stopped;
     }
 
+    /** How many tasks of the job fit without any stop. */
+    private int slots(JobSpec spec) {
+        int slots = 0;
+        for (Candidate candidate : candidates) {
+            if (allows(candidate, spec)) {
+                slots += candidate.room().slots(spec);
+            }
+        }
+        return slots;
+    }
+
+    /** The cheapest stops on each machine, by the work that is lost for each task that then fits. */
+    private List<Stops> cheapestFirst(JobSpec spec, boolean isUrgent, boolean isGuaranteed) {
+        List<Stops> cheapest = new ArrayList<>();
+        for (Candidate candidate : candidates) {
+            Stops stops = candidate.victims().isEmpty() || !allows(candidate, spec)
+                    ? null
+                    : cheapest(candidate, spec, isUrgent, isGuaranteed);
+            if (stops != null) {
+                cheapest.add(stops);
+            }
+        }
+        cheapest.sort(Comparator.comparingDouble(stops -> stops.lostCpuS() / stops.gain()));
+        return cheapest;
+    }
+
     /**
      * The fewest of the cheapest stops that make room for a task more, or null. Counted by machine: a large task isn't
      * helped by as many small ones that are stopped on different machines.
      */
-    private Stops cheapest(Candidate c, JobSpec spec, boolean tight, boolean guaranteed) {
-        FreeCapacity room = c.room().copy();
-        int before = room.slots(spec);
+    private Stops cheapest(Candidate candidate, JobSpec spec, boolean isUrgent, boolean isGuaranteed) {
+        FreeCapacity room = candidate.room().copy();
+        int slotsBefore = room.slots(spec);
         List<Victim> chosen = new ArrayList<>();
-        double lost = 0;
-        for (Victim v : c.victims()) {
-            JobSpec s = v.job().spec();
-            boolean claim = tight || draft.quota().borrows(s) && (guaranteed || s.priority() == Priority.LOW);
-            if (s.priority().compareTo(spec.priority()) <= 0 || !claim) {
+        double lostCpuS = 0;
+        for (Victim victim : candidate.victims()) {
+            JobSpec other = victim.job().spec();
+            boolean hasClaim =
+                    isUrgent || draft.quota().borrows(other) && (isGuaranteed || other.priority() == Priority.LOW);
+            if (other.priority().compareTo(spec.priority()) <= 0 || !hasClaim) {
                 continue;
             }
-            chosen.add(v);
-            lost += v.lostS();
-            room.giveBack(s);
-            if (room.slots(spec) > before) {
-                return new Stops(c, chosen, room.slots(spec) - before, lost);
+            chosen.add(victim);
+            lostCpuS += victim.lostCpuS();
+            room.giveBack(other);
+            if (room.slots(spec) > slotsBefore) {
+                return new Stops(candidate, chosen, room.slots(spec) - slotsBefore, lostCpuS);
             }
         }
         return null;
     }
 
-    private void stop(Candidate on, Victim v) {
-        JobSpec s = v.job().spec();
-        on.victims().remove(v);
-        on.room().giveBack(s);
-        stoppedOnce.add(v.placement().task());
-        draft.stop(
-                on.machine().id, v.placement(), s.writesCheckpoints() ? Placement.Stop.CHECKPOINT : Placement.Stop.NOW);
+    private void stop(Candidate on, Victim victim) {
+        JobSpec spec = victim.job().spec();
+        on.victims().remove(victim);
+        on.room().giveBack(spec);
+        preemptedTasks.add(victim.placement().task());
+        draft.stop(on.machine().id, victim.placement(), spec);
     }
 
-    private static boolean allows(Candidate c, JobSpec job) {
-        return JobQueue.allows(
-                c.type(), c.machine().last.zone(), c.machine().last.spot(), job);
+    private static boolean allows(Candidate candidate, JobSpec job) {
+        MachineState machine = candidate.machine();
+        return JobQueue.allows(candidate.type(), machine.status.zone(), machine.status.spot(), job);
     }
 
-    /** Seconds of work that stopping would lose, or -1 when the task is to be left alone. */
-    private double lostS(long now, MachineState m, Placement p, JobView job) {
-        Long since = m.runningSince.get(p.attempt());
-        double ran = since == null ? 0 : (now - since) / 1000.0;
+    /** Seconds of work that stopping would lose, or {@link #LEAVE_ALONE}. */
+    private double lostS(MachineState machine, Placement placement, JobView job) {
+        Long since = machine.runningSince.get(placement.attempt());
+        double ranS = since == null ? 0 : cycle.secondsSince(since);
         if (job.spec().writesCheckpoints()) {
-            return Math.min(ran, job.spec().checkpointWriteS());
+            return Math.min(ranS, job.spec().checkpointWriteS());
         }
-        return ran > YOUNG * estimator.runS(job.spec(), m.id) ? -1 : ran;
+        return ranS > YOUNG_SHARE * estimator.runS(job.spec(), machine.id) ? LEAVE_ALONE : ranS;
     }
 }
--- a/src/main/java/garnetscale/core/leader/PreemptionStops.java
+++ b/src/main/java/garnetscale/core/leader/PreemptionStops.java
@@ -1,6 +1,7 @@
 package garnetscale.core.leader;
 
 import garnetscale.core.SchedulerConfig;
+import garnetscale.core.Times;
 import garnetscale.core.bidding.Auction;
 import garnetscale.core.bidding.Estimator;
 import garnetscale.core.job.Priority;
@@ -14,15 +15,19 @@
 import java.util.function.Consumer;
 
 /**
- * Decides when, and for which waiting jobs, others are stopped. Stops are for those who find no room: for jobs that must start at
- * once, for work within a guarantee, for which what others borrow is given back, and for any work where idle work, of the lowest
- * priority, has the room. In a turn that awarded something only idle work is reason to look: other work loses more by it than the
- * wait for room costs.
+ * Decides when, and for which waiting jobs, tasks are preempted. Preemption is for jobs that find no room: for those that must
+ * start at once, for those within a guarantee, for which what others borrow is taken back, and for any job where work of the lowest
+ * priority has the room. In a cycle that placed something only the latter is a reason to look: other work loses more by it than
+ * the wait for room costs.
  */
 final class PreemptionStops {
 
-    /** Jobs at the head that others are stopped for at a time: where they find nobody, those behind won't either. */
-    private static final int MOST_JOBS = 4;
+    /** Jobs at the head of the queue that others are preempted for at a time: where they find nobody, those behind won't either. */
+    private static final int MAX_JOBS = 4;
+    /** Bidding windows until the next look after one that preempted nothing: while work of the lowest priority runs, or else. */
+    private static final int LONG_PAUSE_WINDOWS = 4;
+
+    private static final int SHORT_PAUSE_WINDOWS = 2;
 
     private final SchedulerConfig config;
     private final StateReplica replica;
@@ -32,89 +37,88 @@
     private final HeadroomReserve reserve;
     private final FailureTracker failures;
     private final Consumer<String> log;
-    /** Tasks that made room for others once. */
-    private final Set<TaskId> stoppedOnce = new HashSet<>();
+    /** Tasks that were preempted once. */
+    private final Set<TaskId> preemptedTasks = new HashSet<>();
 
-    private long dueAt = Long.MIN_VALUE / 2;
+    private long dueAt = Times.NEVER;
 
-    PreemptionStops(
-            SchedulerConfig config,
-            StateReplica replica,
-            Auction auction,
-            Estimator estimator,
-            JobOrder order,
-            HeadroomReserve reserve,
-            FailureTracker failures,
-            Consumer<String> log) {
-        this.config = config;
-        this.replica = replica;
-        this.auction = auction;
-        this.estimator = estimator;
-        this.order = order;
+    PreemptionStops(LeaderContext context, HeadroomReserve reserve) {
+        this.config = context.config();
+        this.replica = context.replica();
+        this.auction = context.auction();
+        this.estimator = context.estimator();
+        this.order = context.order();
         this.reserve = reserve;
-        this.failures = failures;
-        this.log = log;
+        this.failures = context.failures();
+        this.log = context.log();
     }
 
     /** A new leadership begins. */
     void clear() {
-        stoppedOnce.clear();
+        preemptedTasks.clear();
     }
 
-    /** Forgets jobs that are over. */
+    /** Forgets tasks of jobs that ended. */
     void forgetEnded() {
-        stoppedOnce.removeIf(task -> replica.job(task.job()) == null);
+        preemptedTasks.removeIf(task -> replica.job(task.job()) == null);
     }
 
-    /** {@code awardedNothing}: nothing was placed in this turn. */
-    void plan(SchedulingCycle turn, boolean awardedNothing) {
-        if (turn.now() < dueAt) {
+    /** Adds the stops that are due to the cycle's draft; {@code placedNothing}: no task was placed in this cycle. */
+    void plan(SchedulingCycle cycle, boolean placedNothing) {
+        if (cycle.now() < dueAt) {
             return;
         }
-        boolean hasIdleWork =
+        boolean hasLowWork =
                 replica.jobs().stream().anyMatch(job -> job.spec().priority() == Priority.LOW && job.placedCount() > 0);
-        if (!hasIdleWork && !awardedNothing) {
+        if (!hasLowWork && !placedNothing) {
             return;
         }
-        dueAt = turn.now() + (hasIdleWork ? config.windowMs() : config.windowMs() / 2);
-        int looked = 0;
-        boolean found = false;
+        dueAt = cycle.now() + (hasLowWork ? config.windowMs() : config.windowMs() / 2);
+        if (!preempt(cycle, placedNothing, hasLowWork)) {
+            // A full fleet without anybody to preempt: all of it was looked at for nothing, and soon would be again.
+            dueAt = cycle.now() + (hasLowWork ? LONG_PAUSE_WINDOWS : SHORT_PAUSE_WINDOWS) * config.windowMs();
+        }
+    }
+
+    /** Preempts for the first jobs that find no room; false when there were some, and nothing could be preempted for them. */
+    private boolean preempt(SchedulingCycle cycle, boolean placedNothing, boolean hasLowWork) {
+        int jobsWithoutRoom = 0;
+        int preempted = 0;
         Preemption preemption = null;
-        for (JobView job : JobQueue.sort(replica.jobs(), order, turn.wallMs())) {
-            boolean isTight = awardedNothing && reserve.isTight(job);
-            boolean isGuaranteed = turn.draft().quota().guarantees(job.spec());
-            if (!isTight && !isGuaranteed && !hasIdleWork || !findsNoRoom(turn, job)) {
+        for (JobView job : JobQueue.sort(replica.jobs(), order, cycle.wallMs())) {
+            boolean isUrgent = placedNothing && reserve.isUrgent(job);
+            boolean isGuaranteed = cycle.draft().quota().guarantees(job.spec());
+            if (!isUrgent && !isGuaranteed && !hasLowWork || !findsNoRoom(cycle, job)) {
                 continue;
             }
-            if (looked++ >= MOST_JOBS) {
+            if (jobsWithoutRoom++ >= MAX_JOBS) {
                 break;
             }
             if (preemption == null) {
-                preemption = new Preemption(replica, turn.machines(), estimator, stoppedOnce, turn.draft(), turn.now());
+                preemption = new Preemption(replica, cycle, estimator, preemptedTasks);
             }
-            int stopped = preemption.makeRoom(job, waiting(turn, job), isTight, isGuaranteed);
+            int stopped = preemption.makeRoom(job, waitingTasks(cycle, job), isUrgent, isGuaranteed);
             if (stopped > 0) {
-                log.accept("stops " + stopped + " less urgent tasks for job "
-                        + job.spec().id() + " of team " + job.spec().team());
-                found = true;
+                log.accept("preempting tasks, tasks=" + stopped + ", for_job="
+                        + job.spec().id() + ", team=" + job.spec().team());
+                preempted += stopped;
             }
         }
-        if (looked > 0 && !found) {
-            // A full fleet without anybody to stop: it was gone over for nothing, and soon would be again.
-            dueAt = turn.now() + (hasIdleWork ? 4 : 2) * config.windowMs();
-        }
+        return jobsWithoutRoom == 0 || preempted > 0;
     }
 
-    private static int waiting(SchedulingCycle turn, JobView job) {
-        return job.unstarted() - turn.draft().awarded(job.spec().id());
+    /** Tasks of the job that the draft leaves waiting. */
+    private static int waitingTasks(SchedulingCycle cycle, JobView job) {
+        return job.unstarted() - cycle.draft().placedCount(job.spec().id());
     }
 
-    private boolean findsNoRoom(SchedulingCycle turn, JobView job) {
+    private boolean findsNoRoom(SchedulingCycle cycle, JobView job) {
         String id = job.spec().id();
-        boolean isOpen = !auction.closed(turn.now(), job) && !auction.bids(id).isEmpty();
-        return waiting(turn, job) > 0
-                && !isOpen
-                && !failures.isSuspect(id)
-                && turn.draft().quota().allows(job.spec());
+        boolean isBiddingOpen =
+                !auction.closed(cycle.now(), job) && !auction.bids(id).isEmpty();
+        return waitingTasks(cycle, job) > 0
+                && !isBiddingOpen
+                && !failures.isQuarantined(id)
+                && cycle.draft().quota().allows(job.spec());
     }
 }
--- a/src/main/java/garnetscale/core/leader/TaskPlacer.java
+++ b/src/main/java/garnetscale/core/leader/TaskPlacer.java
@@ -25,153 +25,207 @@
 import java.util.function.LongSupplier;
 
 /**
- * Gives waiting tasks to the best bids, jobs in line order. Every restriction is checked again here against the
- * draft, whatever a bid says: a bid is an offer as of an older revision.
+ * Places waiting tasks with the best bids, jobs in the order of the queue; made anew for each scheduling cycle. Every restriction
+ * is checked again here against the draft, whatever a bid says: a bid is an offer as of an older revision.
  */
 final class TaskPlacer {
 
-    private static final int PLACE_BITS = 22;
-    private static final int TENTHS_BITS = 18;
+    /** Placements of one machine: this many, or more where the records of the store are large. */
+    private static final int MIN_PLACEMENTS_PER_MACHINE = 8;
+    /** What a stored placement may take on average. */
+    private static final int BYTES_PER_PLACEMENT = 64;
 
+    private static final int NO_TASK = -1;
+
+    /** How a sort key of a bid is made up, from its low bits on: the bid's index, its finish in tenths of a second, its rank. */
+    private static final int INDEX_BITS = 22;
+
+    private static final int FINISH_BITS = 18;
+
+    private final SchedulingCycle cycle;
+    private final TransactionDraft draft;
     private final StateReplica replica;
     private final Auction auction;
     private final Map<String, MachineState> machines;
-    private final int perMachine;
     private final JobOrder order;
     private final HeadroomReserve reserve;
-    private final FreeCapacityCache counted;
+    private final FailureTracker failures;
+    private final FreeCapacityCache storedCapacities;
     private final LoadSnapshot load;
+    private final int placementsPerMachine;
+    /** What is free on each machine that was looked at, by the draft. */
     private final Map<String, FreeCapacity> capacities = new HashMap<>();
-    /** Whether the block's holder has bid, asked once a draft: there are thousands of bids and a handful of blocks. */
-    private final Map<String, Boolean> spokenFor = new HashMap<>();
+    /** Whether the partition's owner bids, asked once a cycle: there are thousands of bids and a handful of partitions. */
+    private final Map<String, Boolean> ownerBids = new HashMap<>();
     /** Tasks of a job by zone, for jobs that are bound by where their other tasks are. */
     private final Map<String, Multiset<String>> zonesOfJob = new HashMap<>();
 
-    TaskPlacer(
-            StateReplica replica,
-            Auction auction,
-            Map<String, MachineState> machines,
-            int perMachine,
-            JobOrder order,
-            HeadroomReserve reserve,
-            FreeCapacityCache counted,
-            LoadSnapshot load) {
-        this.counted = counted;
-        this.load = load;
-        this.replica = replica;
-        this.auction = auction;
-        this.machines = machines;
-        this.perMachine = perMachine;
-        this.order = order;
+    /** CPUs of all serving machines, and those of them that are free by the draft. */
+    private double fleetCpus;
+
+    private double freeCpus;
+
+    TaskPlacer(LeaderContext context, HeadroomReserve reserve, LoadSnapshot load, SchedulingCycle cycle) {
+        this.cycle = cycle;
+        this.draft = cycle.draft();
+        this.replica = context.replica();
+        this.auction = context.auction();
+        this.machines = context.machines();
+        this.order = context.order();
         this.reserve = reserve;
+        this.failures = context.failures();
+        this.storedCapacities = context.capacities();
+        this.load = load;
+        this.placementsPerMachine =
+                Math.max(MIN_PLACEMENTS_PER_MACHINE, context.config().valueBytes() / BYTES_PER_PLACEMENT);
+    }
+
+    /** A waiting job while its tasks are placed. */
+    private static final class WaitingTasks {
+        final JobView job;
+        final boolean borrows;
+        /** CPUs that the job must leave free if the reserve binds it. */
+        final double reservedCpus;
+        /** How many more of its tasks may be placed. */
+        int allowed;
+        /** The next of them, or {@link #NO_TASK}. */
+        int next;
+
+        WaitingTasks(JobView job, boolean borrows, double reservedCpus, int allowed, int next) {
+            this.job = job;
+            this.borrows = borrows;
+            this.reservedCpus = reservedCpus;
+            this.allowed = allowed;
+            this.next = next;
+        }
+    }
+
+    /** Adds placements to the draft, numbered by {@code attempts}; returns how many. */
+    int placeTasks(LongSupplier attempts) {
+        reserve.observe(cycle.now(), replica.jobs());
+        sumCapacities();
+        int placed = 0;
+        for (JobView job : JobQueue.sort(replica.jobs(), order, cycle.wallMs())) {
+            placed += placeTasksOf(job, attempts);
+        }
+        return placed;
     }
 
-    /** Adds awards to the draft; returns how many. */
-    int award(long now, long wallMs, TransactionDraft draft, FailureTracker failures, LongSupplier attempts) {
-        int awarded = 0;
-        reserve.observe(now, replica.jobs());
-        double free = 0;
-        double fleet = 0;
-        for (MachineState m : machines.values()) {
-            MachineType type = replica.type(m.last.type());
-            if (!m.last.silent() && m.last.evictionNoticeS() == null && type != null) {
-                free += draft.changes(m.id)
-                        ? room(draft, m).cpus()
-                        : counted.of(m.id, type).cpus();
-                fleet += type.cpus();
+    private void sumCapacities() {
+        for (MachineState machine : machines.values()) {
+            MachineType type = replica.type(machine.status.type());
+            if (machine.isServing() && type != null) {
+                freeCpus += draft.changes(machine.id)
+                        ? room(machine).cpus()
+                        : storedCapacities.of(machine.id, type).cpus();
+                fleetCpus += type.cpus();
             }
         }
-        List<JobView> waiting = JobQueue.sort(replica.jobs(), order, wallMs);
-        for (JobView job : waiting) {
-            boolean borrowed = borrowed(draft, job);
-            double kept = reserve.cpus(fleet, borrowed);
-            boolean reserved = free - job.spec().cpus() < kept && reserve.binds(job, borrowed, wallMs);
-            int may = failures.mayPlace(now, job.spec().id(), job.placedCount());
-            if (may == 0
-                    || !auction.closed(now, job)
-                    || reserved
-                    || !draft.quota().allows(job.spec())) {
-                continue;
+    }
+
+    private int placeTasksOf(JobView job, LongSupplier attempts) {
+        JobSpec spec = job.spec();
+        boolean borrows = borrows(job);
+        double reservedCpus = reserve.cpus(fleetCpus, borrows);
+        int allowed = failures.allowedPlacements(cycle.now(), spec.id(), job.placedCount());
+        if (allowed == 0
+                || !auction.closed(cycle.now(), job)
+                || isHeldBack(job, borrows, reservedCpus)
+                || !draft.quota().allows(spec)) {
+            return 0;
+        }
+        WaitingTasks waiting = new WaitingTasks(job, borrows, reservedCpus, allowed, nextTask(job, 0));
+        int placed = 0;
+        for (Candidate candidate : ranked(spec)) {
+            if (waiting.next == NO_TASK || !draft.quota().allows(spec)) {
+                break;
             }
-            int next = next(now, job, 0, failures);
-            for (Candidate c : ranked(now, job.spec())) {
-                if (next < 0 || !draft.quota().allows(job.spec())) {
-                    break;
-                }
-                MachineState m = c.machine();
-                Bid bid = c.bid();
-                FreeCapacity room = room(draft, m);
-                for (int i = 0; i < bid.slots() && next >= 0; i++) {
-                    if (free - job.spec().cpus() < kept && reserve.binds(job, borrowed, wallMs)) {
-                        next = -1;
-                        break;
-                    }
-                    if (!room.fits(job.spec())
-                            || !draft.quota().allows(job.spec())
-                            || !zoneAllows(draft, job, m)
-                            || draft.placements(m.id).size() >= perMachine
-                            || !draft.hasRoom(false)) {
-                        break;
-                    }
-                    Placement p = new Placement(
-                            new TaskId(job.spec().id(), next),
-                            attempts.getAsLong(),
-                            bid.agentEpoch(),
-                            Placement.Stop.KEEP);
-                    draft.place(m.id, replica.type(m.last.type()), m.last.zone(), p, job.spec());
-                    room.take(job.spec());
-                    free -= job.spec().cpus();
-                    if (bound(job.spec())) {
-                        zones(draft, job).add(m.last.zone());
-                    }
-                    awarded++;
-                    next = --may > 0 ? next(now, job, next + 1, failures) : -1;
-                }
+            placed += placeOn(waiting, candidate, attempts);
+        }
+        return placed;
+    }
+
+    /** Places as many tasks on the bidder as its bid has slots for, and returns how many those are. */
+    private int placeOn(WaitingTasks waiting, Candidate candidate, LongSupplier attempts) {
+        JobSpec spec = waiting.job.spec();
+        MachineState machine = candidate.machine();
+        Bid bid = candidate.bid();
+        FreeCapacity room = room(machine);
+        int placed = 0;
+        while (placed < bid.slots() && waiting.next != NO_TASK) {
+            if (isHeldBack(waiting.job, waiting.borrows, waiting.reservedCpus)) {
+                waiting.next = NO_TASK;
+                break;
+            }
+            if (!room.fits(spec)
+                    || !draft.quota().allows(spec)
+                    || !allowsZone(waiting.job, machine)
+                    || draft.placements(machine.id).size() >= placementsPerMachine
+                    || !draft.hasRoomForChange()) {
+                break;
             }
+            TaskId task = new TaskId(spec.id(), waiting.next);
+            Placement placement = new Placement(task, attempts.getAsLong(), bid.agentEpoch(), Placement.Stop.KEEP);
+            draft.place(machine.id, replica.type(machine.status.type()), machine.status.zone(), placement, spec);
+            room.take(spec);
+            freeCpus -= spec.cpus();
+            if (isBoundByZone(spec)) {
+                zones(waiting.job).add(machine.status.zone());
+            }
+            placed++;
+            waiting.next = --waiting.allowed > 0 ? nextTask(waiting.job, waiting.next + 1) : NO_TASK;
         }
-        return awarded;
+        return placed;
     }
 
     /** Whether the job is of low priority and its team beyond its guarantee, if it has one: such work waits for ever. */
-    private static boolean borrowed(TransactionDraft draft, JobView job) {
+    private boolean borrows(JobView job) {
         return job.spec().priority() == Priority.LOW && !draft.quota().guarantees(job.spec());
     }
 
-    /** The first task from there on that isn't started and may be, or -1. */
-    private static int next(long now, JobView job, int from, FailureTracker failures) {
+    /** Whether a task of the job would take room that is reserved for others. */
+    private boolean isHeldBack(JobView job, boolean borrows, double reservedCpus) {
+        return freeCpus - job.spec().cpus() < reservedCpus && reserve.binds(job, borrows, cycle.wallMs());
+    }
+
+    /** The first task from there on that isn't started and may be, or {@link #NO_TASK}. */
+    private int nextTask(JobView job, int from) {
         int next = job.nextUnstarted(from);
-        while (next >= 0 && !failures.mayStart(now, new TaskId(job.spec().id(), next))) {
+        while (next >= 0
+                && !failures.mayStart(cycle.now(), new TaskId(job.spec().id(), next))) {
             next = job.nextUnstarted(next + 1);
         }
-        return next;
+        return next < 0 ? NO_TASK : next;
     }
 
+    // ---- ranking of bids
+
     private record Candidate(MachineState machine, Bid bid) {}
 
     /**
-     * Usable bids by their finish, whole seconds alike, since estimates are no better than that. Among equals spot
-     * machines go first: what costs a task nothing there leaves ordinary ones to those that would lose by it. Sorted as
-     * numbers of rank, finish in tenths of a second, and place.
+     * Usable bids by their finish, whole seconds alike, since estimates are no better than that. Among equals spot machines go
+     * first: what costs a task nothing there leaves ordinary ones to those that would lose by it. Sorted as numbers of rank, finish
+     * in tenths of a second, and index.
      */
-    private List<Candidate> ranked(long now, JobSpec job) {
+    private List<Candidate> ranked(JobSpec job) {
         List<Candidate> usable = new ArrayList<>();
-        for (Bid b : auction.bids(job.id())) {
-            MachineState m = machines.get(b.machine());
-            if (usable(now, m, b) && allowed(m, job)) {
-                usable.add(new Candidate(m, b));
+        for (Bid bid : auction.bids(job.id())) {
+            MachineState machine = machines.get(bid.machine());
+            if (isUsable(machine, bid) && allows(machine, job)) {
+                usable.add(new Candidate(machine, bid));
             }
         }
         long[] keys = new long[usable.size()];
         for (int i = 0; i < keys.length; i++) {
-            Candidate c = usable.get(i);
-            long rank = rank(c);
-            long tenths = Math.min((1 << TENTHS_BITS) - 1, Math.round(c.bid().finishS() * 10));
-            keys[i] = (rank << TENTHS_BITS | tenths) << PLACE_BITS | i;
+            Candidate candidate = usable.get(i);
+            long tenths =
+                    Math.min((1 << FINISH_BITS) - 1, Math.round(candidate.bid().finishS() * 10));
+            keys[i] = (rank(candidate) << FINISH_BITS | tenths) << INDEX_BITS | i;
         }
         Arrays.sort(keys);
         List<Candidate> ranked = new ArrayList<>(keys.length);
         for (long key : keys) {
-            ranked.add(usable.get((int) (key & (1 << PLACE_BITS) - 1)));
+            ranked.add(usable.get((int) (key & (1 << INDEX_BITS) - 1)));
         }
         return load.groups().size() < 2 ? ranked : spread(ranked, job);
     }
@@ -189,64 +243,63 @@
     /** Equal for bids that count as equal: whole seconds of the finish, spot machines before others. */
     private static long rank(Candidate candidate) {
         return 2 * Math.round(candidate.bid().finishS())
-                + (candidate.machine().last.spot() ? 0 : 1);
+                + (candidate.machine().status.spot() ? 0 : 1);
     }
 
-    private boolean usable(long now, MachineState m, Bid bid) {
-        return m != null
-                && !m.last.silent()
-                && m.last.evictionNoticeS() == null
-                && m.last.agentEpoch() == bid.agentEpoch()
-                && now >= m.avoidUntil
-                && !m.decommissioned
-                && replica.type(m.last.type()) != null
-                && spokenFor.computeIfAbsent(m.last.partition(), auction::speaksFor);
+    private boolean isUsable(MachineState machine, Bid bid) {
+        return machine != null
+                && machine.acceptsTasks(cycle.now())
+                && machine.status.agentEpoch() == bid.agentEpoch()
+                && replica.type(machine.status.type()) != null
+                && ownerBids.computeIfAbsent(machine.status.partition(), auction::speaksFor);
     }
 
-    private boolean allowed(MachineState m, JobSpec job) {
-        MachineType type = replica.type(m.last.type());
-        return type.fits(job) && job.allowsZone(m.last.zone()) && (!m.last.spot() || job.spot());
+    private boolean allows(MachineState machine, JobSpec job) {
+        MachineType type = replica.type(machine.status.type());
+        return type.fits(job) && job.allowsZone(machine.status.zone()) && (!machine.status.spot() || job.spot());
     }
 
-    private FreeCapacity room(TransactionDraft draft, MachineState m) {
-        return capacities.computeIfAbsent(m.id, id -> {
-            MachineType type = replica.type(m.last.type());
+    // ---- room and zones
+
+    private FreeCapacity room(MachineState machine) {
+        return capacities.computeIfAbsent(machine.id, id -> {
+            MachineType type = replica.type(machine.status.type());
             if (!draft.changes(id)) {
-                return counted.of(id, type).copy();
+                return storedCapacities.of(id, type).copy();
             }
             FreeCapacity room = new FreeCapacity(type);
-            counted.take(room, draft.placements(id));
+            storedCapacities.take(room, draft.placements(id));
             return room;
         });
     }
 
-    private static boolean bound(JobSpec job) {
+    private static boolean isBoundByZone(JobSpec job) {
         return job.zoneAffinity() || job.zoneAntiAffinity();
     }
 
-    private boolean zoneAllows(TransactionDraft draft, JobView job, MachineState m) {
-        if (!bound(job.spec())) {
+    private boolean allowsZone(JobView job, MachineState machine) {
+        if (!isBoundByZone(job.spec())) {
             return true;
         }
-        Multiset<String> zones = zones(draft, job);
-        int here = zones.count(m.last.zone());
+        Multiset<String> zones = zones(job);
+        int here = zones.count(machine.status.zone());
         if (job.spec().zoneAffinity() && zones.size() != here) {
             return false;
         }
         return !job.spec().zoneAntiAffinity() || here + 1 <= (job.spec().tasks() + 1) / 2;
     }
 
-    private Multiset<String> zones(TransactionDraft draft, JobView job) {
+    private Multiset<String> zones(JobView job) {
         return zonesOfJob.computeIfAbsent(job.spec().id(), id -> {
-            Multiset<String> count = HashMultiset.create();
+            Multiset<String> zones = HashMultiset.create();
             for (String machine : replica.placedMachines()) {
-                for (Placement p : draft.placements(machine)) {
-                    if (p.task().job().equals(id)) {
-                        count.add(replica.placedZone(machine));
+                for (Placement placement : draft.placements(machine)) {
+                    if (placement.task().job().equals(id)) {
+                        zones.add(replica.placedZone(machine));
                     }
                 }
             }
-            return count;
+            return zones;
         });
     }
 }
--- a/src/main/java/garnetscale/core/leader/TransactionDraft.java
+++ b/src/main/java/garnetscale/core/leader/TransactionDraft.java
@@ -25,194 +25,227 @@
 import java.util.Set;
 
 /**
- * A transaction in the making: changes of placements and finished sets on top of the replica. Everything in it is
- * applied at once or not at all, so room and quota that it frees may be used by it. All of it but the ends of jobs
- * goes into one entry of the work log.
+ * A transaction in the making: changes of placements and of finished tasks on top of the replica. Everything in it is applied at
+ * once or not at all, so room and quota that it frees may be used by it. All of it but the ends of jobs goes into one entry of the
+ * work logWriter.
  */
 final class TransactionDraft {
 
-    /** An image with a longer name isn't noted: a few of them would fill a machine's record. */
-    private static final int LONGEST_IMAGE = 100;
-
-    private static final int MOST_IMAGES = 16;
+    /** An image with a longer name isn't recorded: a few of them would fill a machine's record. */
+    private static final int MAX_IMAGE_NAME_LENGTH = 100;
+    /** Images that are recorded of a machine. */
+    private static final int MAX_IMAGES = 16;
+    /** A job's end takes two operations: its job key goes, and a terminal one comes. */
+    private static final int OPS_PER_JOB_END = 2;
 
     private final StateReplica replica;
     private final QuotaUsage quota;
-    private final LogWriter log;
+    private final LogWriter logWriter;
     private final int opLimit;
-    private final Map<String, List<Placement>> machines = new LinkedHashMap<>();
+    /** Placements of the machines that the draft changes. */
+    private final Map<String, List<Placement>> changed = new LinkedHashMap<>();
+    /** Zones of the same machines. */
     private final Map<String, String> zones = new HashMap<>();
+    /** Images that the same machines cache, with their gigabytes, least recently used first. */
     private final Map<String, Map<String, Double>> images = new HashMap<>();
-    private final Set<String> forgotten = new HashSet<>();
+
+    private final Set<String> removedMachines = new HashSet<>();
+    /** The finished tasks of jobs that the draft finishes tasks of, those from before included. */
     private final Map<String, BitSet> finished = new LinkedHashMap<>();
-    private final Set<String> parts = new LinkedHashSet<>();
-    private final Map<String, Set<Integer>> awarded = new HashMap<>();
-    private final Set<String> over = new LinkedHashSet<>();
+    /** The stored parts of these sets that change. */
+    private final Set<String> finishedParts = new LinkedHashSet<>();
+    /** How many tasks the draft places, by job. */
+    private final Map<String, Integer> placedCounts = new HashMap<>();
+
+    private final Set<String> endedJobs = new LinkedHashSet<>();
     private int ops;
 
+    /** An empty draft; {@code quota} is what teams use by the replica, and is counted on as the draft grows. */
     TransactionDraft(StateReplica replica, QuotaUsage quota, LogWriter.Limits limits) {
         this.replica = replica;
         this.quota = quota;
-        this.log = new LogWriter(replica, limits);
+        this.logWriter = new LogWriter(replica, limits);
         this.opLimit = limits.ops();
-        this.ops = log.ops();
+        this.ops = logWriter.ops();
     }
 
+    /** What teams use once the draft is applied. */
     QuotaUsage quota() {
         return quota;
     }
 
+    /** Whether there is nothing to send; a due compaction of the work log is something. */
     boolean isEmpty() {
-        return machines.isEmpty() && over.isEmpty() && !log.folds();
+        return changed.isEmpty() && endedJobs.isEmpty() && !logWriter.folds();
+    }
+
+    /** Whether a change of a machine's placements still fits. */
+    boolean hasRoomForChange() {
+        return ops <= opLimit && logWriter.fits(0);
     }
 
-    /** Whether a change of a machine still fits into the transaction, and the end of a job if that comes with it. */
-    boolean hasRoom(boolean mayEndJob) {
-        return ops + (mayEndJob ? 2 : 0) <= opLimit && log.fits(0);
+    /** Whether an exit still fits: a change of a machine's placements, and the end of the job that may come with it. */
+    boolean hasRoomForExit() {
+        return ops + OPS_PER_JOB_END <= opLimit && logWriter.fits(0);
     }
 
     /** Whether a job's end, and nothing else, still fits. */
-    boolean hasRoomForEnd() {
-        return ops + 2 <= opLimit;
+    boolean hasRoomForJobEnd() {
+        return ops + OPS_PER_JOB_END <= opLimit;
     }
 
     /** Whether it changes what is placed on the machine. */
     boolean changes(String machine) {
-        return machines.containsKey(machine);
+        return changed.containsKey(machine);
     }
 
+    /** What is placed on the machine once the draft is applied. */
     List<Placement> placements(String machine) {
-        List<Placement> list = machines.get(machine);
+        List<Placement> list = changed.get(machine);
         return list == null ? replica.placements(machine) : list;
     }
 
     private List<Placement> edit(String machine, String zone) {
-        return machines.computeIfAbsent(machine, id -> {
-            log.take(log.sizeOfRow(id, zone));
+        return changed.computeIfAbsent(machine, id -> {
+            logWriter.take(logWriter.sizeOfRow(id, zone));
             zones.put(id, zone);
             images.put(id, new LinkedHashMap<>(replica.images(id)));
             return new ArrayList<>(replica.placements(id));
         });
     }
 
-    void free(String machine, Placement p) {
-        edit(machine, replica.placedZone(machine)).remove(p);
-        log.take(LogWriter.sizeOfAttempt());
-        JobView job = replica.job(p.task().job());
+    /** Removes a placement, and counts it as unused quota. */
+    void free(String machine, Placement placement) {
+        edit(machine, replica.placedZone(machine)).remove(placement);
+        logWriter.take(LogWriter.sizeOfAttempt());
+        JobView job = replica.job(placement.task().job());
         if (job != null) {
             quota.add(job.spec(), -1);
         }
     }
 
-    void stop(String machine, Placement p, Placement.Stop how) {
+    /** Marks a placement to be stopped, with a checkpoint if the job writes any. */
+    void stop(String machine, Placement placement, JobSpec job) {
+        stop(machine, placement, job.writesCheckpoints() ? Placement.Stop.CHECKPOINT : Placement.Stop.NOW);
+    }
+
+    /** Marks a placement to be stopped; nothing happens when the draft freed it. */
+    void stop(String machine, Placement placement, Placement.Stop how) {
         List<Placement> list = edit(machine, replica.placedZone(machine));
-        int i = list.indexOf(p);
-        if (i >= 0) {
-            list.set(i, p.withStop(how));
-            log.take(LogWriter.sizeOfAttempt());
+        int index = list.indexOf(placement);
+        if (index >= 0) {
+            list.set(index, placement.withStop(how));
+            logWriter.take(LogWriter.sizeOfAttempt());
         }
     }
 
-    void place(String machine, MachineType type, String zone, Placement p, JobSpec job) {
-        edit(machine, zone).add(p);
-        log.take(LogWriter.sizeOfPlacement(job, images.get(machine).keySet()));
-        keepImage(images.get(machine), type, job);
+    /** Places a task of the job on a machine of that type in that zone. */
+    void place(String machine, MachineType type, String zone, Placement placement, JobSpec job) {
+        edit(machine, zone).add(placement);
+        logWriter.take(LogWriter.sizeOfPlacement(job, images.get(machine).keySet()));
+        recordImage(images.get(machine), type, job);
         quota.add(job, 1);
-        awarded.computeIfAbsent(job.id(), k -> new HashSet<>()).add(p.task().index());
+        placedCounts.merge(job.id(), 1, Integer::sum);
     }
 
-    /** A machine caches the images that it used last, as many as fit. */
-    private static void keepImage(Map<String, Double> kept, MachineType type, JobSpec job) {
-        if (job.image().length() > LONGEST_IMAGE) {
+    /** Records that the machine caches the job's image; what it used longest ago goes where it doesn't all fit. */
+    private static void recordImage(Map<String, Double> cached, MachineType type, JobSpec job) {
+        if (job.image().length() > MAX_IMAGE_NAME_LENGTH) {
             return;
         }
-        kept.remove(job.image());
-        kept.put(job.image(), job.imageGb());
-        double sum = 0;
-        for (double gb : kept.values()) {
-            sum += gb;
+        cached.remove(job.image());
+        cached.put(job.image(), job.imageGb());
+        double sumGb = 0;
+        for (double gb : cached.values()) {
+            sumGb += gb;
         }
-        Iterator<Double> oldest = kept.values().iterator();
-        while ((sum > type.cacheGb() || kept.size() > MOST_IMAGES) && oldest.hasNext()) {
-            sum -= oldest.next();
+        Iterator<Double> oldest = cached.values().iterator();
+        while ((sumGb > type.cacheGb() || cached.size() > MAX_IMAGES) && oldest.hasNext()) {
+            sumGb -= oldest.next();
             oldest.remove();
         }
     }
 
-    /** The machine is gone for good, and so is its record once it has no placements. */
-    void forget(String machine) {
+    /** The machine is terminated for good, and its record is removed once it has no placements. */
+    void removeMachine(String machine) {
         if (edit(machine, replica.placedZone(machine)).isEmpty()) {
-            forgotten.add(machine);
+            removedMachines.add(machine);
         }
     }
 
     /** Records a task as finished; the last one ends its job. */
     void finish(JobView job, int task) {
         String id = job.spec().id();
-        BitSet set = finished.computeIfAbsent(id, k -> job.finishedSet());
-        set.set(task);
-        if (set.cardinality() == job.spec().tasks() && over.add(id)) {
-            ops += 2;
+        BitSet tasks = finished.computeIfAbsent(id, key -> job.finishedSet());
+        tasks.set(task);
+        if (tasks.cardinality() == job.spec().tasks()) {
+            endJob(id);
         }
         String part = WorkLog.partOf(id, task);
-        if (parts.add(part)) {
-            log.take(LogWriter.sizeOfPart(part, job.spec().tasks()));
+        if (finishedParts.add(part)) {
+            logWriter.take(LogWriter.sizeOfPart(part, job.spec().tasks()));
         }
     }
 
-    /** How many tasks of the job it places. */
-    int awarded(String job) {
-        return awarded.getOrDefault(job, Set.of()).size();
+    /** How many tasks of the job the draft places. */
+    int placedCount(String job) {
+        return placedCounts.getOrDefault(job, 0);
     }
 
-    boolean isAwarded(String job, int task) {
-        return awarded.getOrDefault(job, Set.of()).contains(task);
-    }
-
-    boolean isFinished(JobView job, int task) {
-        BitSet set = finished.get(job.spec().id());
-        return set == null ? job.isFinished(task) : set.get(task);
+    /** Ends a cancelled job without placements: its key leaves the mirrored part of the store. */
+    void recordCancelled(JobView job) {
+        endJob(job.spec().id());
     }
 
-    /** A cancelled job without placements leaves the mirrored part of the store. */
-    void recordCancelled(JobView job) {
-        if (over.add(job.spec().id())) {
-            ops += 2;
+    private void endJob(String id) {
+        if (endedJobs.add(id)) {
+            ops += OPS_PER_JOB_END;
         }
     }
 
     /**
-     * The transaction. It is guarded by the leader's key, by the work log's last entry, and by the keys of the jobs
-     * that it ends: a cancellation in between makes it fail, and it is drafted anew.
+     * The transaction. It is guarded by the leader's key, by the work log's last entry, and by the keys of the jobs that it ends:
+     * a cancellation in between makes it fail, and it is drafted anew.
      */
     Transaction toTransaction() {
         Transaction transaction = new Transaction().guard(Keys.LEADER, replica.modRevision(Keys.LEADER));
+        logWriter.write(transaction, machineRecords(), finishedSets());
+        for (String id : endedJobs) {
+            endJob(transaction, id, replica.job(id));
+        }
+        return transaction;
+    }
+
+    private Map<String, MachineRecord> machineRecords() {
         Map<String, MachineRecord> records = new LinkedHashMap<>();
-        machines.forEach((id, list) -> records.put(
+        changed.forEach((id, placements) -> records.put(
                 id,
-                list.isEmpty() && forgotten.contains(id)
+                placements.isEmpty() && removedMachines.contains(id)
                         ? MachineRecord.NONE
-                        : new MachineRecord(zones.get(id), List.copyOf(list), images.get(id))));
-        Map<String, BitSet> done = new LinkedHashMap<>();
-        for (String part : parts) {
+                        : new MachineRecord(zones.get(id), List.copyOf(placements), images.get(id))));
+        return records;
+    }
+
+    /** The changed parts of the sets of finished tasks, but those of jobs that end. */
+    private Map<String, BitSet> finishedSets() {
+        Map<String, BitSet> sets = new LinkedHashMap<>();
+        for (String part : finishedParts) {
             String job = part.substring(0, part.lastIndexOf('/'));
-            if (!over.contains(job)) {
-                done.put(part, WorkLog.bitsOf(finished.get(job), part));
+            if (!endedJobs.contains(job)) {
+                sets.put(part, WorkLog.bitsOf(finished.get(job), part));
             }
         }
-        log.write(transaction, records, done);
-        for (String id : over) {
-            JobView job = replica.job(id);
-            transaction.guard(Keys.job(id), job.modRevision());
-            transaction.delete(Keys.job(id));
-            BitSet set = finished.get(id);
-            int count = set == null ? job.finishedCount() : set.cardinality();
-            JobState state = job.live() ? JobState.DONE : job.job().state();
-            transaction.put(
-                    Keys.terminalJob(id),
-                    Records.terminalJob(new Records.TerminalJob(
-                            state, job.spec().tasks(), count, job.spec().team())));
-        }
-        return transaction;
+        return sets;
+    }
+
+    private void endJob(Transaction transaction, String id, JobView job) {
+        transaction.guard(Keys.job(id), job.modRevision());
+        transaction.delete(Keys.job(id));
+        BitSet tasks = finished.get(id);
+        int count = tasks == null ? job.finishedCount() : tasks.cardinality();
+        JobState state = job.live() ? JobState.DONE : job.job().state();
+        Records.TerminalJob terminal = new Records.TerminalJob(
+                state, job.spec().tasks(), count, job.spec().team());
+        transaction.put(Keys.terminalJob(id), Records.terminalJob(terminal));
     }
 }
--- /dev/null
+++ b/src/main/java/garnetscale/core/leader/UpgradePlanner.java
@@ -0,0 +1,82 @@
+package garnetscale.core.leader;
+
+import garnetscale.core.SchedulerConfig;
+import garnetscale.core.Times;
+import garnetscale.core.state.StateReplica;
+import garnetscale.core.state.Transaction;
+import garnetscale.core.upgrade.UpgradeCoordinator;
+import garnetscale.core.upgrade.UpgradeDecision;
+import garnetscale.core.upgrade.UpgradeStep;
+import java.util.function.Consumer;
+
+/** Plans the changes of the cluster's version: those that an operator requests, and the automatic activation where that is on. */
+final class UpgradePlanner {
+
+    private final SchedulerConfig config;
+    private final StateReplica replica;
+    private final UpgradeCoordinator coordinator;
+    private final Consumer<String> log;
+
+    private long activationCheckedAt = Times.NEVER;
+    /** The step that an operator requested and that can be carried out, or null. */
+    private UpgradeStep requested;
+
+    UpgradePlanner(SchedulerConfig config, StateReplica replica, Consumer<String> log) {
+        this.config = config;
+        this.replica = replica;
+        this.coordinator =
+                new UpgradeCoordinator(replica, config.features().layouts(), config.settleMs(), config.valueBytes());
+        this.log = log;
+    }
+
+    /** A new leadership begins: what was requested of an earlier one has to be requested again. */
+    void clear() {
+        coordinator.clear();
+        requested = null;
+    }
+
+    /**
+     * What an operator requests. Where it can be carried out, the next transaction does so; that may fail, and requested again
+     * the same step is carried out or found done.
+     */
+    UpgradeDecision request(long now, UpgradeStep step) {
+        UpgradeDecision decision = coordinator.decide(now, step);
+        requested = decision instanceof UpgradeDecision.Commit ? step : null;
+        return decision;
+    }
+
+    /** The change of the cluster's version that is due, or null. */
+    Transaction plan(long now) {
+        coordinator.observe(now);
+        Transaction change = requestedChange(now);
+        return change != null ? change : automaticActivation(now);
+    }
+
+    private Transaction requestedChange(long now) {
+        if (requested == null) {
+            return null;
+        }
+        UpgradeStep step = requested;
+        requested = null;
+        if (coordinator.decide(now, step) instanceof UpgradeDecision.Commit commit) {
+            log.accept("changing cluster version by request, step=" + step + ", active="
+                    + commit.next().active() + ", floor=" + commit.next().floor());
+            return commit.transaction();
+        }
+        return null;
+    }
+
+    private Transaction automaticActivation(long now) {
+        if (!config.features().activatesWhenNeeded() || now - activationCheckedAt < config.leaseMs()) {
+            return null;
+        }
+        activationCheckedAt = now;
+        Transaction activation = coordinator.automatic(now);
+        if (activation != null) {
+            log.accept(
+                    "activating cluster version: the present one is about to be too small for what is stored, version="
+                            + (replica.version().active() + 1));
+        }
+        return activation;
+    }
+}
--- a/src/test/java/garnetscale/core/leader/BalancerTest.java
+++ b/src/test/java/garnetscale/core/leader/BalancerTest.java
@@ -151,7 +151,7 @@
         assertEquals(
                 1,
                 log.stream()
-                        .filter(line -> line.contains("is moved from m-000001"))
+                        .filter(line -> line.startsWith("moving task, ") && line.contains(", machine=m-000001, "))
                         .count(),
                 log.toString());
     }
@@ -216,9 +216,10 @@
         assertEquals(1, leader.recentMoves().size());
         assertEquals(
                 List.of(),
-                log.stream().filter(line -> line.contains("is moved")).toList(),
+                log.stream().filter(line -> line.startsWith("moving task, ")).toList(),
                 "not stored yet");
         leader.plan(NOW + 1100);
-        assertEquals(1, log.stream().filter(line -> line.contains("is moved")).count());
+        assertEquals(
+                1, log.stream().filter(line -> line.startsWith("moving task, ")).count());
     }
 }
--- a/src/test/java/garnetscale/core/leader/FailureTrackerTest.java
+++ b/src/test/java/garnetscale/core/leader/FailureTrackerTest.java
@@ -19,7 +19,7 @@
 
     private void fail(long now, String job, int tasks) {
         for (int i = 0; i < tasks; i++) {
-            failures.failed(now, task(job, i), "m-" + i);
+            failures.recordFailure(now, task(job, i), "m-" + i);
         }
     }
 
@@ -27,41 +27,41 @@
     @Test
     void aSuspectIsTriedWithOneTaskAndEverMoreRarely() {
         fail(0, "wk-1", 60);
-        assertEquals(Set.of("wk-1"), failures.suspects());
-        assertEquals(0, failures.mayPlace(999, "wk-1", 0));
-        assertEquals(1, failures.mayPlace(1000, "wk-1", 0));
-        assertEquals(0, failures.mayPlace(1000, "wk-1", 1));
-        failures.failed(1000, task("wk-1", 0), "m-7");
-        assertEquals(0, failures.mayPlace(2999, "wk-1", 0));
-        assertEquals(1, failures.mayPlace(3000, "wk-1", 0));
+        assertEquals(Set.of("wk-1"), failures.quarantinedJobs());
+        assertEquals(0, failures.allowedPlacements(999, "wk-1", 0));
+        assertEquals(1, failures.allowedPlacements(1000, "wk-1", 0));
+        assertEquals(0, failures.allowedPlacements(1000, "wk-1", 1));
+        failures.recordFailure(1000, task("wk-1", 0), "m-7");
+        assertEquals(0, failures.allowedPlacements(2999, "wk-1", 0));
+        assertEquals(1, failures.allowedPlacements(3000, "wk-1", 0));
     }
 
     @Test
     void aJobThatCompletesATaskIsCleared() {
         fail(0, "wk-1", 3);
-        failures.completed(task("wk-1", 9));
-        assertFalse(failures.isSuspect("wk-1"));
-        assertEquals(Integer.MAX_VALUE, failures.mayPlace(0, "wk-1", 5));
-        assertFalse(failures.failed(0, task("wk-1", 0), "m-0"), "the machine is to blame");
+        failures.recordCompletion(task("wk-1", 9));
+        assertFalse(failures.isQuarantined("wk-1"));
+        assertEquals(Integer.MAX_VALUE, failures.allowedPlacements(0, "wk-1", 5));
+        assertFalse(failures.recordFailure(0, task("wk-1", 0), "m-0"), "the machine is to blame");
     }
 
     /** The others of the job go on, and no machine is blamed for ever for the same few. */
     @Test
     void singleTasksOfASoundJobAreSuspectsToo() {
-        failures.completed(task("wk-1", 9));
+        failures.recordCompletion(task("wk-1", 9));
         for (int i = 0; i < 3; i++) {
-            failures.failed(0, task("wk-1", 0), "m-" + i);
+            failures.recordFailure(0, task("wk-1", 0), "m-" + i);
         }
-        assertTrue(failures.isSuspect(task("wk-1", 0)));
-        assertFalse(failures.isSuspect(task("wk-1", 1)));
+        assertTrue(failures.isQuarantined(task("wk-1", 0)));
+        assertFalse(failures.isQuarantined(task("wk-1", 1)));
         assertFalse(failures.mayStart(0, task("wk-1", 0)));
-        assertEquals(Set.of(), failures.suspects());
+        assertEquals(Set.of(), failures.quarantinedJobs());
     }
 
     @Test
     void whatIsOverIsForgotten() {
         fail(0, "wk-1", 3);
         failures.retain(job -> false);
-        assertEquals(Set.of(), failures.suspects());
+        assertEquals(Set.of(), failures.quarantinedJobs());
     }
 }
