--- /dev/null
+++ b/src/main/java/garnetscale/core/leader/BidRanking.java
@@ -0,0 +1,103 @@
+package garnetscale.core.leader;
+
+import garnetscale.core.balance.LoadSnapshot;
+import garnetscale.core.balance.SpreadOrder;
+import garnetscale.core.bidding.Auction;
+import garnetscale.core.bidding.Bid;
+import garnetscale.core.job.JobSpec;
+import garnetscale.core.machine.MachineType;
+import garnetscale.core.state.StateReplica;
+import java.util.ArrayList;
+import java.util.Arrays;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+
+/** Ranks the usable bids for a job, the best first; made anew for each scheduling cycle. */
+final class BidRanking {
+
+    /** How a sort key is made up, from its low bits on: the bid's index, its finish in tenths of a second, its rank. */
+    private static final int INDEX_BITS = 22;
+
+    private static final int FINISH_BITS = 18;
+
+    /** A bid that may be taken, and the machine that it is of. */
+    record Candidate(MachineState machine, Bid bid) {}
+
+    private final StateReplica replica;
+    private final Auction auction;
+    private final Map<String, MachineState> machines;
+    private final LoadSnapshot load;
+    private final long now;
+    /** Whether the partition's owner bids, asked once a cycle: there are thousands of bids and a handful of partitions. */
+    private final Map<String, Boolean> ownerBids = new HashMap<>();
+
+    BidRanking(LeaderContext context, LoadSnapshot load, long now) {
+        this.replica = context.replica();
+        this.auction = context.auction();
+        this.machines = context.machines();
+        this.load = load;
+        this.now = now;
+    }
+
+    /**
+     * Usable bids by their finish, whole seconds alike, since estimates are no better than that. Among equals spot machines go
+     * first: what costs a task nothing there leaves ordinary ones to those that would lose by it.
+     */
+    List<Candidate> ranked(JobSpec job) {
+        List<Candidate> usable = usable(job);
+        long[] keys = new long[usable.size()];
+        for (int i = 0; i < keys.length; i++) {
+            Candidate candidate = usable.get(i);
+            long tenths =
+                    Math.min((1 << FINISH_BITS) - 1, Math.round(candidate.bid().finishS() * 10));
+            keys[i] = (rank(candidate) << FINISH_BITS | tenths) << INDEX_BITS | i;
+        }
+        Arrays.sort(keys);
+        List<Candidate> ranked = new ArrayList<>(keys.length);
+        for (long key : keys) {
+            ranked.add(usable.get((int) (key & (1 << INDEX_BITS) - 1)));
+        }
+        return load.groups().size() < 2 ? ranked : spread(ranked, job);
+    }
+
+    private List<Candidate> usable(JobSpec job) {
+        List<Candidate> usable = new ArrayList<>();
+        for (Bid bid : auction.bids(job.id())) {
+            MachineState machine = machines.get(bid.machine());
+            if (isUsable(machine, bid) && allows(machine, job)) {
+                usable.add(new Candidate(machine, bid));
+            }
+        }
+        return usable;
+    }
+
+    /** Orders equals by their groups' load. */
+    private List<Candidate> spread(List<Candidate> ranked, JobSpec job) {
+        return new SpreadOrder(load)
+                .spread(
+                        ranked,
+                        candidate -> rank(candidate),
+                        candidate -> LoadObserver.groupOf(candidate.machine()),
+                        candidate -> candidate.bid().slots() * job.cpus());
+    }
+
+    /** Equal for bids that count as equal: whole seconds of the finish, spot machines before others. */
+    private static long rank(Candidate candidate) {
+        return 2 * Math.round(candidate.bid().finishS())
+                + (candidate.machine().status.spot() ? 0 : 1);
+    }
+
+    private boolean isUsable(MachineState machine, Bid bid) {
+        return machine != null
+                && machine.acceptsTasks(now)
+                && machine.status.agentEpoch() == bid.agentEpoch()
+                && replica.type(machine.status.type()) != null
+                && ownerBids.computeIfAbsent(machine.status.partition(), auction::speaksFor);
+    }
+
+    private boolean allows(MachineState machine, JobSpec job) {
+        MachineType type = replica.type(machine.status.type());
+        return type.fits(job) && job.allowsZone(machine.status.zone()) && (!machine.status.spot() || job.spot());
+    }
+}
--- a/src/main/java/garnetscale/core/leader/Leader.java
+++ b/src/main/java/garnetscale/core/leader/Leader.java
@@ -41,10 +41,6 @@
     private final Balancer balancer;
     private final PlacementPlanner placements;
 
-    /** The term of the leadership that this controller has taken up, or {@link LeaderElection#NO_TERM}. */
-    private long term = LeaderElection.NO_TERM;
-
-    private long leadingSince;
     private long wallClockOffset;
 
     /** {@code log} takes one line for each event that operators may want to know of. */
@@ -77,17 +73,14 @@
 
     /** Takes up leadership when the replica says so, and drops all that was known under an earlier term. */
     public boolean leads(long now) {
-        long termNow = election.leadingTerm();
-        if (termNow != LeaderElection.NO_TERM && termNow != term) {
-            beginTerm(now, termNow);
+        if (election.takeUp(now)) {
+            beginTerm(now);
         }
-        term = termNow;
-        return isLeading();
+        return election.isLeading();
     }
 
-    private void beginTerm(long now, long newTerm) {
-        leadingSince = now;
-        attempts.begin(newTerm);
+    private void beginTerm(long now) {
+        attempts.begin(election.term());
         context.awardTimes().clear();
         upgrades.clear();
         machines.clear();
@@ -96,16 +89,12 @@
         placements.clear();
         context.auction().clear();
         balancer.begin(now);
-        context.log().accept("took leadership, term=" + newTerm);
-    }
-
-    private boolean isLeading() {
-        return term != LeaderElection.NO_TERM;
+        context.log().accept("took leadership, term=" + election.term());
     }
 
     /** The transaction that makes this controller the leader, or null when there is one that isn't known to be down. */
     public Transaction election(long now) {
-        return election.election(now);
+        return election.elect(now);
     }
 
     /**
@@ -114,9 +103,9 @@
      */
     public Transaction resignation(long now) {
         if (attempts.isNearlyUsedUp() || partitionAssigner.isNearlyUsedUp()) {
-            return election.resignForNewTerm(term);
+            return election.resignForNewTerm();
         }
-        return election.resignIfIsolated(now, term, leadingSince, machines.values());
+        return election.resignIfIsolated(now, machines.values());
     }
 
     /** The transaction to send after one whose outcome is unknown; see {@link LeaderElection#fence}. */
@@ -145,7 +134,7 @@
     /** A partition's owner published a machine's status; dropped if the owner isn't the current one. */
     public void onMachineStatus(long now, MachineStatus status) {
         PartitionLease lease = replica.partition(status.partition());
-        if (!isLeading()
+        if (!election.isLeading()
                 || lease == null
                 || lease.term() != status.term()
                 || lease.incarnation() != status.incarnation()) {
@@ -163,7 +152,7 @@
 
     /** A controller submitted the bids of its machines. */
     public void onBids(long now, BidBatch batch) {
-        if (isLeading()) {
+        if (election.isLeading()) {
             context.auction().onBatch(now, batch);
         }
     }
@@ -200,7 +189,7 @@
         if (versionChange != null) {
             return versionChange;
         }
-        Transaction partitionLeases = partitionAssigner.plan(now, term);
+        Transaction partitionLeases = partitionAssigner.plan(now, election.term());
         if (partitionLeases != null) {
             return partitionLeases;
         }
@@ -245,12 +234,12 @@
 
     /** The load of the fleet when load balancing last ran; empty on a controller that doesn't lead, or while that is off. */
     public LoadSnapshot load() {
-        return isLeading() ? balancer.load() : LoadSnapshot.EMPTY;
+        return election.isLeading() ? balancer.load() : LoadSnapshot.EMPTY;
     }
 
     /** Tasks that this leader moved lately, oldest first; see {@link Move}. */
     public List<Move> recentMoves() {
-        return isLeading() ? balancer.recentMoves() : List.of();
+        return election.isLeading() ? balancer.recentMoves() : List.of();
     }
 
     /** The numbers of the attempts that it places. */
--- a/src/main/java/garnetscale/core/leader/LeaderElection.java
+++ b/src/main/java/garnetscale/core/leader/LeaderElection.java
@@ -36,6 +36,11 @@
     /** No election before this time. */
     private long candidateFrom = Times.NEVER;
 
+    /** The term of the leadership that this process has taken up, or {@link #NO_TERM}, and since when it leads. */
+    private long term = NO_TERM;
+
+    private long leadingSince;
+
     private LeaderInfo lastSeenLeader;
     private long lastSeenLeaderSince;
 
@@ -60,11 +65,32 @@
                 : NO_TERM;
     }
 
+    /** Follows the replica; true when this process now takes up leadership, under a term that it hasn't led under before. */
+    boolean takeUp(long now) {
+        long termNow = leadingTerm();
+        boolean isNewTerm = termNow != NO_TERM && termNow != term;
+        term = termNow;
+        if (isNewTerm) {
+            leadingSince = now;
+        }
+        return isNewTerm;
+    }
+
+    /** The term of the leadership that was taken up, or {@link #NO_TERM}. */
+    long term() {
+        return term;
+    }
+
+    /** Whether this process led when it last looked. */
+    boolean isLeading() {
+        return term != NO_TERM;
+    }
+
     /**
      * The transaction that makes this controller the leader, or null when there is one. The term comes from a counter that
      * the same transaction raises, so no two leaders share one.
      */
-    Transaction election(long now) {
+    Transaction elect(long now) {
         LeaderInfo leader = replica.leader();
         // A leader key of this controller's earlier process is replaced at once: a controller runs one process at a
         // time.
@@ -77,12 +103,12 @@
         if (leader != null && !isOfEarlierProcess && !isDown) {
             return null;
         }
-        long term = replica.termCounter() + 1;
+        long newTerm = replica.termCounter() + 1;
         return new Transaction()
                 .guard(Keys.LEADER, replica.modRevision(Keys.LEADER))
                 .guard(Keys.TERM, replica.modRevision(Keys.TERM))
-                .put(Keys.TERM, Records.term(term))
-                .put(Keys.LEADER, Records.leader(new LeaderInfo(config.self(), incarnation, term)), incarnation);
+                .put(Keys.TERM, Records.term(newTerm))
+                .put(Keys.LEADER, Records.leader(new LeaderInfo(config.self(), incarnation, newTerm)), incarnation);
     }
 
     /**
@@ -107,7 +133,7 @@
     }
 
     /** Steps down because the leader's term has no numbers left: a new term is needed, this controller's or another's. */
-    Transaction resignForNewTerm(long term) {
+    Transaction resignForNewTerm() {
         log.accept("resigning leadership: the numbers of the term are used up, term=" + term);
         return resignation();
     }
@@ -116,7 +142,7 @@
      * The transaction by which a leader that no worker reaches makes room for one that may do better; null while some machine
      * sends heartbeats, there is no other controller, or it is too early to tell.
      */
-    Transaction resignIfIsolated(long now, long term, long leadingSince, Collection<MachineState> machines) {
+    Transaction resignIfIsolated(long now, Collection<MachineState> machines) {
         boolean isIsolated = machines.stream().allMatch(machine -> machine.status.silent());
         long patienceMs = failureDetector.isolationPatienceMs();
         if (!isIsolated
--- a/src/main/java/garnetscale/core/leader/LoadObserver.java
+++ b/src/main/java/garnetscale/core/leader/LoadObserver.java
@@ -30,7 +30,7 @@
  */
 final class LoadObserver {
 
-    /** An owner that wasn't heard from for this part of a worker's lease doesn't vouch for its machines any more. */
+    /** An owner that wasn't heard from for this part of a worker's lease isn't believed about its machines any more. */
     private static final double OWNER_HEARD_WITHIN_LEASES = 0.5;
     /** The time constant of the average utilization, in heartbeat intervals. */
     private static final double SMOOTHING_INTERVALS = 5;
@@ -152,7 +152,7 @@
         return ownerReason == null && machine.status.silent() ? UnknownReason.MACHINE_SILENT : ownerReason;
     }
 
-    /** Why the owner doesn't vouch for the partition's machines, or null when it does. */
+    /** Why the owner isn't believed about the partition's machines, or null when it is. */
     private UnknownReason ownerReason(long now, String partition, String owner) {
         long heardAt = owner.equals(config.self()) ? now : lastHeardAt.getOrDefault(owner, Times.NEVER);
         if (now - heardAt > OWNER_HEARD_WITHIN_LEASES * config.leaseMs()) {
--- a/src/main/java/garnetscale/core/leader/PreemptionStops.java
+++ b/src/main/java/garnetscale/core/leader/PreemptionStops.java
@@ -75,7 +75,7 @@
         }
         dueAt = cycle.now() + (hasLowWork ? config.windowMs() : config.windowMs() / 2);
         if (!preempt(cycle, placedNothing, hasLowWork)) {
-            // A full fleet without anybody to preempt: all of it was looked at for nothing, and soon would be again.
+            // A full fleet without anybody to preempt: the search was for nothing, and soon would be again.
             dueAt = cycle.now() + (hasLowWork ? LONG_PAUSE_WINDOWS : SHORT_PAUSE_WINDOWS) * config.windowMs();
         }
     }
--- a/src/main/java/garnetscale/core/leader/TaskPlacer.java
+++ b/src/main/java/garnetscale/core/leader/TaskPlacer.java
@@ -3,7 +3,6 @@
 import com.google.common.collect.HashMultiset;
 import com.google.common.collect.Multiset;
 import garnetscale.core.balance.LoadSnapshot;
-import garnetscale.core.balance.SpreadOrder;
 import garnetscale.core.bidding.Auction;
 import garnetscale.core.bidding.Bid;
 import garnetscale.core.job.JobSpec;
@@ -17,10 +16,7 @@
 import garnetscale.core.state.FreeCapacityCache;
 import garnetscale.core.state.JobView;
 import garnetscale.core.state.StateReplica;
-import java.util.ArrayList;
-import java.util.Arrays;
 import java.util.HashMap;
-import java.util.List;
 import java.util.Map;
 import java.util.function.LongSupplier;
 
@@ -37,11 +33,6 @@
 
     private static final int NO_TASK = -1;
 
-    /** How a sort key of a bid is made up, from its low bits on: the bid's index, its finish in tenths of a second, its rank. */
-    private static final int INDEX_BITS = 22;
-
-    private static final int FINISH_BITS = 18;
-
     private final SchedulingCycle cycle;
     private final TransactionDraft draft;
     private final StateReplica replica;
@@ -51,12 +42,10 @@
     private final HeadroomReserve reserve;
     private final FailureTracker failures;
     private final FreeCapacityCache storedCapacities;
-    private final LoadSnapshot load;
+    private final BidRanking ranking;
     private final int placementsPerMachine;
     /** What is free on each machine that was looked at, by the draft. */
     private final Map<String, FreeCapacity> capacities = new HashMap<>();
-    /** Whether the partition's owner bids, asked once a cycle: there are thousands of bids and a handful of partitions. */
-    private final Map<String, Boolean> ownerBids = new HashMap<>();
     /** Tasks of a job by zone, for jobs that are bound by where their other tasks are. */
     private final Map<String, Multiset<String>> zonesOfJob = new HashMap<>();
 
@@ -75,7 +64,7 @@
         this.reserve = reserve;
         this.failures = context.failures();
         this.storedCapacities = context.capacities();
-        this.load = load;
+        this.ranking = new BidRanking(context, load, cycle.now());
         this.placementsPerMachine =
                 Math.max(MIN_PLACEMENTS_PER_MACHINE, context.config().valueBytes() / BYTES_PER_PLACEMENT);
     }
@@ -136,7 +125,7 @@
         }
         WaitingTasks waiting = new WaitingTasks(job, borrows, reservedCpus, allowed, nextTask(job, 0));
         int placed = 0;
-        for (Candidate candidate : ranked(spec)) {
+        for (BidRanking.Candidate candidate : ranking.ranked(spec)) {
             if (waiting.next == NO_TASK || !draft.quota().allows(spec)) {
                 break;
             }
@@ -146,7 +135,7 @@
     }
 
     /** Places as many tasks on the bidder as its bid has slots for, and returns how many those are. */
-    private int placeOn(WaitingTasks waiting, Candidate candidate, LongSupplier attempts) {
+    private int placeOn(WaitingTasks waiting, BidRanking.Candidate candidate, LongSupplier attempts) {
         JobSpec spec = waiting.job.spec();
         MachineState machine = candidate.machine();
         Bid bid = candidate.bid();
@@ -198,69 +187,6 @@
         return next < 0 ? NO_TASK : next;
     }
 
-    // ---- ranking of bids
-
-    private record Candidate(MachineState machine, Bid bid) {}
-
-    /**
-     * Usable bids by their finish, whole seconds alike, since estimates are no better than that. Among equals spot machines go
-     * first: what costs a task nothing there leaves ordinary ones to those that would lose by it. Sorted as numbers of rank, finish
-     * in tenths of a second, and index.
-     */
-    private List<Candidate> ranked(JobSpec job) {
-        List<Candidate> usable = new ArrayList<>();
-        for (Bid bid : auction.bids(job.id())) {
-            MachineState machine = machines.get(bid.machine());
-            if (isUsable(machine, bid) && allows(machine, job)) {
-                usable.add(new Candidate(machine, bid));
-            }
-        }
-        long[] keys = new long[usable.size()];
-        for (int i = 0; i < keys.length; i++) {
-            Candidate candidate = usable.get(i);
-            long tenths =
-                    Math.min((1 << FINISH_BITS) - 1, Math.round(candidate.bid().finishS() * 10));
-            keys[i] = (rank(candidate) << FINISH_BITS | tenths) << INDEX_BITS | i;
-        }
-        Arrays.sort(keys);
-        List<Candidate> ranked = new ArrayList<>(keys.length);
-        for (long key : keys) {
-            ranked.add(usable.get((int) (key & (1 << INDEX_BITS) - 1)));
-        }
-        return load.groups().size() < 2 ? ranked : spread(ranked, job);
-    }
-
-    /** Orders equals by their groups' load. */
-    private List<Candidate> spread(List<Candidate> ranked, JobSpec job) {
-        return new SpreadOrder(load)
-                .spread(
-                        ranked,
-                        candidate -> rank(candidate),
-                        candidate -> LoadObserver.groupOf(candidate.machine()),
-                        candidate -> candidate.bid().slots() * job.cpus());
-    }
-
-    /** Equal for bids that count as equal: whole seconds of the finish, spot machines before others. */
-    private static long rank(Candidate candidate) {
-        return 2 * Math.round(candidate.bid().finishS())
-                + (candidate.machine().status.spot() ? 0 : 1);
-    }
-
-    private boolean isUsable(MachineState machine, Bid bid) {
-        return machine != null
-                && machine.acceptsTasks(cycle.now())
-                && machine.status.agentEpoch() == bid.agentEpoch()
-                && replica.type(machine.status.type()) != null
-                && ownerBids.computeIfAbsent(machine.status.partition(), auction::speaksFor);
-    }
-
-    private boolean allows(MachineState machine, JobSpec job) {
-        MachineType type = replica.type(machine.status.type());
-        return type.fits(job) && job.allowsZone(machine.status.zone()) && (!machine.status.spot() || job.spot());
-    }
-
-    // ---- room and zones
-
     private FreeCapacity room(MachineState machine) {
         return capacities.computeIfAbsent(machine.id, id -> {
             MachineType type = replica.type(machine.status.type());
--- a/src/test/java/garnetscale/core/leader/AttemptNumbersTest.java
+++ b/src/test/java/garnetscale/core/leader/AttemptNumbersTest.java
@@ -8,15 +8,8 @@
 
 import garnetscale.core.SchedulerConfig;
 import garnetscale.core.TestConfig;
-import garnetscale.core.partition.ControllerInfo;
 import garnetscale.core.partition.FencingTokens;
 import garnetscale.core.partition.PartitionMap;
-import garnetscale.core.state.Keys;
-import garnetscale.core.state.Layouts;
-import garnetscale.core.state.Records;
-import garnetscale.core.state.StateReplica;
-import garnetscale.core.state.Transaction;
-import garnetscale.emulator.StateModel;
 import org.junit.jupiter.api.Test;
 
 /**
@@ -38,29 +31,21 @@
     @Test
     void aLeaderWhoseNumbersRunOutStepsDownAndMayLeadUnderANewTerm() {
         SchedulerConfig config = TestConfig.small().build();
-        StateModel state = new StateModel();
-        long lease = state.grant(0, 60_000);
-        state.commit(new Transaction()
-                .put(Keys.node("n0"), Records.node(new ControllerInfo("n0", lease, "a", Layouts.SUPPORTED)), lease));
-        StateReplica replica = new StateReplica();
-        replica.reset(state.list(Keys.MIRRORED, null, 100), state.revision());
-        Leader leader = new Leader(config, replica, new PartitionMap(config), line -> {});
+        ReplicatedState state = new ReplicatedState();
+        long lease = state.service.grant(0, 60_000);
+        state.join("n0", lease, "a");
+        Leader leader = new Leader(config, state.replica, new PartitionMap(config), line -> {});
         leader.onLeaseGranted(lease);
-        commit(state, replica, leader.election(0));
+        state.commit(leader.election(0));
         assertTrue(leader.leads(0));
         assertNull(leader.resignation(0));
 
         leader.attempts().begin(1, FencingTokens.MAX_ATTEMPTS - 1000);
-        commit(state, replica, leader.resignation(0));
+        state.commit(leader.resignation(0));
         assertFalse(leader.leads(0));
-        commit(state, replica, leader.election(0));
+        state.commit(leader.election(0));
         assertTrue(leader.leads(0));
         assertEquals(2, leader.leadingTerm());
         assertEquals(FencingTokens.attempt(2, 1), leader.attempts().next());
     }
-
-    private static void commit(StateModel state, StateReplica replica, Transaction transaction) {
-        assertEquals(200, state.commit(transaction));
-        replica.advance(state.changes(Keys.MIRRORED, replica.revision()), state.revision());
-    }
 }
--- a/src/test/java/garnetscale/core/leader/BalancerTest.java
+++ b/src/test/java/garnetscale/core/leader/BalancerTest.java
@@ -21,11 +21,8 @@
 import garnetscale.core.machine.Placement;
 import garnetscale.core.machine.TaskState;
 import garnetscale.core.machine.TaskStatus;
-import garnetscale.core.partition.ControllerInfo;
 import garnetscale.core.partition.FencingTokens;
-import garnetscale.core.partition.LeaderInfo;
 import garnetscale.core.partition.MachineStatus;
-import garnetscale.core.partition.PartitionLease;
 import garnetscale.core.partition.PartitionMap;
 import garnetscale.core.quota.QuotaUsage;
 import garnetscale.core.state.Keys;
@@ -34,7 +31,6 @@
 import garnetscale.core.state.Records;
 import garnetscale.core.state.StateReplica;
 import garnetscale.core.state.Transaction;
-import garnetscale.emulator.StateModel;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -62,47 +58,38 @@
             TestJob.named("wk-1").cpus(8).estimateS(100).build();
     private final JobSpec bound =
             TestJob.named("wk-2").cpus(12).priority(Priority.HIGH).build();
-    private final StateModel state = new StateModel();
-    private final StateReplica replica = new StateReplica();
+    private final ReplicatedState state = new ReplicatedState();
+    private final StateReplica replica = state.replica;
     private final List<String> log = new ArrayList<>();
     private final Leader leader = new Leader(config, replica, new PartitionMap(config), log::add);
 
     BalancerTest() {
         state.commit(new Transaction()
                 .put(Keys.TYPES, Records.types(List.of(SMALL, LARGE)))
-                .put(Keys.node("n0"), Records.node(new ControllerInfo("n0", 1, "a", Layouts.SUPPORTED)))
-                .put(Keys.partition("a/0"), Records.partition(new PartitionLease("n0", 1, TERM)))
-                .put(Keys.LEADER, Records.leader(new LeaderInfo("n0", 1, 1)))
                 .put(Keys.job("wk-1"), Records.job(new JobRecord(flexible, JobState.LIVE, AWARDED))));
-        refresh();
+        state.join("n0", 1, "a");
+        state.lease("a/0", "n0", 1, TERM);
+        state.lead("n0", 1, 1);
         leader.onLeaseGranted(1);
         assertTrue(leader.leads(0));
-        observe(AWARDED, "m-000001", LARGE, List.of());
-        observe(AWARDED, "m-000002", SMALL, List.of());
+        publishStatus(AWARDED, "m-000001", LARGE, List.of());
+        publishStatus(AWARDED, "m-000002", SMALL, List.of());
         bid(AWARDED, new Bid("m-000001", 1, "wk-1", 1, 100));
-        commit(leader.plan(AWARDED));
-        commit(new Transaction().put(Keys.job("wk-2"), Records.job(new JobRecord(bound, JobState.LIVE, NOW - 5000))));
+        state.commit(leader.plan(AWARDED));
+        state.commit(
+                new Transaction().put(Keys.job("wk-2"), Records.job(new JobRecord(bound, JobState.LIVE, NOW - 5000))));
     }
 
-    private void reportRunning() {
-        observe(AWARDED + 1000, "m-000001", LARGE, List.of(reported(TaskState.RUNNING)));
+    private void publishRunning() {
+        publishStatus(AWARDED + 1000, "m-000001", LARGE, List.of(placedTask(TaskState.RUNNING)));
     }
 
-    private TaskStatus reported(TaskState taskState) {
+    private TaskStatus placedTask(TaskState taskState) {
         Placement placement = replica.placements("m-000001").get(0);
         return new TaskStatus(placement.task(), placement.attempt(), taskState, null, false);
     }
 
-    private void refresh() {
-        replica.reset(state.list(Keys.MIRRORED, null, 1000), state.revision());
-    }
-
-    private void commit(Transaction transaction) {
-        assertEquals(200, state.commit(transaction));
-        refresh();
-    }
-
-    private void observe(long now, String machine, MachineType type, List<TaskStatus> tasks) {
+    private void publishStatus(long now, String machine, MachineType type, List<TaskStatus> tasks) {
         leader.onMachineStatus(
                 now,
                 new MachineStatus(
@@ -136,13 +123,13 @@
 
     @Test
     void lateBidsAreAskedForAndThenATaskIsStopped() {
-        reportRunning();
+        publishRunning();
         bid(NOW);
         leader.plan(NOW);
         assertEquals(List.of("wk-1"), leader.lateJobs());
         assertEquals(List.of(), leader.recentMoves(), "nobody bids for it yet");
         bid(NOW + 500, lateBid());
-        commit(leader.plan(NOW + 1000));
+        state.commit(leader.plan(NOW + 1000));
         assertEquals(Placement.Stop.NOW, stop());
         leader.plan(NOW + 1100);
         Move move = leader.recentMoves().get(0);
@@ -159,32 +146,32 @@
     /** A batch that took this bid back was lost with its connection, and for a minute no room was made. */
     @Test
     void aBidOfAMachineThatIsFullDoesNotHideThatAJobFindsNoRoom() {
-        reportRunning();
+        publishRunning();
         bid(NOW, new Bid("m-000001", 1, "wk-2", 1, 10), lateBid());
-        commit(leader.plan(NOW));
+        state.commit(leader.plan(NOW));
         assertEquals(Placement.Stop.NOW, stop());
     }
 
     /** The same for where the task would go. */
     @Test
     void aLateBidOfAMachineThatIsFullIsNoDestination() {
-        reportRunning();
+        publishRunning();
         TransactionDraft draft = new TransactionDraft(
                 replica,
                 QuotaUsage.of(config, replica),
                 new LogWriter.Limits(config.valueBytes(), config.transactionOps(), Layouts.FIRST, false));
         draft.place("m-000002", SMALL, "a", new Placement(new TaskId("wk-2", 0), 6, 1, Placement.Stop.KEEP), bound);
-        commit(draft.toTransaction());
+        state.commit(draft.toTransaction());
         bid(NOW, lateBid());
         leader.plan(NOW);
         assertEquals(List.of(), leader.recentMoves());
     }
 
-    /** The report that it runs came late or was lost, and it was moved as one that had just begun, 2.5 s before its end. */
+    /** The heartbeat that told of its start came late or was lost, and it was moved as one that had just begun, 2.5 s before its end. */
     @Test
     void aTaskIsAsOldAsItsAward() {
         long late = NOW + 60_000;
-        observe(late - 1000, "m-000001", LARGE, List.of(reported(TaskState.RUNNING)));
+        publishStatus(late - 1000, "m-000001", LARGE, List.of(placedTask(TaskState.RUNNING)));
         bid(late, lateBid());
         leader.plan(late);
         assertEquals(List.of("wk-1"), leader.lateJobs());
@@ -194,11 +181,11 @@
     /** How long it has run isn't known: this leader saw it running as soon as it began to lead. */
     @Test
     void aTaskThatAnEarlierLeaderAwardedStays() {
-        commit(new Transaction().put(Keys.LEADER, Records.leader(new LeaderInfo("n0", 1, 2))));
+        state.lead("n0", 1, 2);
         assertTrue(leader.leads(NOW));
         long later = NOW + 41_000;
-        observe(NOW + 1, "m-000001", LARGE, List.of(reported(TaskState.RUNNING)));
-        observe(NOW + 1, "m-000002", SMALL, List.of());
+        publishStatus(NOW + 1, "m-000001", LARGE, List.of(placedTask(TaskState.RUNNING)));
+        publishStatus(NOW + 1, "m-000002", SMALL, List.of());
         bid(later, lateBid());
         leader.plan(later);
         assertEquals(List.of(), leader.recentMoves());
@@ -207,11 +194,11 @@
     /** The transaction was refused: the move counts for nothing, and is decided again. */
     @Test
     void aMoveThatWasNotStoredIsDecidedAgain() {
-        reportRunning();
+        publishRunning();
         bid(NOW, lateBid());
         leader.plan(NOW);
         assertEquals(1, leader.recentMoves().size());
-        commit(leader.plan(NOW + 1000));
+        state.commit(leader.plan(NOW + 1000));
         assertEquals(Placement.Stop.NOW, stop());
         assertEquals(1, leader.recentMoves().size());
         assertEquals(
--- a/src/test/java/garnetscale/core/leader/FailureTrackerTest.java
+++ b/src/test/java/garnetscale/core/leader/FailureTrackerTest.java
@@ -13,20 +13,20 @@
 
     private final FailureTracker failures = new FailureTracker();
 
-    private static TaskId task(String job, int i) {
-        return new TaskId(job, i);
+    private static TaskId task(String job, int index) {
+        return new TaskId(job, index);
     }
 
-    private void fail(long now, String job, int tasks) {
+    private void failOnDifferentMachines(long now, String job, int tasks) {
         for (int i = 0; i < tasks; i++) {
             failures.recordFailure(now, task(job, i), "m-" + i);
         }
     }
 
-    /** All tasks of a suspect used to be started again after each pause, hundreds of them, and to fail again. */
+    /** All tasks of a quarantined job used to be started again after each pause, hundreds of them, and to fail again. */
     @Test
-    void aSuspectIsTriedWithOneTaskAndEverMoreRarely() {
-        fail(0, "wk-1", 60);
+    void aQuarantinedJobIsRetriedWithOneTaskAndEverMoreRarely() {
+        failOnDifferentMachines(0, "wk-1", 60);
         assertEquals(Set.of("wk-1"), failures.quarantinedJobs());
         assertEquals(0, failures.allowedPlacements(999, "wk-1", 0));
         assertEquals(1, failures.allowedPlacements(1000, "wk-1", 0));
@@ -37,17 +37,17 @@
     }
 
     @Test
-    void aJobThatCompletesATaskIsCleared() {
-        fail(0, "wk-1", 3);
+    void aJobThatCompletesATaskIsNoLongerQuarantined() {
+        failOnDifferentMachines(0, "wk-1", 3);
         failures.recordCompletion(task("wk-1", 9));
         assertFalse(failures.isQuarantined("wk-1"));
         assertEquals(Integer.MAX_VALUE, failures.allowedPlacements(0, "wk-1", 5));
-        assertFalse(failures.recordFailure(0, task("wk-1", 0), "m-0"), "the machine is to blame");
+        assertFalse(failures.recordFailure(0, task("wk-1", 0), "m-0"), "the machine is at fault");
     }
 
-    /** The others of the job go on, and no machine is blamed for ever for the same few. */
+    /** The others of the job go on, and the same few are not held against machines for ever. */
     @Test
-    void singleTasksOfASoundJobAreSuspectsToo() {
+    void singleTasksOfAJobThatSucceedsAreQuarantinedToo() {
         failures.recordCompletion(task("wk-1", 9));
         for (int i = 0; i < 3; i++) {
             failures.recordFailure(0, task("wk-1", 0), "m-" + i);
@@ -59,8 +59,8 @@
     }
 
     @Test
-    void whatIsOverIsForgotten() {
-        fail(0, "wk-1", 3);
+    void endedJobsAreForgotten() {
+        failOnDifferentMachines(0, "wk-1", 3);
         failures.retain(job -> false);
         assertEquals(Set.of(), failures.quarantinedJobs());
     }
--- a/src/test/java/garnetscale/core/leader/LoadObserverTest.java
+++ b/src/test/java/garnetscale/core/leader/LoadObserverTest.java
@@ -14,23 +14,18 @@
 import garnetscale.core.balance.UnknownReason;
 import garnetscale.core.bidding.BidBatch;
 import garnetscale.core.machine.MachineType;
-import garnetscale.core.partition.ControllerInfo;
 import garnetscale.core.partition.FencingTokens;
-import garnetscale.core.partition.LeaderInfo;
 import garnetscale.core.partition.MachineStatus;
-import garnetscale.core.partition.PartitionLease;
 import garnetscale.core.partition.PartitionMap;
 import garnetscale.core.state.Keys;
 import garnetscale.core.state.Layouts;
 import garnetscale.core.state.Records;
-import garnetscale.core.state.StateReplica;
 import garnetscale.core.state.Transaction;
-import garnetscale.emulator.StateModel;
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** What the leader believes of a machine that another controller holds, and when it stops believing it. */
+/** What the leader believes of a machine that another controller owns, and when it stops believing it. */
 class LoadObserverTest {
 
     private static final long TERM = FencingTokens.partitionTerm(1, 1);
@@ -49,31 +44,24 @@
                     Features.NEVER,
                     new BalanceSettings(true, BalanceSettings.MARGIN, BalanceSettings.MOVING)))
             .build();
-    private final StateModel state = new StateModel();
-    private final StateReplica replica = new StateReplica();
-    private final Leader leader = new Leader(config, replica, new PartitionMap(config), line -> {});
+    private final ReplicatedState state = new ReplicatedState();
+    private final Leader leader = new Leader(config, state.replica, new PartitionMap(config), line -> {});
 
     LoadObserverTest() {
         MachineType type = new MachineType("t", 8, 0, 32, 20, 1, 1, 0.5, 20, List.of("a"));
-        state.commit(new Transaction()
-                .put(Keys.TYPES, Records.types(List.of(type)))
-                .put(Keys.node("n0"), Records.node(new ControllerInfo("n0", 1, "b", Layouts.SUPPORTED)))
-                .put(Keys.node("n1"), Records.node(new ControllerInfo("n1", 2, "a", Layouts.SUPPORTED)))
-                .put(Keys.partition("a/0"), Records.partition(new PartitionLease("n1", 2, TERM)))
-                .put(Keys.partition("b/0"), Records.partition(new PartitionLease("n0", 1, TERM + 1)))
-                .put(Keys.LEADER, Records.leader(new LeaderInfo("n0", 1, 1))));
-        refresh();
+        state.commit(new Transaction().put(Keys.TYPES, Records.types(List.of(type))));
+        state.join("n0", 1, "b");
+        state.join("n1", 2, "a");
+        state.lease("a/0", "n1", 2, TERM);
+        state.lease("b/0", "n0", 1, TERM + 1);
+        state.lead("n0", 1, 1);
         leader.onLeaseGranted(1);
         assertTrue(leader.leads(0));
-        observe(0, false);
+        publishStatus(0, false);
         bid(0);
     }
 
-    private void refresh() {
-        replica.reset(state.list(Keys.MIRRORED, null, 100), state.revision());
-    }
-
-    private void observe(long now, boolean silent) {
+    private void publishStatus(long now, boolean silent) {
         leader.onMachineStatus(
                 now,
                 new MachineStatus(
@@ -81,7 +69,7 @@
     }
 
     private void bid(long now) {
-        leader.onBids(now, new BidBatch("n1", 2, replica.revision(), Map.of("a/0", TERM), List.of()));
+        leader.onBids(now, new BidBatch("n1", 2, state.replica.revision(), Map.of("a/0", TERM), List.of()));
     }
 
     private GroupTotals totals(long now) {
@@ -89,7 +77,7 @@
         return leader.load().groups().get(GROUP).totals();
     }
 
-    private void isUnknown(long now, UnknownReason reason) {
+    private void assertUnknown(long now, UnknownReason reason) {
         GroupTotals totals = totals(now);
         assertEquals(Map.of(reason, 1), totals.unknown());
         assertEquals(0, totals.serving());
@@ -97,41 +85,39 @@
     }
 
     @Test
-    void aMachineThatItsHolderVouchesForServes() {
+    void aMachineWhoseOwnerIsHeardAndBidsIsServing() {
         GroupTotals totals = totals(1000);
         assertEquals(Map.of(), totals.unknown());
         assertEquals(1, totals.serving());
         assertEquals(8000, totals.capacity());
     }
 
-    /** Holders report changes only: a machine at rest is known for as long as its holder gives signs of life. */
+    /** Owners publish changes only: an idle machine is known for as long as its owner gives signs of life. */
     @Test
-    void aHolderThatIsNotHeardDoesNotVouch() {
+    void theMachinesOfAnOwnerThatIsNotHeardAreUnknown() {
         leader.onWorkerReachability(LEASE, "n1", false);
         assertEquals(Map.of(), totals(LEASE + LEASE / 2).unknown());
-        isUnknown(LEASE + LEASE / 2 + 2000, UnknownReason.OWNER_UNHEARD);
+        assertUnknown(LEASE + LEASE / 2 + 2000, UnknownReason.OWNER_UNHEARD);
         leader.onWorkerReachability(LEASE * 2, "n1", false);
         assertEquals(Map.of(), totals(LEASE * 2 + 1000).unknown());
     }
 
     @Test
-    void whatAnEarlierTermsHolderSaidDoesNotCount() {
-        state.commit(
-                new Transaction().put(Keys.partition("a/0"), Records.partition(new PartitionLease("n1", 2, TERM + 2))));
-        refresh();
-        isUnknown(1000, UnknownReason.PARTITION_REASSIGNED);
+    void whatTheOwnerOfAnEarlierTermPublishedDoesNotCount() {
+        state.lease("a/0", "n1", 2, TERM + 2);
+        assertUnknown(1000, UnknownReason.PARTITION_REASSIGNED);
     }
 
     @Test
-    void aHolderThatDoesNotBidDoesNotSpeakForItsBlock() {
-        leader.onBids(500, new BidBatch("n1", 2, replica.revision(), Map.of(), List.of()));
-        isUnknown(1000, UnknownReason.OWNER_NOT_BIDDING);
+    void theMachinesOfAnOwnerThatDoesNotBidAreUnknown() {
+        leader.onBids(500, new BidBatch("n1", 2, state.replica.revision(), Map.of(), List.of()));
+        assertUnknown(1000, UnknownReason.OWNER_NOT_BIDDING);
     }
 
     @Test
     void aSilentMachineIsUnknown() {
-        observe(500, true);
-        isUnknown(1000, UnknownReason.MACHINE_SILENT);
+        publishStatus(500, true);
+        assertUnknown(1000, UnknownReason.MACHINE_SILENT);
     }
 
     @Test
--- a/src/test/java/garnetscale/core/leader/PartitionAssignerTest.java
+++ b/src/test/java/garnetscale/core/leader/PartitionAssignerTest.java
@@ -7,7 +7,6 @@
 
 import garnetscale.core.SchedulerConfig;
 import garnetscale.core.TestConfig;
-import garnetscale.core.partition.ControllerInfo;
 import garnetscale.core.partition.PartitionLease;
 import garnetscale.core.partition.PartitionMap;
 import garnetscale.core.state.Keys;
@@ -17,14 +16,13 @@
 import garnetscale.core.state.Transaction;
 import garnetscale.core.upgrade.ClusterVersion;
 import garnetscale.core.upgrade.VersionRange;
-import garnetscale.emulator.StateModel;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
 
-/** Which controller is given a block, and what is thought of the others meanwhile. */
+/** Which controller is given a partition, and which of the others are suspected meanwhile. */
 class PartitionAssignerTest {
 
     private static final long TERM = 5;
@@ -34,91 +32,80 @@
                     new SchedulerConfig.ControllerAddress("n0", "a", ""),
                     new SchedulerConfig.ControllerAddress("n1", "a", "")))
             .build();
-    private final StateModel state = new StateModel();
-    private final StateReplica replica = new StateReplica();
+    private final ReplicatedState state = new ReplicatedState();
+    private final StateReplica replica = state.replica;
     private final PartitionMap partitions = new PartitionMap(config);
-    private final PeerFailureDetector health = new PeerFailureDetector(config, replica, line -> {});
-    private final PartitionAssigner assignment =
-            new PartitionAssigner(config, replica, partitions, health, new ArrayList<>(), line -> {});
+    private final PeerFailureDetector failureDetector = new PeerFailureDetector(config, replica, line -> {});
+    private final PartitionAssigner assigner =
+            new PartitionAssigner(config, replica, partitions, failureDetector, new ArrayList<>(), line -> {});
     private long now = 1_000_000;
 
     PartitionAssignerTest() {
-        assignment.begin(now);
-        replica.reset(List.of(), 0);
+        assigner.begin(now);
     }
 
-    private void commit(Transaction transaction) {
-        assertEquals(200, state.commit(transaction));
-        replica.advance(state.changes(Keys.MIRRORED, replica.revision()), state.revision());
-    }
-
-    private void join(String name, long incarnation, VersionRange layouts) {
-        commit(new Transaction()
-                .put(Keys.node(name), Records.node(new ControllerInfo(name, incarnation, "a", layouts))));
-    }
-
-    /** Carries out what is due, and says who holds which block. */
+    /** Carries out what is due, and says who owns which partition. */
     private Map<String, String> assign() {
-        for (Transaction transaction = assignment.plan(now, TERM);
+        for (Transaction transaction = assigner.plan(now, TERM);
                 transaction != null;
-                transaction = assignment.plan(now, TERM)) {
-            commit(transaction);
+                transaction = assigner.plan(now, TERM)) {
+            state.commit(transaction);
         }
-        Map<String, String> holders = new TreeMap<>();
+        Map<String, String> owners = new TreeMap<>();
         for (String partition : partitions.all()) {
             PartitionLease lease = replica.partition(partition);
-            holders.put(partition, lease == null ? "none" : lease.owner());
+            owners.put(partition, lease == null ? "none" : lease.owner());
         }
-        return holders;
+        return owners;
     }
 
     @Test
-    void blocksAreSharedOutAndGoToTheOtherWhenTheirHolderIsDown() {
-        join("n0", 1, Layouts.SUPPORTED);
-        join("n1", 2, Layouts.SUPPORTED);
+    void partitionsAreSharedOutAndGoToTheOtherWhenTheirOwnerIsDown() {
+        state.join("n0", 1, "a");
+        state.join("n1", 2, "a");
         assertEquals(Map.of("a/0", "n0", "a/1", "n1"), assign());
         long before = replica.partition("a/1").term();
-        health.suspect(now, "n1", true);
+        failureDetector.suspect(now, "n1", true);
         assertEquals(Map.of("a/0", "n0", "a/1", "n0"), assign());
         assertTrue(replica.partition("a/1").term() > before, "terms only rise");
-        assertNull(assignment.plan(now, TERM));
+        assertNull(assigner.plan(now, TERM));
     }
 
-    /** It stands aside and answers nobody, so that a block of its would have no holder. */
+    /** It stands aside and answers nobody, so that a partition of its would have no working owner. */
     @Test
-    void aControllerThatCannotReadWhatIsStoredHoldsNoBlock() {
-        join("n0", 1, Layouts.SUPPORTED);
-        join("n1", 2, VersionRange.FIRST);
+    void aControllerThatCannotReadWhatIsStoredOwnsNoPartition() {
+        state.join("n0", 1, "a");
+        state.join("n1", 2, "a", VersionRange.FIRST);
         assertEquals(Map.of("a/0", "n0", "a/1", "n1"), assign());
-        commit(new Transaction()
+        state.commit(new Transaction()
                 .put(Keys.VERSION, Records.version(new ClusterVersion(Layouts.SPLIT_SNAPSHOT, Layouts.FIRST))));
         assertEquals(Map.of("a/0", "n0", "a/1", "n0"), assign());
     }
 
     @Test
-    void oneThatHearsNoWorkerGivesItsBlockUpWhileAnotherMayDoBetter() {
-        join("n0", 1, Layouts.SUPPORTED);
-        join("n1", 2, Layouts.SUPPORTED);
+    void oneThatIsIsolatedFromWorkersGivesItsPartitionUpWhileAnotherMayDoBetter() {
+        state.join("n0", 1, "a");
+        state.join("n1", 2, "a");
         assign();
-        health.onWorkerReachability("n0", true);
+        failureDetector.onWorkerReachability("n0", true);
         assertEquals(Map.of("a/0", "n1", "a/1", "n1"), assign());
     }
 
     @Test
     void whoIsHeardOfAgainAsTheSameProcessWasFalselySuspected() {
-        join("n1", 2, Layouts.SUPPORTED);
-        health.suspect(now, "n1", true);
-        assertTrue(health.isFreshlySuspected(now, "n1"));
+        state.join("n1", 2, "a");
+        failureDetector.suspect(now, "n1", true);
+        assertTrue(failureDetector.isFreshlySuspected(now, "n1"));
         assertFalse(
-                health.isFreshlySuspected(now + config.controllerLeaseMs(), "n1"),
+                failureDetector.isFreshlySuspected(now + config.controllerLeaseMs(), "n1"),
                 "who outlives its lease wasn't down");
-        health.suspect(now, "n1", false);
-        assertTrue(health.wasFalselySuspected(now, "n1"));
-        assertFalse(health.wasFalselySuspected(now + 8 * config.controllerLeaseMs(), "n1"));
-        health.suspect(now, "n1", true);
-        join("n1", 3, Layouts.SUPPORTED);
+        failureDetector.suspect(now, "n1", false);
+        assertTrue(failureDetector.wasFalselySuspected(now, "n1"));
+        assertFalse(failureDetector.wasFalselySuspected(now + 8 * config.controllerLeaseMs(), "n1"));
+        failureDetector.suspect(now, "n1", true);
+        state.join("n1", 3, "a");
         now += 9 * config.controllerLeaseMs();
-        health.suspect(now, "n1", false);
-        assertFalse(health.wasFalselySuspected(now, "n1"), "it is a new process: it had been down");
+        failureDetector.suspect(now, "n1", false);
+        assertFalse(failureDetector.wasFalselySuspected(now, "n1"), "it is a new process: it had been down");
     }
 }
