--- a/src/main/java/garnetscale/core/leader/LeaderContext.java
+++ b/src/main/java/garnetscale/core/leader/LeaderContext.java
@@ -34,6 +34,7 @@
         AwardTimes awardTimes,
         Consumer<String> log) {
 
+    /** The parts of a new leader, which knows nothing yet. */
     static LeaderContext of(SchedulerConfig config, StateReplica replica, Consumer<String> log) {
         return new LeaderContext(
                 config,
--- a/src/main/java/garnetscale/core/leader/MachineState.java
+++ b/src/main/java/garnetscale/core/leader/MachineState.java
@@ -33,6 +33,7 @@
     /** To be scaled in as soon as nothing is placed on it: it is slow, or its tasks fail. */
     boolean decommissioned;
 
+    /** A machine that nothing is known of yet; {@link #onStatus} follows at once. */
     MachineState(String id) {
         this.id = id;
     }
--- a/src/main/java/garnetscale/core/leader/PreemptionStops.java
+++ b/src/main/java/garnetscale/core/leader/PreemptionStops.java
@@ -17,8 +17,8 @@
 /**
  * Decides when, and for which waiting jobs, tasks are preempted. Preemption is for jobs that find no room: for those that must
  * start at once, for those within a guarantee, for which what others borrow is taken back, and for any job where work of the lowest
- * priority has the room. In a cycle that placed something only the latter is a reason to look: other work loses more by it than
- * the wait for room costs.
+ * priority has the room. In a cycle that placed something only work of the lowest priority is a reason to look: other work loses
+ * more by preemption than the wait for room costs.
  */
 final class PreemptionStops {
 
