--- /dev/null
+++ b/src/main/java/garnetscale/core/partition/MachineAdoption.java
@@ -0,0 +1,65 @@
+package garnetscale.core.partition;
+
+import garnetscale.core.state.StateReplica;
+import java.util.Map;
+
+/**
+ * Keeps a view of each machine that has placements in an owned partition, whether it sends heartbeats or not: its tasks still
+ * have to be proved terminated or alive.
+ */
+final class MachineAdoption {
+
+    private final StateReplica replica;
+    private final PartitionMap partitions;
+    private final PartitionLeases leases;
+    private final WorkerProbes probes;
+    private final Map<String, MachineView> machines;
+
+    /** {@code machines} is shared; this class adds machines with placements and removes those that were scaled in,
+     * and marks those whose stored records changed. */
+    MachineAdoption(
+            StateReplica replica,
+            PartitionMap partitions,
+            PartitionLeases leases,
+            WorkerProbes probes,
+            Map<String, MachineView> machines) {
+        this.replica = replica;
+        this.partitions = partitions;
+        this.leases = leases;
+        this.probes = probes;
+        this.machines = machines;
+    }
+
+    /** Marks the machines whose stored records changed since the last call, and adds those that are new. */
+    void followReplica() {
+        for (String id : replica.takeChanged()) {
+            MachineView machine = machines.get(id);
+            if (machine != null) {
+                machine.needsReconcile = true;
+            } else {
+                adopt(id);
+            }
+        }
+    }
+
+    /** Removes machines that don't exist any more and adds all that have placements in an owned partition. */
+    void adoptAll() {
+        // Scaled-in machines would be published as silent for ever, and their owner be taken for isolated.
+        machines.values()
+                .removeIf(machine -> !machine.hasLiveEpoch()
+                        && replica.placements(machine.id).isEmpty()
+                        && !probes.isInDirectory(machine.id));
+        replica.placedMachines().forEach(this::adopt);
+    }
+
+    /** Adds the machine if it has placements, is in an owned partition and isn't known yet. */
+    private void adopt(String id) {
+        if (!machines.containsKey(id) && !replica.placements(id).isEmpty()) {
+            String partition = partitions.partitionOf(id, replica.placedZone(id));
+            OwnedPartition owned = leases.owned(partition);
+            if (owned != null) {
+                machines.put(id, new MachineView(id, partition, owned.term()));
+            }
+        }
+    }
+}
--- a/src/main/java/garnetscale/core/partition/MachineView.java
+++ b/src/main/java/garnetscale/core/partition/MachineView.java
@@ -1,73 +1,92 @@
 package garnetscale.core.partition;
 
+import garnetscale.core.Times;
 import garnetscale.core.machine.WorkerHeartbeat;
 import java.util.HashMap;
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeSet;
-import org.agrona.collections.LongHashSet;
 
-/** What a holder knows of one machine, and what it has told it, within one block term. */
+/**
+ * What the owner of a partition knows of one machine, and what it has sent it, within one term of the partition. A plain
+ * record of state for the modules of this package; {@link PartitionOwner} drops it when the term changes.
+ */
 final class MachineView {
 
+    /** {@link #cordonedUntil} of a machine that isn't cordoned. */
+    static final long NOT_CORDONED = Long.MIN_VALUE;
+    /** What a heartbeat may be late by, beside half an interval, before the machine counts as silent. */
+    private static final long SILENCE_MARGIN_MS = 2000;
+
     final String id;
     final String partition;
-    /** The newest report, also from answers to direct commands. */
-    WorkerHeartbeat last;
 
+    /** The machine's fencing token and the starts that it hasn't superseded yet. */
+    final MachineFencing fencing;
+
+    /** The newest heartbeat, also from answers to probes and direct commands; null before the first one. */
+    WorkerHeartbeat lastHeartbeat;
+    /** When {@link #lastHeartbeat} arrived. */
     long lastHeartbeatAt;
-    /** When a report of the current session was last answered with 200; the worker's lease ends after that. */
-    long answeredAt;
-    /** When a report first showed this term's token: from then on no older holder can have renewed the lease. */
-    long oursAt = -1;
+    /** When a heartbeat of the present agent epoch was last acknowledged; the worker's lease runs from then on. */
+    long acknowledgedAt;
+    /** When a heartbeat first showed a token of this term, or -1: from then on no earlier owner can have renewed the lease. */
+    long tokenSeenAt = -1;
     /**
-     * Whether the worker has answered a question or a command in this term, or has shown its token. A report alone may be
-     * a late copy, or come from a machine that hears nothing; neither is room to give work to.
+     * Whether the worker has answered a probe or a command in this term, or has shown a token of it. A heartbeat alone may be
+     * a late copy, or come from a machine that nothing reaches; neither is given work.
      */
-    boolean answers;
-    /** When the worker was last asked for its report. */
-    long probedAt = Long.MIN_VALUE / 2;
-    /** The token that this machine gets now; raised within the term when a command may arrive late. */
-    long fencingToken;
-    /** The highest token of a direct command that went unanswered, or -1. */
-    long lostFencingToken = -1;
-
+    boolean hasAnswered;
+    /** When a probe of the worker was last asked for. */
+    long probedAt = Times.NEVER;
+    /** Whether a direct command is in flight; there is at most one. */
     boolean commandInFlight;
-    /** Sessions up to this one are known to have ended. */
+    /** Agent epochs up to this one are known to have ended. */
     long expiredEpoch = -1;
-    /** Starts given in the answer to the newest report: the worker may have taken or dropped them. */
-    final LongHashSet startsInAnswer = new LongHashSet();
-    /** The token under which an attempt's start was last sent directly; such a command may come late or twice. */
-    final Map<Long, Long> directStarts = new HashMap<>();
-    /** Attempts of placements that will never be started here, told to the leader until it has freed them. */
-    final Set<Long> terminated = new TreeSet<>();
+    /** Attempts of placements that will never run here again, published to the leader until it has freed them. */
+    final Set<Long> terminatedAttempts = new TreeSet<>();
     /** When each running attempt was first seen to run, for the estimates. */
     final Map<Long, Long> runningSince = new HashMap<>();
-    /** When a direct stop was last sent for an attempt, so that it is not sent with every change. */
-    final Map<Long, Long> stopsSent = new HashMap<>();
-    /** Attempts in the newest report that failed, the jobs of which any did since one completed, and until when the
-     * machine doesn't bid for it. */
-    final Set<Long> failed = new TreeSet<>();
-
+    /** When a direct stop was last sent for an attempt, so that it isn't repeated with every change. */
+    final Map<Long, Long> stopsSentAt = new HashMap<>();
+    /** Attempts in the newest heartbeat that failed. */
+    final Set<Long> failedAttempts = new TreeSet<>();
+    /** Jobs of which an attempt failed here since one of any job completed. */
     final Set<String> failedJobs = new TreeSet<>();
-    long noBidsUntil = Long.MIN_VALUE;
-    /** Something came of it or of its record since it was last gone over. */
-    boolean dirty = true;
-    /** When it was last gone over something was left to do, say again or wait for. */
-    boolean restless;
-    /** What the leader was last told of it; null when it has to be told again. */
-    MachineStatus observed;
+    /** Until when the machine is cordoned, which here means that it doesn't bid. */
+    long cordonedUntil = NOT_CORDONED;
+    /** Whether something about the machine or its stored record changed since it was last reconciled. */
+    boolean needsReconcile = true;
+    /** Whether the last reconciliation left something to do, to repeat or to wait for. */
+    boolean hasPendingWork;
+    /** What was last published to the leader; null if it has to be published again. */
+    MachineStatus publishedStatus;
+    /** When {@link #publishedStatus} was published. */
+    long publishedAt = Times.NEVER;
 
-    long observedAt = Long.MIN_VALUE / 2;
+    MachineView(String id, String partition, long partitionTerm) {
+        this.id = id;
+        this.partition = partition;
+        this.fencing = new MachineFencing(partitionTerm);
+    }
 
-    /** Whether a command went unanswered and no report has yet shown that the machine hears this node. */
-    boolean unreachable() {
-        return last != null && lostFencingToken >= last.fencingToken();
+    /** Whether a command went unanswered and no heartbeat has yet shown that this owner reaches the machine. */
+    boolean isUnreachable() {
+        return lastHeartbeat != null && fencing.hasLostCommand(lastHeartbeat.fencingToken());
     }
 
-    MachineView(String id, String partition, long fencingToken) {
-        this.id = id;
-        this.partition = partition;
-        this.fencingToken = fencingToken;
+    /** Whether the machine's heartbeat is overdue. */
+    boolean isSilent(long now, long heartbeatIntervalMs) {
+        return now - lastHeartbeatAt > heartbeatIntervalMs * 3 / 2 + SILENCE_MARGIN_MS;
+    }
+
+    /** Whether the agent epoch of the newest heartbeat may still be running; false before the first heartbeat. */
+    boolean hasLiveEpoch() {
+        return lastHeartbeat != null && lastHeartbeat.agentEpoch() > expiredEpoch;
+    }
+
+    /** Whether a heartbeat is news: newer than the last one, and not of an agent epoch that has ended. */
+    boolean isNews(WorkerHeartbeat heartbeat) {
+        return heartbeat.isNewerThan(lastHeartbeat) && heartbeat.agentEpoch() > expiredEpoch;
     }
 }
--- /dev/null
+++ b/src/main/java/garnetscale/core/partition/StatusPublisher.java
@@ -0,0 +1,102 @@
+package garnetscale.core.partition;
+
+import garnetscale.core.SchedulerConfig;
+import garnetscale.core.machine.Placement;
+import garnetscale.core.machine.TaskStatus;
+import garnetscale.core.machine.WorkerHeartbeat;
+import garnetscale.core.state.StateReplica;
+import java.util.List;
+
+/**
+ * Publishes the status of machines to the leader: when it changes, and again while the leader hasn't acted on exits or proofs
+ * in it, since the first message may have been lost with its connection.
+ */
+final class StatusPublisher {
+
+    /** How long the leader has to act on news before it is published again. */
+    private static final long REPUBLISH_MS = 2000;
+
+    private final SchedulerConfig config;
+    private final StateReplica replica;
+    private final PartitionLeases leases;
+    private final List<OwnerEffect> effects;
+
+    StatusPublisher(SchedulerConfig config, StateReplica replica, PartitionLeases leases, List<OwnerEffect> effects) {
+        this.config = config;
+        this.replica = replica;
+        this.leases = leases;
+        this.effects = effects;
+    }
+
+    /** Publishes the machine's status if that is due; nothing is published of a machine that nothing is known of. */
+    void publish(long now, MachineView machine, OwnedPartition owned) {
+        if (machine.lastHeartbeat == null && machine.terminatedAttempts.isEmpty()) {
+            return;
+        }
+        MachineStatus status = status(now, machine, owned);
+        boolean hasNews = !status.terminated().isEmpty() || hasExitedPlacement(machine);
+        machine.hasPendingWork |= hasNews;
+        if (!status.equals(machine.publishedStatus) || hasNews && now - machine.publishedAt > REPUBLISH_MS) {
+            machine.publishedStatus = status;
+            machine.publishedAt = now;
+            effects.add(new OwnerEffect.PublishStatus(status));
+        }
+    }
+
+    private boolean hasExitedPlacement(MachineView machine) {
+        if (machine.lastHeartbeat == null) {
+            return false;
+        }
+        for (Placement placement : replica.placements(machine.id)) {
+            TaskStatus task = machine.lastHeartbeat.find(placement.attempt());
+            if (task != null && task.exited()) {
+                return true;
+            }
+        }
+        return false;
+    }
+
+    private MachineStatus status(long now, MachineView machine, OwnedPartition owned) {
+        WorkerHeartbeat heartbeat = machine.lastHeartbeat;
+        if (heartbeat == null) {
+            return statusWithoutHeartbeat(machine, owned);
+        }
+        boolean isSilent = machine.isSilent(now, config.heartbeatIntervalMs())
+                || !machine.hasLiveEpoch()
+                || !machine.hasAnswered
+                || machine.isUnreachable();
+        return new MachineStatus(
+                config.self(),
+                leases.incarnation(),
+                machine.partition,
+                owned.term(),
+                machine.id,
+                heartbeat.address(),
+                heartbeat.type(),
+                heartbeat.zone(),
+                heartbeat.spot(),
+                heartbeat.agentEpoch(),
+                heartbeat.evictionNoticeS(),
+                isSilent,
+                heartbeat.tasks(),
+                List.copyOf(machine.terminatedAttempts));
+    }
+
+    private MachineStatus statusWithoutHeartbeat(MachineView machine, OwnedPartition owned) {
+        return new MachineStatus(
+                config.self(),
+                leases.incarnation(),
+                machine.partition,
+                owned.term(),
+                machine.id,
+                "",
+                "",
+                "",
+                false,
+                0,
+                null,
+                true,
+                List.of(),
+                List.copyOf(machine.terminatedAttempts));
+    }
+}
--- /dev/null
+++ b/src/main/java/garnetscale/core/partition/WorkerMessageHandler.java
@@ -0,0 +1,132 @@
+package garnetscale.core.partition;
+
+import garnetscale.core.machine.WorkerCommand;
+import garnetscale.core.machine.WorkerHeartbeat;
+import java.util.List;
+import java.util.Map;
+
+/**
+ * Handles what workers send: heartbeats, and their answers to probes and to direct commands, which have the form of a
+ * heartbeat but don't renew the worker's lease. Any of them may be late, repeated or lost.
+ */
+final class WorkerMessageHandler {
+
+    private final PartitionMap partitions;
+    private final PartitionLeases leases;
+    private final Map<String, MachineView> machines;
+    private final Reachability reachability;
+    private final HeartbeatIntake intake;
+    private final TerminationProof termination;
+    private final CommandReconciler reconciler;
+    private final WorkerProbes probes;
+    private final StatusPublisher status;
+    private final BidSubmitter bids;
+
+    /** {@code machines} is shared; this class adds those that it hears of first. */
+    WorkerMessageHandler(
+            PartitionMap partitions,
+            PartitionLeases leases,
+            Map<String, MachineView> machines,
+            Reachability reachability,
+            HeartbeatIntake intake,
+            TerminationProof termination,
+            CommandReconciler reconciler,
+            WorkerProbes probes,
+            StatusPublisher status,
+            BidSubmitter bids) {
+        this.partitions = partitions;
+        this.leases = leases;
+        this.machines = machines;
+        this.reachability = reachability;
+        this.intake = intake;
+        this.termination = termination;
+        this.reconciler = reconciler;
+        this.probes = probes;
+        this.status = status;
+        this.bids = bids;
+    }
+
+    /** Replies to a heartbeat; the owned partitions must be up to the replica. */
+    HeartbeatReply onHeartbeat(long now, WorkerHeartbeat heartbeat) {
+        reachability.onReachable(now);
+        String partition = partitions.partitionOf(heartbeat.machine(), heartbeat.zone());
+        OwnedPartition owned = leases.owned(partition);
+        if (owned == null) {
+            return leases.redirect(partition);
+        }
+        if (!leases.mayAct(now)) {
+            return new HeartbeatReply.Reject("term not confirmed within the grace");
+        }
+        MachineView machine = viewOf(heartbeat.machine(), partition, owned);
+        if (!machine.isNews(heartbeat)) {
+            return new HeartbeatReply.Reject("report overtaken");
+        }
+        if (heartbeat.fencingToken() > machine.fencing.token()
+                && FencingTokens.partitionTermOf(heartbeat.fencingToken()) != owned.term()) {
+            return new HeartbeatReply.Reject("the worker has seen a newer term");
+        }
+        return acknowledge(now, machine, owned, heartbeat);
+    }
+
+    /**
+     * Everything that a reconciliation would do is done here, but for what only a direct command can: that is due when the
+     * acknowledgement is lost. Most heartbeats bring nothing new, and bids are made anew only for those that do.
+     */
+    private HeartbeatReply acknowledge(long now, MachineView machine, OwnedPartition owned, WorkerHeartbeat heartbeat) {
+        machine.fencing.onTokenSeen(heartbeat.fencingToken());
+        machine.fencing.clearStartsInReply();
+        boolean couldBid = bids.mayBid(now, machine);
+        boolean isUnchanged = machine.lastHeartbeat != null && machine.lastHeartbeat.hasSameContentAs(heartbeat);
+        intake.accept(now, machine, heartbeat);
+        termination.proveTerminated(machine, owned);
+        List<WorkerCommand> commands = reconciler.commandsInReply(machine, owned);
+        machine.acknowledgedAt = now;
+        probes.probeUnlessAnswered(now, machine);
+        machine.needsReconcile = false;
+        machine.hasPendingWork = !commands.isEmpty() || machine.commandInFlight || machine.isUnreachable();
+        status.publish(now, machine, owned);
+        intake.updateEstimate(now, machine);
+        if (!isUnchanged || couldBid != bids.mayBid(now, machine)) {
+            bids.markStale();
+        }
+        return new HeartbeatReply.Acknowledge(machine.fencing.token(), commands);
+    }
+
+    /** Takes in the answer to a direct command; {@code machine} is null if it isn't known any more. */
+    void onCommandAnswer(long now, MachineView machine, WorkerHeartbeat heartbeat) {
+        reachability.onReachable(now);
+        if (!reconciler.endCommand(machine)) {
+            return;
+        }
+        machine.hasAnswered = true;
+        if (machine.isNews(heartbeat)) {
+            intake.accept(now, machine, heartbeat);
+        }
+        OwnedPartition owned = leases.owned(machine.partition);
+        if (owned != null) {
+            status.publish(now, machine, owned);
+        }
+    }
+
+    /** Takes in the answer to a probe, unless the partition has another owner by now. */
+    void onProbeAnswer(long now, WorkerHeartbeat heartbeat) {
+        reachability.onReachable(now);
+        String partition = partitions.partitionOf(heartbeat.machine(), heartbeat.zone());
+        OwnedPartition owned = leases.owned(partition);
+        if (owned == null || FencingTokens.partitionTermOf(heartbeat.fencingToken()) > owned.term()) {
+            return;
+        }
+        MachineView machine = viewOf(heartbeat.machine(), partition, owned);
+        machine.hasAnswered = true;
+        machine.needsReconcile = true;
+        if (machine.isNews(heartbeat)) {
+            machine.fencing.onTokenSeen(heartbeat.fencingToken());
+            intake.accept(now, machine, heartbeat);
+            status.publish(now, machine, owned);
+        }
+    }
+
+    private MachineView viewOf(String machine, String partition, OwnedPartition owned) {
+        return machines.computeIfAbsent(machine, id -> new MachineView(id, partition, owned.term()));
+    }
+}
--- a/src/main/java/garnetscale/core/partition/WorkerRequestLimiter.java
+++ b/src/main/java/garnetscale/core/partition/WorkerRequestLimiter.java
@@ -8,78 +8,87 @@
 import java.util.function.Predicate;
 
 /**
- * The direct requests that a holder has under way to its machines, each of them a socket and a good part of a
- * millisecond. Bounded, since after a change of holder every machine is to be asked at once and a hundred hanging ones
- * answer nothing: commands have the whole bound, questions half of it. A question that finds no room waits its turn; a
- * command doesn't, since the answer to the machine's next report says the same.
+ * Bounds the direct requests to workers that are in flight; each takes a socket and a good part of a millisecond. After a
+ * change of owner every machine is to be probed at once, and a hundred hanging workers answer nothing. Commands may use the
+ * whole bound, probes half of it. A probe that finds no room is queued; a command isn't, since the acknowledgement of the
+ * machine's next heartbeat carries the same commands.
  */
 final class WorkerRequestLimiter {
 
-    private final int most;
-    private final Deque<MachineAddress> waiting = new ArrayDeque<>();
-    private final Set<String> waitingFor = new HashSet<>();
+    private final int max;
+    private final Deque<MachineAddress> queuedProbes = new ArrayDeque<>();
+    private final Set<String> queuedMachines = new HashSet<>();
     private int commands;
-    private int questions;
+    private int probes;
     private boolean lagging;
 
-    WorkerRequestLimiter(int most) {
-        this.most = most;
+    /** Creates a limiter for {@code max} requests in flight, probes and commands together. */
+    WorkerRequestLimiter(int max) {
+        this.max = max;
     }
 
-    /** Whether a command may be sent now; it is under way from now on if so. */
-    boolean command() {
-        if (commands + questions >= most) {
+    /** Returns whether a command may be sent now; if so, it counts as in flight until {@link #onCommandEnded}. */
+    boolean tryStartCommand() {
+        if (commands + probes >= max) {
             return false;
         }
         commands++;
         return true;
     }
 
-    void commandEnded() {
+    /** A command was answered or lost. */
+    void onCommandEnded() {
         commands--;
     }
 
-    /** Has a machine asked as soon as there is room. */
-    void ask(MachineAddress machine) {
-        if (waitingFor.add(machine.machine())) {
-            waiting.add(machine);
+    /** Queues a probe of the machine, unless one is queued already. */
+    void enqueueProbe(MachineAddress machine) {
+        if (queuedMachines.add(machine.machine())) {
+            queuedProbes.add(machine);
         }
     }
 
-    /** Whether the process is late with its work, and questions are to go out one at a time. */
-    void lagging(boolean late) {
-        lagging = late;
+    /** Sets whether the process is late with its work; probes then go out one at a time. */
+    void setLagging(boolean lagging) {
+        this.lagging = lagging;
     }
 
-    private int mostQuestions() {
-        return lagging ? 1 : Math.max(1, most / 2);
+    private int maxProbes() {
+        return lagging ? 1 : Math.max(1, max / 2);
     }
 
-    /** A question is under way beside those that wait; there are few of them. */
-    void askAside() {
-        questions++;
+    /** Counts a probe that is sent without having been queued and regardless of the bound; there are few of them. */
+    void onUnqueuedProbe() {
+        probes++;
     }
 
-    void questionEnded() {
-        questions--;
+    /** A probe was answered or lost. */
+    void onProbeEnded() {
+        probes--;
     }
 
-    /** The next machine to ask now, or null; what needs no question any more falls out. */
-    MachineAddress next(Predicate<String> needed) {
-        while (!waiting.isEmpty() && questions < mostQuestions() && commands + questions < most) {
-            MachineAddress a = waiting.poll();
-            waitingFor.remove(a.machine());
-            if (needed.test(a.machine())) {
-                questions++;
-                return a;
+    /**
+     * Takes the next machine to probe off the queue and counts the probe as in flight. Machines that need no probe any more
+     * are dropped from the queue.
+     *
+     * @param isNeeded whether the machine of this name still needs a probe
+     * @return null if nothing is queued or there is no room
+     */
+    MachineAddress nextProbe(Predicate<String> isNeeded) {
+        while (!queuedProbes.isEmpty() && probes < maxProbes() && commands + probes < max) {
+            MachineAddress machine = queuedProbes.poll();
+            queuedMachines.remove(machine.machine());
+            if (isNeeded.test(machine.machine())) {
+                probes++;
+                return machine;
             }
         }
         return null;
     }
 
-    /** Forgets what waits, as when the blocks change hands. */
-    void clearQuestions() {
-        waiting.clear();
-        waitingFor.clear();
+    /** Drops all queued probes, as when a partition changes its owner. */
+    void clearQueuedProbes() {
+        queuedProbes.clear();
+        queuedMachines.clear();
     }
 }
--- a/src/test/java/garnetscale/core/partition/ReachabilityTest.java
+++ b/src/test/java/garnetscale/core/partition/ReachabilityTest.java
@@ -18,10 +18,10 @@
     private final Reachability reachability =
             new Reachability(TestConfig.large().controllers(List.of()).build());
 
-    /** Looks every quarter of a second until the given time; returns when it found itself deaf, or -1. */
-    private long look(long from, long until, int due) {
+    /** Checks every quarter of a second until the given time; returns when it found itself isolated, or -1. */
+    private long checkUntilIsolated(long from, long until, int expected) {
         for (long now = from; now <= until; now += 250) {
-            if (reachability.lookAt(now, due, Set.of("a/0"))) {
+            if (reachability.check(now, expected, Set.of("a/0"))) {
                 return now;
             }
         }
@@ -30,36 +30,40 @@
 
     /** It used to take until the last machine had been silent for 9.5 s, nearly half of a lease. */
     @Test
-    void aHundredOverdueReportsAreNoticedWithinTwoSeconds() {
-        reachability.heard(0);
-        long at = look(0, 10_000, MACHINES);
+    void aHundredOverdueHeartbeatsAreNoticedWithinTwoSeconds() {
+        reachability.onReachable(0);
+        long at = checkUntilIsolated(0, 10_000, MACHINES);
         assertTrue(at > 1000 && at <= 2000, "noticed at " + at);
     }
 
     @Test
-    void fewMachinesMayBeQuietByChance() {
-        reachability.heard(0);
-        assertEquals(-1, look(0, 8000, 2));
+    void fewMachinesMayBeSilentByChance() {
+        reachability.onReachable(0);
+        assertEquals(-1, checkUntilIsolated(0, 8000, 2));
     }
 
     /** After a standstill of its own nothing is known: what the workers sent waits to be read. */
     @Test
-    void aStandstillIsNoDeafness() {
-        reachability.heard(0);
-        look(0, 500, MACHINES);
-        assertFalse(reachability.lookAt(30_000, MACHINES, Set.of("a/0")));
+    void aStandstillIsNoIsolation() {
+        reachability.onReachable(0);
+        checkUntilIsolated(0, 500, MACHINES);
+        assertFalse(reachability.check(30_000, MACHINES, Set.of("a/0")));
         assertFalse(reachability.isolatedFromWorkers());
     }
 
     @Test
-    void itAsksTheMachinesThatItLostUntilOneAnswers() {
-        reachability.heard(0);
-        long at = look(0, 10_000, MACHINES);
-        assertEquals(3, reachability.toAsk(at, ALL, m -> "a/0").size());
-        assertEquals(0, reachability.toAsk(at, ALL, m -> "a/0").size());
-        assertEquals(0, reachability.toAsk(at + 5000, ALL, m -> "b/0").size());
-        reachability.heard(at + 6000);
+    void itProbesTheMachinesThatItLostUntilOneAnswers() {
+        reachability.onReachable(0);
+        long at = checkUntilIsolated(0, 10_000, MACHINES);
+        assertEquals(3, reachability.machinesToProbe(at, ALL, machine -> "a/0").size());
+        assertEquals(0, reachability.machinesToProbe(at, ALL, machine -> "a/0").size());
+        assertEquals(
+                0,
+                reachability.machinesToProbe(at + 5000, ALL, machine -> "b/0").size());
+        reachability.onReachable(at + 6000);
         assertFalse(reachability.isolatedFromWorkers());
-        assertEquals(0, reachability.toAsk(at + 20_000, ALL, m -> "a/0").size());
+        assertEquals(
+                0,
+                reachability.machinesToProbe(at + 20_000, ALL, machine -> "a/0").size());
     }
 }
--- a/src/test/java/garnetscale/core/partition/WorkerRequestLimiterTest.java
+++ b/src/test/java/garnetscale/core/partition/WorkerRequestLimiterTest.java
@@ -7,57 +7,57 @@
 import garnetscale.core.machine.MachineAddress;
 import org.junit.jupiter.api.Test;
 
-/** Direct requests are bounded, and a process that lags asks one question at a time. */
+/** Direct requests are bounded, and a process that lags sends one probe at a time. */
 class WorkerRequestLimiterTest {
 
-    private static final int MOST = 8;
+    private static final int MAX = 8;
 
-    private final WorkerRequestLimiter outbound = new WorkerRequestLimiter(MOST);
+    private final WorkerRequestLimiter requests = new WorkerRequestLimiter(MAX);
 
-    private int sendAll() {
-        int sent = 0;
-        while (outbound.next(machine -> true) != null) {
-            sent++;
+    private int startAllProbes() {
+        int started = 0;
+        while (requests.nextProbe(machine -> true) != null) {
+            started++;
         }
-        return sent;
+        return started;
     }
 
-    private void askEight() {
-        for (int i = 0; i < MOST; i++) {
-            outbound.ask(new MachineAddress("m-" + i, "h:" + i, "a"));
+    private void enqueueEight() {
+        for (int i = 0; i < MAX; i++) {
+            requests.enqueueProbe(new MachineAddress("m-" + i, "h:" + i, "a"));
         }
     }
 
     @Test
-    void questionsHaveHalfOfTheBound() {
-        askEight();
-        assertEquals(MOST / 2, sendAll());
-        outbound.questionEnded();
-        assertEquals(1, sendAll());
+    void probesHaveHalfOfTheBound() {
+        enqueueEight();
+        assertEquals(MAX / 2, startAllProbes());
+        requests.onProbeEnded();
+        assertEquals(1, startAllProbes());
     }
 
     /**
-     * After the end of all controllers a new holder asked every machine of its blocks while their reports and the users
-     * waited. Never none at all: a machine that doesn't report has to be asked some day however long the lag lasts.
+     * After the end of all controllers a new owner probed every machine of its partitions while their heartbeats and the users
+     * waited. Never none at all: a machine that sends no heartbeat has to be probed some day however long the lag lasts.
      */
     @Test
-    void aLaggingProcessAsksOneAtATime() {
-        askEight();
-        outbound.lagging(true);
-        assertNotNull(outbound.next(machine -> true));
-        assertNull(outbound.next(machine -> true));
-        outbound.questionEnded();
-        assertNotNull(outbound.next(machine -> true));
-        outbound.lagging(false);
-        assertEquals(MOST / 2 - 1, sendAll());
+    void aLaggingProcessProbesOneAtATime() {
+        enqueueEight();
+        requests.setLagging(true);
+        assertNotNull(requests.nextProbe(machine -> true));
+        assertNull(requests.nextProbe(machine -> true));
+        requests.onProbeEnded();
+        assertNotNull(requests.nextProbe(machine -> true));
+        requests.setLagging(false);
+        assertEquals(MAX / 2 - 1, startAllProbes());
     }
 
     @Test
     void commandsHaveTheWholeBound() {
-        outbound.lagging(true);
-        for (int i = 0; i < MOST; i++) {
-            assertEquals(true, outbound.command());
+        requests.setLagging(true);
+        for (int i = 0; i < MAX; i++) {
+            assertEquals(true, requests.tryStartCommand());
         }
-        assertEquals(false, outbound.command());
+        assertEquals(false, requests.tryStartCommand());
     }
 }
