--- a/src/main/java/garnetscale/core/partition/LeaderInfo.java
+++ b/src/main/java/garnetscale/core/partition/LeaderInfo.java
@@ -1,12 +1,18 @@
 package garnetscale.core.partition;
 
-/** The leader by the state service. {@code term} comes from the stored counter and only rises. */
+/**
+ * The leader as the state service has it.
+ *
+ * @param node the name of its controller
+ * @param incarnation the state lease of its process
+ * @param term comes from the stored counter and only rises
+ */
 public record LeaderInfo(String node, long incarnation, long term) {
 
-    /** Explicit because it is on the hot path; see the package documentation of {@code garnetscale.core}. */
+    /** Explicit because it is on the hot path; see {@link garnetscale.core}. */
     @Override
-    public boolean equals(Object o) {
-        return o instanceof LeaderInfo other
+    public boolean equals(Object object) {
+        return object instanceof LeaderInfo other
                 && incarnation == other.incarnation
                 && term == other.term
                 && node.equals(other.node);
--- a/src/main/java/garnetscale/core/partition/OwnerEffect.java
+++ b/src/main/java/garnetscale/core/partition/OwnerEffect.java
@@ -7,12 +7,18 @@
 /** A message that a {@link PartitionOwner} wants sent; the process around the core carries it out. */
 public sealed interface OwnerEffect {
 
-    /** Sends commands to a worker directly, without waiting for its next heartbeat. */
+    /**
+     * Sends commands to a worker directly, without waiting for its next heartbeat. Its outcome goes to {@link
+     * PartitionOwner#onCommandAnswer} or {@link PartitionOwner#onCommandLost}.
+     */
     record SendCommands(
             String machine, String address, long fencingToken, long agentEpoch, List<WorkerCommand> commands)
             implements OwnerEffect {}
 
-    /** Asks a worker for its status; its heartbeat would come here only when the next one is due. */
+    /**
+     * Asks a worker for its status; its heartbeat would come here only when the next one is due. Ends with {@link
+     * PartitionOwner#onProbeEnded}, and if it is answered also with {@link PartitionOwner#onProbeAnswer}.
+     */
     record ProbeWorker(String machine, String address) implements OwnerEffect {}
 
     /** Publishes the status of a machine to the leader. */
--- a/src/main/java/garnetscale/core/partition/PartitionLease.java
+++ b/src/main/java/garnetscale/core/partition/PartitionLease.java
@@ -1,7 +1,11 @@
 package garnetscale.core.partition;
 
 /**
- * Who commands a block of machines. A holder is a node name and the incarnation of its process: the state
- * lease that the process lives by, so that a process started again is another holder.
+ * Who owns a partition. The lease has no length of its own: it lasts while the owner's state lease does, and the leader may
+ * give the partition to another owner at any time by raising the term.
+ *
+ * @param owner the name of the controller that owns it
+ * @param incarnation the state lease of the owner's process, so that a process that was started again is another owner
+ * @param term only rises; made by {@link FencingTokens#partitionTerm}
  */
 public record PartitionLease(String owner, long incarnation, long term) {}
--- a/src/main/java/garnetscale/core/partition/PartitionMap.java
+++ b/src/main/java/garnetscale/core/partition/PartitionMap.java
@@ -5,15 +5,16 @@
 import java.util.List;
 
 /**
- * Which block a machine belongs to. Blocks never span zones, and a zone has as many as it has controllers, so
- * that each can hold one at home. The mapping is a function of the machine's name and zone alone: every node
- * finds the holder for a worker that it has never heard of.
+ * Which partition a machine belongs to. Partitions never span zones, and a zone has as many as it has controllers, so that
+ * each controller can own one in its zone. The mapping is a function of the machine's name and zone alone: every controller
+ * finds the owner for a worker that it has never heard of.
  */
 public final class PartitionMap {
 
     private final SchedulerConfig config;
     private final List<String> all = new ArrayList<>();
 
+    /** Derives the partitions from the zones and controllers of the configuration. */
     public PartitionMap(SchedulerConfig config) {
         this.config = config;
         for (String zone : config.zones()) {
@@ -23,30 +24,33 @@
         }
     }
 
+    /** Names of all partitions, zone by zone in the order of the configuration. */
     public List<String> all() {
         return all;
     }
 
+    /** The zone of a partition, by its name. */
     public static String zoneOf(String partition) {
         return partition.substring(0, partition.lastIndexOf('/'));
     }
 
+    /** The partition of a machine; a zone that isn't configured counts as the first one. */
     public String partitionOf(String machine, String zone) {
-        String home = config.zones().contains(zone) ? zone : config.zones().get(0);
-        return home + "/" + Math.floorMod(number(machine), partitionsIn(home));
+        String knownZone = config.zones().contains(zone) ? zone : config.zones().get(0);
+        return knownZone + "/" + Math.floorMod(number(machine), partitionsIn(knownZone));
     }
 
     private int partitionsIn(String zone) {
-        int nodes = 0;
-        for (SchedulerConfig.ControllerAddress m : config.controllers()) {
-            if (m.zone().equals(zone)) {
-                nodes++;
+        int controllers = 0;
+        for (SchedulerConfig.ControllerAddress controller : config.controllers()) {
+            if (controller.zone().equals(zone)) {
+                controllers++;
             }
         }
-        return Math.max(1, nodes);
+        return Math.max(1, controllers);
     }
 
-    /** The number in a machine's name, which spreads machines evenly. */
+    /** The number at the end of a machine's name, which spreads machines evenly; the name's hash if it has none. */
     public static int number(String machine) {
         int dash = machine.lastIndexOf('-');
         try {
