--- a/src/main/java/garnetscale/core/machine/MachineAddress.java
+++ b/src/main/java/garnetscale/core/machine/MachineAddress.java
@@ -1,12 +1,18 @@
 package garnetscale.core.machine;
 
-/** Where a machine can be spoken to, and what decides its block; the leader tells holders what the cloud lists. */
+/**
+ * An entry of the machine directory, which the leader sends to all partition owners from what the cloud lists.
+ *
+ * @param machine the machine's name
+ * @param address host and port of its worker
+ * @param zone the zone, which together with the name decides the machine's partition
+ */
 public record MachineAddress(String machine, String address, String zone) {
 
-    /** Explicit because it is on the hot path; see the package documentation of {@code garnetscale.core}. */
+    /** Explicit because it is on the hot path; see {@link garnetscale.core}. */
     @Override
-    public boolean equals(Object o) {
-        return o instanceof MachineAddress other
+    public boolean equals(Object object) {
+        return object instanceof MachineAddress other
                 && machine.equals(other.machine)
                 && address.equals(other.address)
                 && zone.equals(other.zone);
--- a/src/main/java/garnetscale/core/machine/MachineType.java
+++ b/src/main/java/garnetscale/core/machine/MachineType.java
@@ -3,7 +3,20 @@
 import garnetscale.core.job.JobSpec;
 import java.util.List;
 
-/** A type of machine that the cloud rents. */
+/**
+ * A type of machine that the cloud provides.
+ *
+ * @param name unique among types
+ * @param cpus CPUs of an empty machine
+ * @param gpus GPUs of an empty machine
+ * @param memoryGb memory of an empty machine, in GB
+ * @param cacheGb size of the image cache, in GB
+ * @param fetchGbPerS rate at which images are fetched; 0 if it isn't known
+ * @param price price per hour of an ordinary machine
+ * @param spotPrice present price per hour of a spot instance
+ * @param bootS usual boot time in seconds
+ * @param zones zones that provide it
+ */
 public record MachineType(
         String name,
         double cpus,
--- a/src/main/java/garnetscale/core/machine/TaskStatus.java
+++ b/src/main/java/garnetscale/core/machine/TaskStatus.java
@@ -2,17 +2,26 @@
 
 import garnetscale.core.job.TaskId;
 
-/** One task of a worker's report; {@code cause} is null until the task has exited. */
+/**
+ * The status of one task in a worker's heartbeat.
+ *
+ * @param task the task
+ * @param attempt which attempt of it
+ * @param state its state
+ * @param cause why it exited; null until then
+ * @param checkpointed whether its progress was saved when it was stopped
+ */
 public record TaskStatus(TaskId task, long attempt, TaskState state, ExitCause cause, boolean checkpointed) {
 
+    /** Whether the task has ended, or its start was refused. */
     public boolean exited() {
         return state == TaskState.EXITED;
     }
 
-    /** Explicit because it is on the hot path; see the package documentation of {@code garnetscale.core}. */
+    /** Explicit because it is on the hot path; see {@link garnetscale.core}. */
     @Override
-    public boolean equals(Object o) {
-        return o instanceof TaskStatus other
+    public boolean equals(Object object) {
+        return object instanceof TaskStatus other
                 && attempt == other.attempt
                 && state == other.state
                 && cause == other.cause
--- a/src/main/java/garnetscale/core/machine/WorkerHeartbeat.java
+++ b/src/main/java/garnetscale/core/machine/WorkerHeartbeat.java
@@ -3,7 +3,20 @@
 import java.util.List;
 import java.util.Objects;
 
-/** What a worker says of itself; {@code evictionNoticeS} is null unless the cloud is about to take the machine. */
+/**
+ * A worker's heartbeat with the status of its machine; answers to probes and direct commands have the same form.
+ *
+ * @param machine the machine's name
+ * @param address host and port of the worker
+ * @param type the name of the machine type
+ * @param zone the machine's zone
+ * @param spot whether it is a spot instance
+ * @param agentEpoch starts at 1 and rises each time the worker's lease expires
+ * @param tick rises with every message of the worker
+ * @param fencingToken the highest token that the worker has seen
+ * @param evictionNoticeS seconds until the cloud takes the machine away; null without eviction notice
+ * @param tasks all tasks on the machine, exited ones until they are cleared
+ */
 public record WorkerHeartbeat(
         String machine,
         String address,
@@ -16,12 +29,15 @@
         Double evictionNoticeS,
         List<TaskStatus> tasks) {
 
-    /** Messages overtake each other; the larger (shift, tick) is the newer one. */
+    /**
+     * Whether this heartbeat is the newer one, that is, has the larger (agentEpoch, tick): messages overtake each other. Any
+     * is newer than null.
+     */
     public boolean isNewerThan(WorkerHeartbeat other) {
         return other == null || agentEpoch > other.agentEpoch || (agentEpoch == other.agentEpoch && tick > other.tick);
     }
 
-    /** Whether nothing but the count of messages and the token differs. */
+    /** Whether nothing but the tick and the fencing token differs. */
     public boolean hasSameContentAs(WorkerHeartbeat other) {
         return agentEpoch == other.agentEpoch
                 && spot == other.spot
@@ -33,10 +49,11 @@
                 && tasks.equals(other.tasks);
     }
 
+    /** The status of an attempt, or null if it isn't on the machine. */
     public TaskStatus find(long attempt) {
-        for (TaskStatus t : tasks) {
-            if (t.attempt() == attempt) {
-                return t;
+        for (TaskStatus task : tasks) {
+            if (task.attempt() == attempt) {
+                return task;
             }
         }
         return null;
