--- a/src/main/java/garnetscale/core/bidding/Auction.java
+++ b/src/main/java/garnetscale/core/bidding/Auction.java
@@ -11,84 +11,89 @@
 import java.util.function.Predicate;
 
 /**
- * The bids that the leader has, and when each job's window closes: once it is over, or early when every held
- * block has bid with the job in sight, since then no better bid can come from a machine that has room now.
+ * The bids that the leader has, and when each job's window closes (paper, DSP step 4): once its time is over, or early when
+ * every owned partition has bid with the job in sight, since then no better bid can come from a machine that has room now.
  */
 public final class Auction {
 
     private final StateReplica replica;
     private final long windowMs;
-    private final Map<String, BidBatch> batches = new HashMap<>();
-    private final Map<String, Long> openSince = new HashMap<>();
-    private final ListMultimap<String, Bid> byJob = ArrayListMultimap.create();
-    /** A batch came since the bids were last put together: that is done when somebody asks, not for each batch. */
-    private boolean stale;
+    private final Map<String, BidBatch> batchesByOwner = new HashMap<>();
+    private final Map<String, Long> openSinceByJob = new HashMap<>();
+    private final ListMultimap<String, Bid> bidsByJob = ArrayListMultimap.create();
+    /** A batch came since the bids were last grouped by job: that is done when somebody asks, not for each batch. */
+    private boolean isStale;
 
+    /** Creates an auction without bids in which a job's window is open for so long. */
     public Auction(StateReplica replica, long windowMs) {
         this.replica = replica;
         this.windowMs = windowMs;
     }
 
+    /** Drops all bids and windows, as when another term of the leader begins. */
     public void clear() {
-        batches.clear();
-        openSince.clear();
-        stale = true;
+        batchesByOwner.clear();
+        openSinceByJob.clear();
+        isStale = true;
     }
 
+    /** Replaces the owner's earlier batch, unless that is of a newer revision, and opens windows of jobs that have none. */
     public void onBatch(long now, BidBatch batch) {
-        BidBatch before = batches.get(batch.node());
-        if (before != null && before.incarnation() == batch.incarnation() && before.revision() > batch.revision()) {
+        BidBatch previous = batchesByOwner.get(batch.node());
+        if (previous != null
+                && previous.incarnation() == batch.incarnation()
+                && previous.revision() > batch.revision()) {
             return;
         }
-        batches.put(batch.node(), batch);
-        stale = true;
+        batchesByOwner.put(batch.node(), batch);
+        isStale = true;
         String job = "";
-        for (Bid b : batch.bids()) {
-            if (!b.job().equals(job)) {
-                job = b.job();
-                openSince.putIfAbsent(job, now);
+        for (Bid bid : batch.bids()) {
+            if (!bid.job().equals(job)) {
+                job = bid.job();
+                openSinceByJob.putIfAbsent(job, now);
             }
         }
     }
 
-    private ListMultimap<String, Bid> byJob() {
-        if (stale) {
-            stale = false;
-            byJob.clear();
-            for (BidBatch s : batches.values()) {
+    private ListMultimap<String, Bid> bidsByJob() {
+        if (isStale) {
+            isStale = false;
+            bidsByJob.clear();
+            for (BidBatch batch : batchesByOwner.values()) {
                 String job = "";
-                List<Bid> of = List.of();
-                for (Bid b : s.bids()) {
+                List<Bid> bidsForJob = List.of();
+                for (Bid bid : batch.bids()) {
                     // A job's bids stand together in a batch.
-                    if (!b.job().equals(job)) {
-                        job = b.job();
-                        of = byJob.get(job);
+                    if (!bid.job().equals(job)) {
+                        job = bid.job();
+                        bidsForJob = bidsByJob.get(job);
                     }
-                    of.add(b);
+                    bidsForJob.add(bid);
                 }
             }
-            openSince.keySet().retainAll(byJob.keySet());
+            openSinceByJob.keySet().retainAll(bidsByJob.keySet());
         }
-        return byJob;
+        return bidsByJob;
     }
 
-    /** Whether the job's bids may be judged now. */
+    /** Whether the job's window is closed, so that its bids may be awarded; false for a job without bids. */
     public boolean closed(long now, JobView job) {
-        byJob();
-        Long since = openSince.get(job.spec().id());
-        return since != null && (now - since >= windowMs || allHaveBid(job));
+        bidsByJob();
+        Long since = openSinceByJob.get(job.spec().id());
+        return since != null && (now - since >= windowMs || haveAllBid(job));
     }
 
-    private boolean allHaveBid(JobView job) {
-        int speaking = 0;
-        for (BidBatch s : batches.values()) {
-            if (s.revision() >= job.modRevision()) {
-                for (Map.Entry<String, Long> e : s.terms().entrySet()) {
-                    speaking += isCurrent(s, e.getKey(), e.getValue()) ? 1 : 0;
+    private boolean haveAllBid(JobView job) {
+        int partitionsWithBids = 0;
+        for (BidBatch batch : batchesByOwner.values()) {
+            if (batch.revision() >= job.modRevision()) {
+                for (Map.Entry<String, Long> entry : batch.terms().entrySet()) {
+                    partitionsWithBids += isCurrent(batch, entry.getKey(), entry.getValue()) ? 1 : 0;
                 }
             }
         }
-        return speaking == replica.partitionCount();
+        return partitionsWithBids == replica.partitionCount();
     }
 
     private boolean isCurrent(BidBatch batch, String partition, long term) {
@@ -96,38 +101,38 @@
         return lease != null && lease.term() == term && lease.incarnation() == batch.incarnation();
     }
 
-    /** Whether the node that speaks for the block has bid under its present term. */
+    /** Whether the partition's owner has submitted a batch under the partition's present term. */
     public boolean speaksFor(String partition) {
         PartitionLease lease = replica.partition(partition);
-        BidBatch s = lease == null ? null : batches.get(lease.owner());
-        Long term = s == null ? null : s.terms().get(partition);
-        return term != null && isCurrent(s, partition, term);
+        BidBatch batch = lease == null ? null : batchesByOwner.get(lease.owner());
+        Long term = batch == null ? null : batch.terms().get(partition);
+        return term != null && isCurrent(batch, partition, term);
     }
 
-    /** Bids for a job, in no order. */
+    /** Bids for a job, owner by owner in no fixed order; a live list, not to be altered. */
     public List<Bid> bids(String job) {
-        return byJob().get(job);
+        return bidsByJob().get(job);
     }
 
-    /** The bid for a job with the earliest finish among those that pass, or null. */
+    /** The bid for a job with the earliest finish among those that pass, or null if none does. */
     public Bid best(String job, Predicate<Bid> passes) {
         Bid best = null;
-        for (Bid b : bids(job)) {
-            if ((best == null || b.finishS() < best.finishS()) && passes.test(b)) {
-                best = b;
+        for (Bid bid : bids(job)) {
+            if ((best == null || bid.finishS() < best.finishS()) && passes.test(bid)) {
+                best = bid;
             }
         }
         return best;
     }
 
-    /** Milliseconds until the next open window ends, or -1. */
+    /** Milliseconds until the next open window ends, or -1 if none is open. */
     public long nextClose(long now) {
-        byJob();
+        bidsByJob();
         long next = -1;
-        for (long since : openSince.values()) {
-            long left = since + windowMs - now;
-            if (left > 0 && (next < 0 || left < next)) {
-                next = left;
+        for (long since : openSinceByJob.values()) {
+            long remaining = since + windowMs - now;
+            if (remaining > 0 && (next < 0 || remaining < next)) {
+                next = remaining;
             }
         }
         return next;
--- a/src/main/java/garnetscale/core/bidding/Bid.java
+++ b/src/main/java/garnetscale/core/bidding/Bid.java
@@ -1,16 +1,20 @@
 package garnetscale.core.bidding;
 
 /**
- * A machine's offer to run up to {@code slots} tasks of a job that stands in its line.
+ * A machine's bid to run tasks of a job in its queue.
  *
+ * @param machine the machine's name
+ * @param agentEpoch the agent epoch of its worker; in a later one the bid is void
+ * @param job the job's id
+ * @param slots how many tasks of the job it would run at most
  * @param finishS estimated seconds from now until such a task would be finished: image fetch and run
  */
 public record Bid(String machine, long agentEpoch, String job, int slots, double finishS) {
 
-    /** Explicit because it is on the hot path; see the package documentation of {@code garnetscale.core}. */
+    /** Explicit because it is on the hot path; see {@link garnetscale.core}. */
     @Override
-    public boolean equals(Object o) {
-        return o instanceof Bid other
+    public boolean equals(Object object) {
+        return object instanceof Bid other
                 && agentEpoch == other.agentEpoch
                 && slots == other.slots
                 && Double.compare(finishS, other.finishS) == 0
--- a/src/main/java/garnetscale/core/bidding/Bidding.java
+++ b/src/main/java/garnetscale/core/bidding/Bidding.java
@@ -15,171 +15,200 @@
 import java.util.Set;
 
 /**
- * What the machines of one holder bid, each for the jobs at the head of its line. Machines of one type, zone and kind
- * have the same line, so it is gone through once for all of them. For each job only about as many of the best bids
- * are made as could win: the leader has no use for more from one holder. What a machine would give to the jobs before
- * counts as taken, so that the jobs behind find bids of machines that will still have room.
+ * Makes the bids of one partition owner's machines, each for the jobs at the head of its queue (paper, DSP step 3). Machines
+ * of one {@link BidderGroup} have the same queue, so it is gone through once for all of them. For each job only about as many
+ * of the best bids are made as could win: the leader has no use for more from one owner. What a machine would give to the jobs
+ * before counts as taken, so that the jobs behind find bids of machines that will still have room.
+ *
+ * <p>An instance makes one batch. It goes through thousands of machines for hundreds of jobs, so it allocates per batch and
+ * per bid, not per candidate.
  */
 public final class Bidding {
 
-    /** A machine that may bid, and what is free on it. */
-    public static final class Bidder {
-        private final String machine;
-        private final long agentEpoch;
-        private final MachineType type;
-        private final String zone;
-        private final boolean spot;
-        private final FreeCapacity whole;
-        private final FreeCapacity left;
-        private Kind kind;
-        private Map<String, Double> images;
-        private double factor;
-        private int heads;
-        private JobView last;
-
-        public Bidder(String machine, long agentEpoch, MachineType type, String zone, boolean spot, FreeCapacity room) {
-            this.machine = machine;
-            this.agentEpoch = agentEpoch;
-            this.type = type;
-            this.zone = zone;
-            this.spot = spot;
-            this.whole = room;
-            this.left = room.copy();
-        }
-    }
-
-    /** Machines of one type, zone and kind: whether the job at hand stands in their line, and what it takes there. */
-    private static final class Kind {
-        boolean inLine;
-        double fetchS;
-    }
-
-    /** Jobs of a line that a machine bids for at a time; more than enough to fill it between two batches. */
-    private static final int HEADS = 8;
+    /** Jobs that a machine bids for in a batch; more than enough to fill it between two batches. */
+    private static final int MAX_JOBS_PER_BIDDER = 8;
 
     /**
-     * Room is offered to jobs behind those that it would go to, this many times over: some of them may get more from other
-     * holders, or may not start for a reason that the leader knows. Without a bound a room that is kept free would be
-     * offered to all that wait, again and again. Room that no job before would get is offered beyond it, or many jobs of
-     * which small machines are full would keep large ones from bidding for those that fit nothing else.
+     * Capacity is offered to jobs behind those that it would go to, this many times over: some of them may get more from other
+     * owners, or may not start for a reason that the leader knows. Without a bound capacity that is kept free would be offered
+     * to all that wait, again and again. Capacity that no job before would get is offered beyond it, or many jobs of which
+     * small machines are full would keep large ones from bidding for those that fit nothing else.
      */
-    private static final double OVERBOOKED = 1;
+    private static final double MAX_OVERBOOKING = 1;
+
+    /** Bits of a candidate that hold the index of its bidder. */
+    private static final int INDEX_BITS = 24;
 
-    private static final int PLACE_BITS = 24;
+    private static final int INDEX_MASK = (1 << INDEX_BITS) - 1;
 
-    private double overbooked;
     private final StateReplica replica;
     private final Estimator estimator;
-    private final ScarceTypeFilter scarcity;
-    private final long wallMs;
-    private final Set<String> suspects;
-    private final Map<List<Object>, Kind> kinds = new HashMap<>();
-    /** One bidder of each kind. */
-    private final List<Bidder> samples = new ArrayList<>();
-
-    /** {@code suspects}: jobs that fail wherever they run, of which a task at a time is tried. */
+    private final ScarceTypeFilter scarceTypes;
+    private final long wallClockMs;
+    private final Set<String> suspectJobs;
+    private final Map<List<Object>, BidderGroup> groups = new HashMap<>();
+    /** One bidder of each group. */
+    private final List<Bidder> representatives = new ArrayList<>();
+
+    private final List<Bid> bids = new ArrayList<>();
+    /** The first {@link #openCount} are the bidders that bid for further jobs. */
+    private Bidder[] open;
+
+    private int openCount;
+    /** Scratch space for {@link #collectCandidates}. */
+    private long[] candidates;
+    /** CPUs free on all bidders, and those that were offered a second time. */
+    private double freeCpus;
+
+    private double overbookedCpus;
+
+    /**
+     * Prepares a batch.
+     *
+     * @param wallClockMs the time of day
+     * @param suspectJobs jobs that fail wherever they run, of which one task at a time is tried
+     */
     public Bidding(
-            StateReplica replica, Estimator estimator, ScarceTypeFilter scarcity, long wallMs, Set<String> suspects) {
-        this.suspects = suspects;
+            StateReplica replica,
+            Estimator estimator,
+            ScarceTypeFilter scarceTypes,
+            long wallClockMs,
+            Set<String> suspectJobs) {
         this.replica = replica;
         this.estimator = estimator;
-        this.scarcity = scarcity;
-        this.wallMs = wallMs;
+        this.scarceTypes = scarceTypes;
+        this.wallClockMs = wallClockMs;
+        this.suspectJobs = suspectJobs;
     }
 
-    /** Bids for the waiting jobs, which come in line order. */
+    /** Bids for the waiting jobs, which come in queue order; to be called once. */
     public List<Bid> bids(List<JobView> waiting, List<Bidder> bidders) {
-        List<Bid> bids = new ArrayList<>();
-        Bidder[] open = bidders.toArray(new Bidder[0]);
-        int count = open.length;
-        double room = 0;
-        for (Bidder b : open) {
-            room += b.whole.cpus();
-            b.kind = kinds.computeIfAbsent(List.of(b.type.name(), b.zone, b.spot), k -> {
-                samples.add(b);
-                return new Kind();
-            });
-            b.images = replica.images(b.machine);
-            b.factor = estimator.machineFactor(b.machine);
-        }
-        long[] offers = new long[count];
-        double least = waiting.stream().mapToDouble(j -> j.spec().cpus()).min().orElse(0);
+        open(bidders);
+        double minCpus =
+                waiting.stream().mapToDouble(job -> job.spec().cpus()).min().orElse(0);
         for (JobView job : waiting) {
-            if (count == 0) {
+            if (openCount == 0) {
                 break;
             }
-            lookAt(job);
-            int tasks =
-                    suspects.contains(job.spec().id()) ? 1 : job.unstarted() == 0 ? job.placedCount() : job.unstarted();
-            // Some more than can win: the leader may know what is wrong with a machine that bids.
-            int wanted = tasks + tasks / 2 + 1;
-            int missing = bid(job, tasks, wanted, open, count, offers, false, bids);
-            if (missing > 0 && overbooked <= OVERBOOKED * room) {
-                bid(job, tasks, missing, open, count, offers, true, bids);
-            }
-            double enough = overbooked <= OVERBOOKED * room ? 0 : least;
-            int kept = 0;
-            for (int i = 0; i < count; i++) {
-                if (open[i].heads < HEADS && open[i].left.cpus() + MachineType.EPSILON >= enough) {
-                    open[kept++] = open[i];
-                }
-            }
-            count = kept;
+            updateGroups(job);
+            bidFor(job);
+            close(isOverbookingAllowed() ? 0 : minCpus);
         }
         return bids;
     }
 
-    /** Goes through the lines of all kinds of machines, once each. */
-    private void lookAt(JobView job) {
-        for (Bidder b : samples) {
-            b.kind.inLine =
-                    JobQueue.allows(b.type, b.zone, b.spot, job.spec()) && scarcity.mayTake(job, b.type, wallMs);
-            b.kind.fetchS = Estimator.fetchS(job.spec(), b.type);
+    private void open(List<Bidder> bidders) {
+        open = bidders.toArray(new Bidder[0]);
+        openCount = open.length;
+        candidates = new long[openCount];
+        for (Bidder bidder : open) {
+            freeCpus += bidder.free.cpus();
+            // A list as key, not a record: see {@link garnetscale.core} for what a record's hash costs at a start.
+            bidder.group = groups.computeIfAbsent(List.of(bidder.type.name(), bidder.zone, bidder.spot), key -> {
+                representatives.add(bidder);
+                return new BidderGroup();
+            });
+            bidder.images = replica.images(bidder.machine);
+            bidder.speedFactor = estimator.machineFactor(bidder.machine);
+        }
+    }
+
+    private void updateGroups(JobView job) {
+        for (Bidder bidder : representatives) {
+            bidder.group.mayRunJob = JobQueue.allows(bidder.type, bidder.zone, bidder.spot, job.spec())
+                    && scarceTypes.mayBid(job, bidder.type, wallClockMs);
+            bidder.group.fetchS = Estimator.fetchS(job.spec(), bidder.type);
+        }
+    }
+
+    private void bidFor(JobView job) {
+        int tasks = tasksToBidFor(job);
+        // Some more than can win: the leader may know what is wrong with a machine that bids.
+        int wantedSlots = tasks + tasks / 2 + 1;
+        int missingSlots = bid(job, tasks, wantedSlots, false);
+        if (missingSlots > 0 && isOverbookingAllowed()) {
+            bid(job, tasks, missingSlots, true);
         }
     }
 
+    private int tasksToBidFor(JobView job) {
+        if (suspectJobs.contains(job.spec().id())) {
+            return 1;
+        }
+        return job.unstarted() == 0 ? job.placedCount() : job.unstarted();
+    }
+
+    private boolean isOverbookingAllowed() {
+        return overbookedCpus <= MAX_OVERBOOKING * freeCpus;
+    }
+
+    /** Closes bidders that have bid for enough jobs or have less than the given CPUs left. */
+    private void close(double minCpus) {
+        int kept = 0;
+        for (int i = 0; i < openCount; i++) {
+            Bidder bidder = open[i];
+            if (bidder.jobs < MAX_JOBS_PER_BIDDER && bidder.unbid.cpus() + MachineType.EPSILON >= minCpus) {
+                open[kept++] = bidder;
+            }
+        }
+        openCount = kept;
+    }
+
     /**
-     * Bids with what is left behind the jobs before, or with what they may not get after all; {@code offers} is scratch
-     * room. An offer is its finish in tenths of a second, so that a batch changes only when something has, and the
-     * bidder's place: as one number each they are sorted without an object for every one.
+     * Bids for a job with what the bids for the jobs before leave, or, if overbooking, also with what those may not get after
+     * all.
+     *
+     * @param tasks tasks of the job that could start
+     * @param wantedSlots slots to bid with
+     * @return slots that are missing from that; not positive if none is
      */
-    private int bid(
-            JobView job,
-            int tasks,
-            int wanted,
-            Bidder[] open,
-            int count,
-            long[] offers,
-            boolean taken,
-            List<Bid> bids) {
+    private int bid(JobView job, int tasks, int wantedSlots, boolean isOverbooking) {
         JobSpec spec = job.spec();
-        int found = 0;
-        for (int i = 0; i < count; i++) {
-            Bidder b = open[i];
-            FreeCapacity room = taken ? b.whole : b.left;
-            if (b.kind.inLine && b.last != job && room.cpus() + MachineType.EPSILON >= spec.cpus() && room.fits(spec)) {
-                double run = estimator.runS(spec, b.factor);
-                double finish = (b.images.containsKey(spec.image()) ? 0 : b.kind.fetchS)
-                        + run
-                        + (b.spot ? Estimator.spotRiskS(spec, run) : 0);
-                offers[found++] = Math.round(finish * 10) << PLACE_BITS | i;
-            }
-        }
-        Arrays.sort(offers, 0, found);
-        int missing = wanted;
+        int found = collectCandidates(job, isOverbooking);
+        Arrays.sort(candidates, 0, found);
+        int missing = wantedSlots;
         for (int i = 0; i < found && missing > 0; i++) {
-            Bidder b = open[(int) (offers[i] & (1 << PLACE_BITS) - 1)];
-            int slots = Math.min((taken ? b.whole : b.left).slots(spec), tasks);
-            bids.add(new Bid(b.machine, b.agentEpoch, spec.id(), slots, (offers[i] >> PLACE_BITS) / 10.0));
-            b.heads++;
-            b.last = job;
-            if (taken) {
-                overbooked += slots * spec.cpus();
+            Bidder bidder = open[(int) (candidates[i] & INDEX_MASK)];
+            int slots = Math.min((isOverbooking ? bidder.free : bidder.unbid).slots(spec), tasks);
+            double finishS = (candidates[i] >> INDEX_BITS) / 10.0;
+            bids.add(new Bid(bidder.machine, bidder.agentEpoch, spec.id(), slots, finishS));
+            bidder.jobs++;
+            bidder.lastJob = job;
+            if (isOverbooking) {
+                overbookedCpus += slots * spec.cpus();
             } else {
-                b.left.take(spec, Math.min(slots, missing));
+                bidder.unbid.take(spec, Math.min(slots, missing));
             }
             missing -= slots;
         }
         return missing;
     }
+
+    /**
+     * Puts the bidders that could bid for the job into {@link #candidates} and returns their number. A candidate is its finish
+     * in tenths of a second, so that a batch changes only when something has, and the bidder's index: as one number each they
+     * are sorted without an object for every one.
+     */
+    private int collectCandidates(JobView job, boolean isOverbooking) {
+        JobSpec spec = job.spec();
+        int found = 0;
+        for (int i = 0; i < openCount; i++) {
+            Bidder bidder = open[i];
+            FreeCapacity free = isOverbooking ? bidder.free : bidder.unbid;
+            if (bidder.group.mayRunJob
+                    && bidder.lastJob != job
+                    && free.cpus() + MachineType.EPSILON >= spec.cpus()
+                    && free.fits(spec)) {
+                candidates[found++] = Math.round(finishS(spec, bidder) * 10) << INDEX_BITS | i;
+            }
+        }
+        return found;
+    }
+
+    private double finishS(JobSpec spec, Bidder bidder) {
+        double runS = estimator.runS(spec, bidder.speedFactor);
+        return (bidder.images.containsKey(spec.image()) ? 0 : bidder.group.fetchS)
+                + runS
+                + (bidder.spot ? Estimator.spotRiskS(spec, runS) : 0);
+    }
 }
--- a/src/main/java/garnetscale/core/bidding/Estimator.java
+++ b/src/main/java/garnetscale/core/bidding/Estimator.java
@@ -7,101 +7,113 @@
 import java.util.Map;
 
 /**
- * What the owner's estimate is worth, learned from tasks that completed: a factor per class of jobs, since owners
- * err alike, and one per machine, since a faulty one can be much slower.
+ * Estimates run times: the job owner's estimate, corrected by what was learned from tasks that completed. There is a factor for
+ * each class of jobs, since owners err alike, and one for each machine, since a faulty one can be much slower.
  *
- * <p>Tasks of a job differ by half and more, and the first to finish are its shortest. So a machine is not judged
- * by single tasks but by all that it does: the time that its tasks took and have run so far, against the time
- * that was expected of them.
+ * <p>Tasks of a job differ by half and more, and the first to finish are its shortest. So a machine is not evaluated by single
+ * tasks but by all that it does: the time that its tasks took and have run so far, against the time that was expected of them.
  */
 public final class Estimator {
 
     /** Weight of a new sample; the last handful of tasks decide. */
-    private static final double GAIN = 0.2;
-
-    private static final double MOST = 8;
-    /** Finished tasks of a job before what they took is believed rather than the owner. */
-    private static final int PEERS = 4;
+    private static final double SAMPLE_WEIGHT = 0.2;
+    /** Bound of all factors, and its inverse the lower one. */
+    private static final double MAX_FACTOR = 8;
+    /** Completed tasks of a job before what they took is believed rather than the job's owner. */
+    private static final int MIN_COMPLETED_TASKS = 4;
     /** Machines that differ by less count as alike: following such differences sends tasks past cached images. */
-    private static final double ALIKE = 1.5;
-    /** Tasks' worth of evidence before a machine is judged. */
-    private static final double ENOUGH = 4;
-
-    private static final int JOBS = 512;
-    /** How long a spot machine is reckoned to last, in seconds: pessimistic on quiet days, as waves come at once. */
-    private static final double TAKEN_S = 1800;
-
-    /** A machine's account: seconds its tasks took, seconds expected of them, and how many they were. */
-    private static final class Account {
-        double took;
-        double expected;
+    private static final double MIN_RELEVANT_FACTOR = 1.5;
+    /** Tasks' worth of evidence before a machine is evaluated. */
+    private static final double MIN_EVIDENCE_TASKS = 4;
+    /** Jobs whose run times are remembered, the latest. */
+    private static final int MAX_JOBS = 512;
+    /**
+     * How long a spot instance is expected to last, in seconds: pessimistic on quiet days, since evictions come in waves.
+     */
+    private static final double SPOT_LIFETIME_S = 1800;
+
+    /** What a machine's tasks took and were expected to take, in seconds, and how many they were; old ones fade. */
+    private static final class MachineHistory {
+        double tookS;
+        double expectedS;
         double tasks;
         double factor = 1;
     }
 
-    /** A task under way: what it was expected to take and has run so far. */
+    /** What a job's completed tasks took. */
+    private static final class JobHistory {
+        double sumOfLogs;
+        double tasks;
+    }
+
+    /**
+     * A task that is running.
+     *
+     * @param job its job
+     * @param ranS seconds that it has run so far
+     */
     public record UnderWay(JobSpec job, double ranS) {}
 
     private final double slackS;
-    private final Map<String, Double> byClass = new HashMap<>();
-    private final Map<String, Account> byMachine = new HashMap<>();
-    /** Sum of the logarithms of run times, and their number, of the latest jobs. */
-    private final Map<String, double[]> byJob = new LinkedHashMap<>() {
+    private final Map<String, Double> factorByClass = new HashMap<>();
+    private final Map<String, MachineHistory> machines = new HashMap<>();
+    private final Map<String, JobHistory> jobs = new LinkedHashMap<>() {
         @Override
-        protected boolean removeEldestEntry(Map.Entry<String, double[]> eldest) {
-            return size() > JOBS;
+        protected boolean removeEldestEntry(Map.Entry<String, JobHistory> eldest) {
+            return size() > MAX_JOBS;
         }
     };
 
-    /** Run times are seen through reports; {@code heartbeatIntervalMs} is how far apart these are. */
+    /** Run times are observed through heartbeats; {@code heartbeatIntervalMs} is how far apart these are. */
     public Estimator(long heartbeatIntervalMs) {
         slackS = heartbeatIntervalMs / 1000.0;
     }
 
-    /** A task of the job ran to completion on the machine in so many seconds. */
+    /** Learns that a task of the job ran to completion on the machine in so many seconds. */
     public void completed(JobSpec job, String machine, double ranS) {
         if (job.estimateS() <= 0 || ranS <= 0) {
             return;
         }
-        Account a = byMachine.computeIfAbsent(machine, k -> new Account());
-        a.took = a.took * (1 - GAIN) + ranS;
-        a.expected = a.expected * (1 - GAIN) + expectedS(job) + slackS;
-        a.tasks = a.tasks * (1 - GAIN) + 1;
-        double old = byClass.getOrDefault(job.jobClass(), 1.0);
-        byClass.put(job.jobClass(), clamp(old * Math.pow(clamp(ranS / job.estimateS()) / old, GAIN)));
-        double[] sum = byJob.computeIfAbsent(job.id(), k -> new double[2]);
-        sum[0] += Math.log(ranS);
-        sum[1]++;
+        MachineHistory history = machines.computeIfAbsent(machine, key -> new MachineHistory());
+        history.tookS = history.tookS * (1 - SAMPLE_WEIGHT) + ranS;
+        history.expectedS = history.expectedS * (1 - SAMPLE_WEIGHT) + expectedS(job) + slackS;
+        history.tasks = history.tasks * (1 - SAMPLE_WEIGHT) + 1;
+        double classFactor = factorByClass.getOrDefault(job.jobClass(), 1.0);
+        double correction = Math.pow(clamp(ranS / job.estimateS()) / classFactor, SAMPLE_WEIGHT);
+        factorByClass.put(job.jobClass(), clamp(classFactor * correction));
+        JobHistory jobHistory = jobs.computeIfAbsent(job.id(), key -> new JobHistory());
+        jobHistory.sumOfLogs += Math.log(ranS);
+        jobHistory.tasks++;
     }
 
-    /** Judges a machine by what it completed and what runs on it now. */
+    /** Evaluates a machine's speed by what it completed and what runs on it now. */
     public void evaluate(String machine, Iterable<UnderWay> running) {
-        Account a = byMachine.computeIfAbsent(machine, k -> new Account());
-        double took = a.took;
-        double expected = a.expected;
-        double tasks = a.tasks;
-        for (UnderWay t : running) {
-            double e = expectedS(t.job()) + slackS;
-            took += t.ranS();
-            expected += Math.min(t.ranS(), e);
-            tasks += Math.min(1, t.ranS() / e);
+        MachineHistory history = machines.computeIfAbsent(machine, key -> new MachineHistory());
+        double tookS = history.tookS;
+        double expectedS = history.expectedS;
+        double tasks = history.tasks;
+        for (UnderWay task : running) {
+            double taskExpectedS = expectedS(task.job()) + slackS;
+            tookS += task.ranS();
+            expectedS += Math.min(task.ranS(), taskExpectedS);
+            tasks += Math.min(1, task.ranS() / taskExpectedS);
         }
-        a.factor = tasks < ENOUGH || expected <= 0 ? 1 : clamp(took / expected);
+        history.factor = tasks < MIN_EVIDENCE_TASKS || expectedS <= 0 ? 1 : clamp(tookS / expectedS);
     }
 
     private double expectedS(JobSpec job) {
-        double[] sum = byJob.get(job.id());
-        return sum == null || sum[1] < PEERS
-                ? job.estimateS() * byClass.getOrDefault(job.jobClass(), 1.0)
-                : Math.exp(sum[0] / sum[1]);
+        JobHistory history = jobs.get(job.id());
+        return history == null || history.tasks < MIN_COMPLETED_TASKS
+                ? job.estimateS() * factorByClass.getOrDefault(job.jobClass(), 1.0)
+                : Math.exp(history.sumOfLogs / history.tasks);
     }
 
-    /** The estimated run time of a task of the job, in seconds, on a machine like most. */
+    /** The estimated run time of a task of the job, in seconds, on a machine of usual speed. */
     public double runS(JobSpec job) {
         return expectedS(job);
     }
 
-    /** The estimated run time of a task of the job on the machine. */
+    /** The estimated run time of a task of the job on the machine, in seconds. */
     public double runS(JobSpec job, String machine) {
         return runS(job, machineFactor(machine));
     }
@@ -117,26 +129,27 @@
     }
 
     /**
-     * What a spot machine costs a task on average: the chance that it is taken meanwhile, times the work that is
-     * lost then. Small for short tasks and for those that save, and so enough to send long ones that don't save to
-     * ordinary machines while those have room.
+     * What a spot instance costs a task on average, in seconds: the chance that it is evicted meanwhile, times the work that is
+     * lost then. Small for short tasks and for those that write checkpoints, and so enough to send long ones without
+     * checkpoints to ordinary machines while those have room.
      */
-    public static double spotRiskS(JobSpec job, double runS) {
-        double lost = job.writesCheckpoints() ? Math.min(runS, job.checkpointS()) : runS;
-        return runS / TAKEN_S * (lost / 2 + runS / 4);
+    static double spotRiskS(JobSpec job, double runS) {
+        double atRiskS = job.writesCheckpoints() ? Math.min(runS, job.checkpointS()) : runS;
+        return runS / SPOT_LIFETIME_S * (atRiskS / 2 + runS / 4);
     }
 
-    public static double fetchS(JobSpec job, MachineType type) {
+    /** Seconds to fetch the job's image on a machine of the type; 0 if its rate isn't known. */
+    static double fetchS(JobSpec job, MachineType type) {
         return type.fetchGbPerS() <= 0 ? 0 : job.imageGb() / type.fetchGbPerS();
     }
 
     /** How much longer than expected the machine takes, 1 for any that is about as fast as the others. */
     public double machineFactor(String machine) {
-        Account a = byMachine.get(machine);
-        return a == null || a.factor < ALIKE ? 1 : a.factor;
+        MachineHistory history = machines.get(machine);
+        return history == null || history.factor < MIN_RELEVANT_FACTOR ? 1 : history.factor;
     }
 
-    private static double clamp(double f) {
-        return Math.min(MOST, Math.max(1 / MOST, f));
+    private static double clamp(double factor) {
+        return Math.min(MAX_FACTOR, Math.max(1 / MAX_FACTOR, factor));
     }
 }
--- a/src/main/java/garnetscale/core/partition/BidSubmitter.java
+++ b/src/main/java/garnetscale/core/partition/BidSubmitter.java
@@ -4,6 +4,7 @@
 import garnetscale.core.Times;
 import garnetscale.core.bidding.Bid;
 import garnetscale.core.bidding.BidBatch;
+import garnetscale.core.bidding.Bidder;
 import garnetscale.core.bidding.Bidding;
 import garnetscale.core.bidding.Estimator;
 import garnetscale.core.machine.FreeCapacity;
@@ -172,12 +173,12 @@
     }
 
     /** Machines that may bid, with what is free on them. */
-    private List<Bidding.Bidder> bidders(long now, List<JobView> waiting) {
+    private List<Bidder> bidders(long now, List<JobView> waiting) {
         double minCpus = Double.MAX_VALUE;
         for (JobView job : waiting) {
             minCpus = Math.min(minCpus, job.spec().cpus());
         }
-        List<Bidding.Bidder> bidders = new ArrayList<>();
+        List<Bidder> bidders = new ArrayList<>();
         for (MachineView machine : machines.values()) {
             WorkerHeartbeat heartbeat = machine.lastHeartbeat;
             MachineType type = heartbeat == null ? null : replica.type(heartbeat.type());
@@ -190,8 +191,7 @@
             }
             FreeCapacity free = placedFree.copy();
             takeUnplaced(machine, free);
-            bidders.add(new Bidding.Bidder(
-                    machine.id, heartbeat.agentEpoch(), type, heartbeat.zone(), heartbeat.spot(), free));
+            bidders.add(new Bidder(machine.id, heartbeat.agentEpoch(), type, heartbeat.zone(), heartbeat.spot(), free));
         }
         return bidders;
     }
@@ -221,7 +221,7 @@
     boolean mayBid(long now, MachineView machine) {
         WorkerHeartbeat heartbeat = machine.lastHeartbeat;
         return heartbeat != null
-                && !reachability.isolatedFromWorkers()
+                && !reachability.isIsolatedFromWorkers()
                 && machine.hasAnswered
                 && !machine.isUnreachable()
                 && !machine.isSilent(now, config.heartbeatIntervalMs())
--- a/src/main/java/garnetscale/core/partition/PartitionOwner.java
+++ b/src/main/java/garnetscale/core/partition/PartitionOwner.java
@@ -148,7 +148,7 @@
 
     /** Whether no worker can reach this controller, as far as it can tell; its partitions are better off elsewhere. */
     public boolean isolatedFromWorkers() {
-        return reachability.isolatedFromWorkers();
+        return reachability.isIsolatedFromWorkers();
     }
 
     /** Milliseconds until bids that were put off are due, or -1 if there are none. */
--- a/src/main/java/garnetscale/core/partition/Reachability.java
+++ b/src/main/java/garnetscale/core/partition/Reachability.java
@@ -46,7 +46,7 @@
     }
 
     /** Whether no worker can reach this controller, as far as it can tell. */
-    boolean isolatedFromWorkers() {
+    boolean isIsolatedFromWorkers() {
         return isolatedFromWorkers;
     }
 
--- a/src/main/java/garnetscale/core/queue/JobOrder.java
+++ b/src/main/java/garnetscale/core/queue/JobOrder.java
@@ -7,60 +7,66 @@
 import garnetscale.core.state.JobView;
 
 /**
- * The order of a line: priority, then the shorter estimate, aged by waiting (DESIGN; the paper's shortest
- * processing time first). The estimate is that of the job's work that is still to start, since users wait for
- * jobs, not tasks; it is divided by one plus the waiting in units of that same work, so that a long job overtakes
- * short ones after waiting a few times its own length.
+ * The order of waiting jobs: by priority, then the shorter estimate, aged by waiting (DESIGN; the paper's shortest processing
+ * time first). The estimate is that of the job's work that is still to start, since users wait for jobs, not tasks. It is
+ * divided by one plus the waiting time in units of that same work, so that a long job overtakes short ones after waiting a few
+ * times its own length.
  *
- * <p>Each multiple of its deadline that counts and can't be met any more puts a job behind others of its priority:
- * when not all can be in time, those that can go first. Both are bounded: a job of which nothing has begun comes to the
- * head after a while, or the largest would wait for as long as shorter ones keep coming.
+ * <p>Each deadline objective that applies to a job and can't be met any more puts it behind others of its priority: when not
+ * all can be in time, those that can go first. Both are bounded, to prevent starvation: a job of which nothing has started
+ * comes to the head after a while, or the largest would wait for as long as shorter ones keep coming.
  */
 public final class JobOrder {
 
-    /** Work below this counts as this much, in seconds: tiny estimates must not put a guest at every head. */
-    private static final double FLOOR_S = 10;
+    /** Work below this counts as this much, in CPU seconds: tiny estimates must not put a guest team at every head. */
+    private static final double MIN_WORK_S = 10;
 
-    private static final double PRIORITY = 1e9;
-    private static final double MISSED = 1e8;
-    private static final double MOST = 9e7;
-    private static final int MOST_MISSED = 8;
+    private static final double PRIORITY_WEIGHT = 1e9;
+    /** More than any aged work, and with all misses of a job less than a priority. */
+    private static final double MISSED_DEADLINE_WEIGHT = 1e8;
 
-    /** A job of which nothing has begun isn't left behind for longer than this, in units of a cancellation's time. */
-    private static final double PATIENCE = 1.5;
+    private static final double MAX_AGED_WORK_S = 9e7;
+    private static final int MAX_MISSED_DEADLINES = 8;
 
-    private final double patienceS;
-    private final ListMultimap<String, SchedulerConfig.ServiceLevelObjective> due = ArrayListMultimap.create();
+    /** A job of which nothing has started isn't left behind for longer than this, in units of the cancellation time. */
+    private static final double STARVATION_LIMIT = 1.5;
 
+    private final double starvationLimitS;
+    private final ListMultimap<String, SchedulerConfig.ServiceLevelObjective> deadlinesByClass =
+            ArrayListMultimap.create();
+
+    /** Takes the deadline objectives and the cancellation time from the configuration. */
     public JobOrder(SchedulerConfig config) {
-        patienceS = PATIENCE * config.cancelMs() / 1000.0;
-        for (SchedulerConfig.ServiceLevelObjective o : config.objectives()) {
-            if (o.kind().equals("deadline")) {
-                due.put(o.jobClass(), o);
+        starvationLimitS = STARVATION_LIMIT * config.cancelMs() / 1000.0;
+        for (SchedulerConfig.ServiceLevelObjective objective : config.objectives()) {
+            if (objective.kind().equals("deadline")) {
+                deadlinesByClass.put(objective.jobClass(), objective);
             }
         }
     }
 
-    /** How many of the deadlines that count for the job's class a task started now would miss. */
-    private int missed(JobSpec spec, double waitedS) {
-        double end = waitedS + spec.estimateS();
+    /** How many of the deadline objectives of the job's class a task started now would miss. */
+    private int missedDeadlines(JobSpec spec, double waitedS) {
+        double endS = waitedS + spec.estimateS();
         int missed = 0;
-        for (SchedulerConfig.ServiceLevelObjective o : due.get(spec.jobClass())) {
-            missed += spec.deadlineS() != null && end > spec.deadlineS() * o.times() ? 1 : 0;
+        for (SchedulerConfig.ServiceLevelObjective objective : deadlinesByClass.get(spec.jobClass())) {
+            missed += spec.deadlineS() != null && endS > spec.deadlineS() * objective.times() ? 1 : 0;
         }
-        return Math.min(missed, MOST_MISSED);
+        return Math.min(missed, MAX_MISSED_DEADLINES);
     }
 
-    /** Smaller is nearer to the head. */
+    /** The sort key of a job, with {@code nowMs} as time of day; a smaller one is nearer to the head. */
     double key(JobView job, long nowMs) {
         JobSpec spec = job.spec();
-        double waited = Math.max(0, nowMs - job.job().submittedMs()) / 1000.0;
-        if (job.placedCount() == 0 && job.finishedCount() == 0 && waited > patienceS) {
-            // Nothing of it has begun: to the head of its priority, and once it has waited twice as long, of all.
-            return (waited > 2 * patienceS ? 0 : spec.priority().ordinal()) * PRIORITY - waited;
+        double waitedS = Math.max(0, nowMs - job.job().submittedMs()) / 1000.0;
+        if (job.placedCount() == 0 && job.finishedCount() == 0 && waitedS > starvationLimitS) {
+            // Nothing of it has started: to the head of its priority, and once it has waited twice as long, of all.
+            return (waitedS > 2 * starvationLimitS ? 0 : spec.priority().ordinal()) * PRIORITY_WEIGHT - waitedS;
         }
-        double work = Math.max(FLOOR_S, spec.estimateS() * Math.max(1, job.unstarted()) * Math.max(1, spec.cpus()));
-        double aged = Math.min(MOST, work / (1 + waited / work));
-        return spec.priority().ordinal() * PRIORITY + missed(spec, waited) * MISSED + aged;
+        double workS = Math.max(MIN_WORK_S, spec.estimateS() * Math.max(1, job.unstarted()) * Math.max(1, spec.cpus()));
+        double agedWorkS = Math.min(MAX_AGED_WORK_S, workS / (1 + waitedS / workS));
+        return spec.priority().ordinal() * PRIORITY_WEIGHT
+                + missedDeadlines(spec, waitedS) * MISSED_DEADLINE_WEIGHT
+                + agedWorkS;
     }
 }
--- a/src/main/java/garnetscale/core/queue/JobQueue.java
+++ b/src/main/java/garnetscale/core/queue/JobQueue.java
@@ -7,33 +7,36 @@
 import java.util.List;
 
 /**
- * The line of one machine: the jobs with unstarted tasks that the machine may run, head first. A line is cheap
- * to make anew from the replica, and so it is made anew rather than patched: after any failure it is right again
- * by itself. Machines of one type, zone and kind have the same line: the order, and which of the jobs they may run.
+ * The queue of one machine: the jobs with unstarted tasks that the machine may run, head first. A queue is cheap to make anew
+ * from the replica, and so it is made anew rather than patched: after any failure it is right again by itself. Machines of one
+ * type and zone that are alike spot instances or not have the same queue.
  */
 public final class JobQueue {
 
     private JobQueue() {}
 
-    /** Puts live jobs with unstarted tasks into the order that all lines share. */
+    /** Returns the live jobs with unstarted tasks, as a new list in the order that all queues share; ties go by job id. */
     public static List<JobView> sort(Iterable<JobView> all, JobOrder order, long nowMs) {
-        record Keyed(double key, JobView job) {}
-        List<Keyed> keyed = new ArrayList<>();
-        for (JobView j : all) {
-            if (j.live() && j.unstarted() > 0) {
-                keyed.add(new Keyed(order.key(j, nowMs), j));
+        /** A job with its sort key, which is computed once. */
+        record KeyedJob(double key, JobView job) {}
+        List<KeyedJob> keyed = new ArrayList<>();
+        for (JobView job : all) {
+            if (job.live() && job.unstarted() > 0) {
+                keyed.add(new KeyedJob(order.key(job, nowMs), job));
             }
         }
-        keyed.sort((a, b) -> {
-            int c = Double.compare(a.key(), b.key());
-            return c != 0 ? c : a.job().spec().id().compareTo(b.job().spec().id());
+        keyed.sort((first, second) -> {
+            int byKey = Double.compare(first.key(), second.key());
+            return byKey != 0
+                    ? byKey
+                    : first.job().spec().id().compareTo(second.job().spec().id());
         });
         List<JobView> sorted = new ArrayList<>(keyed.size());
-        keyed.forEach(k -> sorted.add(k.job()));
+        keyed.forEach(entry -> sorted.add(entry.job()));
         return sorted;
     }
 
-    /** Whether a machine of the given type, zone and kind has a job of this kind in its line. */
+    /** Whether a machine of the given type and zone, spot instance or not, has such a job in its queue. */
     public static boolean allows(MachineType type, String zone, boolean spot, JobSpec job) {
         return type.fits(job) && job.allowsZone(zone) && (!spot || job.spot());
     }
--- a/src/test/java/garnetscale/core/bidding/BiddingTest.java
+++ b/src/test/java/garnetscale/core/bidding/BiddingTest.java
@@ -28,7 +28,7 @@
 
     private final StateReplica replica = new StateReplica();
     private final List<KeyChange> jobs = new ArrayList<>();
-    private final List<Bidding.Bidder> bidders = new ArrayList<>();
+    private final List<Bidder> bidders = new ArrayList<>();
 
     private void job(String id, int tasks, double cpus, String type) {
         JobSpec s = TestJob.named(id)
@@ -43,7 +43,7 @@
 
     private void machines(int count, MachineType type) {
         for (int i = 0; i < count; i++) {
-            bidders.add(new Bidding.Bidder("m-" + type.name() + i, 1, type, "a", false, new FreeCapacity(type)));
+            bidders.add(new Bidder("m-" + type.name() + i, 1, type, "a", false, new FreeCapacity(type)));
         }
     }
 
--- a/src/test/java/garnetscale/core/partition/ReachabilityTest.java
+++ b/src/test/java/garnetscale/core/partition/ReachabilityTest.java
@@ -48,7 +48,7 @@
         reachability.onReachable(0);
         checkUntilIsolated(0, 500, MACHINES);
         assertFalse(reachability.check(30_000, MACHINES, Set.of("a/0")));
-        assertFalse(reachability.isolatedFromWorkers());
+        assertFalse(reachability.isIsolatedFromWorkers());
     }
 
     @Test
@@ -61,7 +61,7 @@
                 0,
                 reachability.machinesToProbe(at + 5000, ALL, machine -> "b/0").size());
         reachability.onReachable(at + 6000);
-        assertFalse(reachability.isolatedFromWorkers());
+        assertFalse(reachability.isIsolatedFromWorkers());
         assertEquals(
                 0,
                 reachability.machinesToProbe(at + 20_000, ALL, machine -> "a/0").size());
