--- a/src/main/java/garnetscale/core/bidding/Auction.java
+++ b/src/main/java/garnetscale/core/bidding/Auction.java
@@ -12,7 +12,7 @@
 
 /**
  * The bids that the leader has, and when each job's window closes (paper, DSP step 4): once its time is over, or early when
- * every owned partition has bid with the job in sight, since then no better bid can come from a machine that has room now.
+ * every owned partition has bid with the job in sight, since then no better bid can come from a machine that has capacity now.
  */
 public final class Auction {
 
@@ -21,7 +21,7 @@
     private final Map<String, BidBatch> batchesByOwner = new HashMap<>();
     private final Map<String, Long> openSinceByJob = new HashMap<>();
     private final ListMultimap<String, Bid> bidsByJob = ArrayListMultimap.create();
-    /** A batch came since the bids were last grouped by job: that is done when somebody asks, not for each batch. */
+    /** A batch came since the bids were last grouped by job: that is done on the next read, not for each batch. */
     private boolean isStale;
 
     /** Creates an auction without bids in which a job's window is open for so long. */
--- a/src/main/java/garnetscale/core/bidding/Bidding.java
+++ b/src/main/java/garnetscale/core/bidding/Bidding.java
@@ -18,7 +18,7 @@
  * Makes the bids of one partition owner's machines, each for the jobs at the head of its queue (paper, DSP step 3). Machines
  * of one {@link BidderGroup} have the same queue, so it is gone through once for all of them. For each job only about as many
  * of the best bids are made as could win: the leader has no use for more from one owner. What a machine would give to the jobs
- * before counts as taken, so that the jobs behind find bids of machines that will still have room.
+ * before counts as taken, so that the jobs behind find bids of machines that will still have capacity.
  *
  * <p>An instance makes one batch. It goes through thousands of machines for hundreds of jobs, so it allocates per batch and
  * per bid, not per candidate.
@@ -103,7 +103,7 @@
         candidates = new long[openCount];
         for (Bidder bidder : open) {
             freeCpus += bidder.free.cpus();
-            // A list as key, not a record: see {@link garnetscale.core} for what a record's hash costs at a start.
+            // A list as key, not a record, whose hash would be linked at start-up; see the package garnetscale.core.
             bidder.group = groups.computeIfAbsent(List.of(bidder.type.name(), bidder.zone, bidder.spot), key -> {
                 representatives.add(bidder);
                 return new BidderGroup();
--- a/src/main/java/garnetscale/core/bidding/Estimator.java
+++ b/src/main/java/garnetscale/core/bidding/Estimator.java
@@ -131,7 +131,7 @@
     /**
      * What a spot instance costs a task on average, in seconds: the chance that it is evicted meanwhile, times the work that is
      * lost then. Small for short tasks and for those that write checkpoints, and so enough to send long ones without
-     * checkpoints to ordinary machines while those have room.
+     * checkpoints to ordinary machines while those have capacity.
      */
     static double spotRiskS(JobSpec job, double runS) {
         double atRiskS = job.writesCheckpoints() ? Math.min(runS, job.checkpointS()) : runS;
--- a/src/main/java/garnetscale/core/partition/BidSubmitter.java
+++ b/src/main/java/garnetscale/core/partition/BidSubmitter.java
@@ -27,7 +27,7 @@
 
 /**
  * Submits the bids of this owner's machines to the leader when something that they depend on has changed, and not more often
- * than the windows that they are meant for can tell apart (paper, DSP step 3).
+ * than the windows that they are meant for can distinguish (paper, DSP step 3).
  */
 final class BidSubmitter {
 
@@ -148,7 +148,7 @@
         for (String id : lateBidJobs) {
             JobView job = replica.job(id);
             if (job != null && job.live() && job.unstarted() == 0) {
-                // Behind all that waits: a late bid is only for room that nobody else has a use for.
+                // Behind all that waits: a late bid is only for capacity that nobody else has a use for.
                 waiting.add(job);
             }
         }
@@ -164,7 +164,7 @@
                 .bids(waiting, bidders(now, waiting));
     }
 
-    /** Whether the leader has a use for the batch; with jobs waiting it also tells up to which revision they are in sight. */
+    /** Whether the leader has a use for the batch; with jobs waiting it also says up to which revision jobs are in sight. */
     private boolean isNews(BidBatch batch, List<JobView> waiting) {
         return lastBatch == null
                 || !lastBatch.bids().equals(batch.bids())
--- a/src/main/java/garnetscale/core/partition/HeartbeatIntake.java
+++ b/src/main/java/garnetscale/core/partition/HeartbeatIntake.java
@@ -29,7 +29,7 @@
     private final StateReplica replica;
     private final Estimator estimator;
     private final Map<String, MachineView> machines;
-    /** Jobs that fail wherever they run, by what the leader hears of all machines. */
+    /** Jobs that fail wherever they run, by what the leader knows of all machines. */
     private final Set<String> suspectJobs = new HashSet<>();
 
     /** {@code machines} is shared; this class uncordons them. */
@@ -103,7 +103,7 @@
     }
 
     /**
-     * A machine that fails its tasks at once always has room and the image, so its bids would be the only ones. Failures of
+     * A machine that fails its tasks at once always has free capacity and the image, so its bids would be the only ones. Failures of
      * one job alone say nothing about the machine.
      */
     private void recordFailure(long now, MachineView machine, TaskStatus task) {
--- a/src/main/java/garnetscale/core/partition/MachineView.java
+++ b/src/main/java/garnetscale/core/partition/MachineView.java
@@ -37,7 +37,7 @@
      * a late copy, or come from a machine that nothing reaches; neither is given work.
      */
     boolean hasAnswered;
-    /** When a probe of the worker was last asked for. */
+    /** When a probe of the worker was last requested. */
     long probedAt = Times.NEVER;
     /** Whether a direct command is in flight; there is at most one. */
     boolean commandInFlight;
--- a/src/main/java/garnetscale/core/partition/OwnerEffect.java
+++ b/src/main/java/garnetscale/core/partition/OwnerEffect.java
@@ -16,7 +16,7 @@
             implements OwnerEffect {}
 
     /**
-     * Asks a worker for its status; its heartbeat would come here only when the next one is due. Ends with {@link
+     * Requests the status of a worker; its heartbeat would come here only when the next one is due. Ends with {@link
      * PartitionOwner#onProbeEnded}, and if it is answered also with {@link PartitionOwner#onProbeAnswer}.
      */
     record ProbeWorker(String machine, String address) implements OwnerEffect {}
--- a/src/main/java/garnetscale/core/partition/PartitionMap.java
+++ b/src/main/java/garnetscale/core/partition/PartitionMap.java
@@ -7,7 +7,7 @@
 /**
  * Which partition a machine belongs to. Partitions never span zones, and a zone has as many as it has controllers, so that
  * each controller can own one in its zone. The mapping is a function of the machine's name and zone alone: every controller
- * finds the owner for a worker that it has never heard of.
+ * finds the owner for a worker that it has never seen.
  */
 public final class PartitionMap {
 
--- a/src/main/java/garnetscale/core/partition/PartitionOwner.java
+++ b/src/main/java/garnetscale/core/partition/PartitionOwner.java
@@ -25,7 +25,7 @@
  */
 public final class PartitionOwner {
 
-    /** Machines are gone over so many times in a heartbeat interval, also where nothing new is known of them. */
+    /** Sweeps over all machines in a heartbeat interval, for what time alone may change. */
     private static final int SWEEPS_PER_HEARTBEAT = 4;
 
     private final SchedulerConfig config;
--- a/src/main/java/garnetscale/core/partition/WorkerMessageHandler.java
+++ b/src/main/java/garnetscale/core/partition/WorkerMessageHandler.java
@@ -22,7 +22,7 @@
     private final StatusPublisher status;
     private final BidSubmitter bids;
 
-    /** {@code machines} is shared; this class adds those that it hears of first. */
+    /** {@code machines} is shared; this class adds those that it is the first to learn of. */
     WorkerMessageHandler(
             PartitionMap partitions,
             PartitionLeases leases,
--- a/src/main/java/garnetscale/core/partition/WorkerProbes.java
+++ b/src/main/java/garnetscale/core/partition/WorkerProbes.java
@@ -83,7 +83,7 @@
         }
     }
 
-    /** Sends the queued probes that there is room for; a machine that sent a heartbeat and has answered needs none. */
+    /** Sends the queued probes that the limiter admits; a machine that sent a heartbeat and has answered needs none. */
     void sendQueued(long now) {
         for (MachineAddress machine = next(now); machine != null; machine = next(now)) {
             effects.add(new OwnerEffect.ProbeWorker(machine.machine(), machine.address()));
--- a/src/main/java/garnetscale/core/partition/WorkerRequestLimiter.java
+++ b/src/main/java/garnetscale/core/partition/WorkerRequestLimiter.java
@@ -10,7 +10,7 @@
 /**
  * Bounds the direct requests to workers that are in flight; each takes a socket and a good part of a millisecond. After a
  * change of owner every machine is to be probed at once, and a hundred hanging workers answer nothing. Commands may use the
- * whole bound, probes half of it. A probe that finds no room is queued; a command isn't, since the acknowledgement of the
+ * whole bound, probes half of it. A probe that exceeds its bound is queued; a command isn't, since the acknowledgement of the
  * machine's next heartbeat carries the same commands.
  */
 final class WorkerRequestLimiter {
@@ -72,7 +72,7 @@
      * are dropped from the queue.
      *
      * @param isNeeded whether the machine of this name still needs a probe
-     * @return null if nothing is queued or there is no room
+     * @return null if nothing is queued or the bound is reached
      */
     MachineAddress nextProbe(Predicate<String> isNeeded) {
         while (!queuedProbes.isEmpty() && probes < maxProbes() && commands + probes < max) {
--- a/src/test/java/garnetscale/core/bidding/BiddingTest.java
+++ b/src/test/java/garnetscale/core/bidding/BiddingTest.java
@@ -20,7 +20,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** What a holder's machines offer when more waits than they have room for. */
+/** What an owner's machines bid when more waits than they have capacity for. */
 class BiddingTest {
 
     private static final MachineType SMALL = new MachineType("small", 8, 0, 32, 50, 1, 1, 0.5, 40, List.of("a"));
@@ -31,14 +31,14 @@
     private final List<Bidder> bidders = new ArrayList<>();
 
     private void job(String id, int tasks, double cpus, String type) {
-        JobSpec s = TestJob.named(id)
+        JobSpec spec = TestJob.named(id)
                 .tasks(tasks)
                 .cpus(cpus)
                 .types(List.of(type))
                 .imageGb(1)
                 .estimateS(30)
                 .build();
-        jobs.add(new KeyChange(Keys.job(id), Records.job(new JobRecord(s, JobState.LIVE, 0)), 1));
+        jobs.add(new KeyChange(Keys.job(id), Records.job(new JobRecord(spec, JobState.LIVE, 0)), 1));
     }
 
     private void machines(int count, MachineType type) {
@@ -49,11 +49,11 @@
 
     private List<Bid> bids() {
         replica.reset(jobs, 1);
-        ScarceTypeFilter scarcity = new ScarceTypeFilter(TestConfig.small()
+        ScarceTypeFilter scarceTypes = new ScarceTypeFilter(TestConfig.small()
                 .controllers(List.of())
                 .workers(1000, 10_000, 40_000)
                 .build());
-        return new Bidding(replica, new Estimator(1000), scarcity, 0, Set.of())
+        return new Bidding(replica, new Estimator(1000), scarceTypes, 0, Set.of())
                 .bids(List.copyOf(replica.jobs()), bidders);
     }
 
@@ -69,10 +69,10 @@
         List<Bid> bids = bids();
         assertEquals(
                 List.of(new Bid("m-large0", 1, "wk-99", 2, 31)),
-                bids.stream().filter(b -> b.job().equals("wk-99")).toList());
+                bids.stream().filter(bid -> bid.job().equals("wk-99")).toList());
         double offered = bids.stream()
-                .filter(b -> !b.job().equals("wk-99"))
-                .mapToDouble(b -> 4 * b.slots())
+                .filter(bid -> !bid.job().equals("wk-99"))
+                .mapToDouble(bid -> 4 * bid.slots())
                 .sum();
         assertTrue(offered <= 3 * 80, offered + " CPUs offered of 80");
     }
--- a/src/test/java/garnetscale/core/queue/JobOrderTest.java
+++ b/src/test/java/garnetscale/core/queue/JobOrderTest.java
@@ -24,28 +24,28 @@
 
     private final List<KeyChange> jobs = new ArrayList<>();
 
-    private void job(String id, Priority priority, int tasks, long submittedMs, Double dueS) {
-        JobSpec s = TestJob.named(id)
+    private void job(String id, Priority priority, int tasks, long submittedMs, Double deadlineS) {
+        JobSpec spec = TestJob.named(id)
                 .priority(priority)
                 .tasks(tasks)
                 .cpus(2)
                 .imageGb(1)
                 .estimateS(30)
-                .deadlineS(dueS)
+                .deadlineS(deadlineS)
                 .build();
-        jobs.add(new KeyChange(Keys.job(id), Records.job(new JobRecord(s, JobState.LIVE, submittedMs)), 1));
+        jobs.add(new KeyChange(Keys.job(id), Records.job(new JobRecord(spec, JobState.LIVE, submittedMs)), 1));
     }
 
-    private List<String> line(long nowMs) {
-        StateReplica m = new StateReplica();
-        m.reset(jobs, 1);
+    private List<String> sorted(long nowMs) {
+        StateReplica replica = new StateReplica();
+        replica.reset(jobs, 1);
         JobOrder order = new JobOrder(TestConfig.small()
                 .controllers(List.of())
                 .objectives(new SchedulerConfig.ServiceLevelObjective("deadline", "c", 0, 0.9, 1))
                 .workers(1000, 10_000, CANCEL_MS)
                 .build());
-        return JobQueue.sort(m.jobs(), order, nowMs).stream()
-                .map(j -> j.spec().id())
+        return JobQueue.sort(replica.jobs(), order, nowMs).stream()
+                .map(job -> job.spec().id())
                 .toList();
     }
 
@@ -55,17 +55,17 @@
         job("wk-short", Priority.NORMAL, 3, 0, null);
         job("wk-late", Priority.NORMAL, 1, 0, 20.0);
         job("wk-urgent", Priority.HIGH, 90, 0, null);
-        assertEquals(List.of("wk-urgent", "wk-short", "wk-long", "wk-late"), line(1000));
+        assertEquals(List.of("wk-urgent", "wk-short", "wk-long", "wk-late"), sorted(1000));
     }
 
-    /** Shorter ones keep coming and a deadline is missed: both once kept the largest jobs from ever beginning. */
+    /** Shorter ones keep coming and a deadline is missed: both once kept the largest jobs from ever starting. */
     @Test
-    void whatHasNotBegunComesToTheHead() {
+    void whatHasNotStartedComesToTheHead() {
         job("wk-long", Priority.NORMAL, 90, 0, 50.0);
         long later = CANCEL_MS * 3 / 2 + 1000;
         job("wk-short", Priority.NORMAL, 1, later - 10, null);
         job("wk-urgent", Priority.HIGH, 1, later - 10, null);
-        assertEquals(List.of("wk-urgent", "wk-long", "wk-short"), line(later));
+        assertEquals(List.of("wk-urgent", "wk-long", "wk-short"), sorted(later));
     }
 
     @Test
@@ -73,6 +73,6 @@
         job("wk-long", Priority.LOW, 90, 0, null);
         long later = 3 * CANCEL_MS + 1000;
         job("wk-urgent", Priority.HIGH, 1, later - 10, null);
-        assertEquals(List.of("wk-long", "wk-urgent"), line(later));
+        assertEquals(List.of("wk-long", "wk-urgent"), sorted(later));
     }
 }
