--- a/src/main/java/garnetscale/core/partition/MachineFencing.java
+++ b/src/main/java/garnetscale/core/partition/MachineFencing.java
@@ -30,7 +30,7 @@
         return token;
     }
 
-    /** The worker shows that it has seen this token of the present term; the machine's token is never below it. */
+    /** The worker has seen this token, of the present term or an earlier one; the machine's token is never below it. */
     void onTokenSeen(long seenToken) {
         token = Math.max(token, seenToken);
     }
--- a/src/test/java/garnetscale/core/partition/OwnerFixture.java
+++ b/src/test/java/garnetscale/core/partition/OwnerFixture.java
@@ -29,16 +29,16 @@
     static final long TERM = FencingTokens.partitionTerm(1, 1);
     static final long FIRST_TOKEN = FencingTokens.firstToken(TERM);
     static final long ATTEMPT = FencingTokens.attempt(1, 1);
+    static final String MACHINE = "m-000000";
     static final TaskId TASK = new TaskId("wk-1", 0);
 
-    private static final String MACHINE = "m-000000";
     private static final long INCARNATION = 1;
     private static final int LIST_LIMIT = 100;
 
     final SchedulerConfig config;
     final PartitionOwner owner;
     private final StateModel state = new StateModel();
-    private final StateReplica replica = new StateReplica();
+    final StateReplica replica = new StateReplica();
     private long tick;
 
     /** {@code settings} is completed by the job's team. */
--- /dev/null
+++ b/src/test/java/garnetscale/core/partition/TerminationProofTest.java
@@ -0,0 +1,88 @@
+package garnetscale.core.partition;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import garnetscale.core.TestConfig;
+import garnetscale.core.machine.WorkerHeartbeat;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import org.junit.jupiter.api.Test;
+
+/** A placed attempt is terminated by proof alone; that a heartbeat lacks it, or that there is none, isn't one. */
+class TerminationProofTest {
+
+    private static final Set<Long> NONE = Set.of();
+    private static final Set<Long> PROVED = Set.of(OwnerFixture.ATTEMPT);
+    private static final long OWNED_SINCE = 1000;
+
+    private final OwnerFixture fixture = new OwnerFixture(TestConfig.small()).placeTask();
+    private final MachineView machine = new MachineView(OwnerFixture.MACHINE, "a/0", OwnerFixture.TERM);
+    private final OwnedPartition owned = new OwnedPartition(OwnerFixture.TERM, OWNED_SINCE);
+    private final DesiredPlacements desired =
+            new DesiredPlacements(fixture.config, fixture.replica, Map.of(OwnerFixture.MACHINE, machine));
+    private final TerminationProof termination = new TerminationProof(fixture.config, fixture.replica, desired);
+
+    private static WorkerHeartbeat emptyHeartbeat(long agentEpoch, long fencingToken) {
+        return new WorkerHeartbeat(
+                OwnerFixture.MACHINE, "h:1", "t", "a", false, agentEpoch, 1, fencingToken, null, List.of());
+    }
+
+    private Set<Long> proved() {
+        termination.proveTerminated(machine, owned);
+        return machine.terminatedAttempts;
+    }
+
+    private Set<Long> provedAt(long now) {
+        termination.expire(now, machine, owned);
+        return proved();
+    }
+
+    @Test
+    void anAttemptThatIsToStartIsNotTerminated() {
+        machine.lastHeartbeat = emptyHeartbeat(1, OwnerFixture.FIRST_TOKEN);
+        assertEquals(NONE, proved());
+    }
+
+    @Test
+    void aCancelledAttemptIsTerminatedOnceNoStartCanArrive() {
+        desired.onCancelled("wk-1");
+        machine.fencing.onDirectStart(OwnerFixture.ATTEMPT);
+        machine.lastHeartbeat = emptyHeartbeat(1, OwnerFixture.FIRST_TOKEN);
+        assertEquals(NONE, proved());
+        machine.lastHeartbeat = emptyHeartbeat(1, OwnerFixture.FIRST_TOKEN + 1);
+        assertEquals(PROVED, proved());
+    }
+
+    @Test
+    void aNewerAgentEpochTerminatesAttemptsOfTheOneBefore() {
+        machine.lastHeartbeat = emptyHeartbeat(2, 0);
+        assertEquals(PROVED, proved());
+    }
+
+    @Test
+    void aMachineWithoutHeartbeatIsTerminatedAfterTheFence() {
+        long fence = OWNED_SINCE + fixture.config.fenceMs();
+        assertEquals(NONE, provedAt(fence));
+        assertEquals(PROVED, provedAt(fence + 1));
+    }
+
+    @Test
+    void aMachineThatHasSeenTheTokenIsTerminatedOnceItsLeaseHasExpired() {
+        long acknowledgedAt = 5000;
+        machine.lastHeartbeat = emptyHeartbeat(1, OwnerFixture.FIRST_TOKEN);
+        machine.tokenSeenAt = OWNED_SINCE;
+        machine.acknowledgedAt = acknowledgedAt;
+        long expiry = acknowledgedAt + fixture.config.silentMs();
+        assertEquals(NONE, provedAt(expiry));
+        assertEquals(PROVED, provedAt(expiry + 1));
+    }
+
+    @Test
+    void withoutTheTokenAnEarlierOwnerMayHaveAcknowledgedItForTheGrace() {
+        machine.lastHeartbeat = emptyHeartbeat(1, OwnerFixture.FIRST_TOKEN - 1);
+        long fence = OWNED_SINCE + fixture.config.fenceMs();
+        assertEquals(NONE, provedAt(fence));
+        assertEquals(PROVED, provedAt(fence + 1));
+    }
+}
