--- /dev/null
+++ b/src/main/java/garnetscale/emulator/EmulatedWorker.java
@@ -0,0 +1,113 @@
+package garnetscale.emulator;
+
+import garnetscale.core.machine.WorkerHeartbeat;
+import garnetscale.net.HttpClient;
+import garnetscale.net.HttpResult;
+import garnetscale.net.Reply;
+import garnetscale.wire.Cbor;
+import io.netty.channel.EventLoopGroup;
+import io.netty.handler.codec.http.HttpMethod;
+import java.io.IOException;
+import java.util.List;
+import java.util.Map;
+import java.util.concurrent.TimeUnit;
+import java.util.function.Consumer;
+import java.util.function.LongSupplier;
+
+/** One worker on loopback: sends heartbeats to the controllers and serves direct commands, on a {@link WorkerModel}. */
+final class EmulatedWorker {
+
+    /** A worker reports a fencing token that it hasn't seen before once this has passed. */
+    private static final long TOKEN_CHANGE_REPORTED_MS = 500;
+
+    private static final long REDIRECT_DELAY_MS = 10;
+    private static final int TIMEOUT_MS = 4000;
+
+    private final EventLoopGroup loop;
+    private final HttpClient http;
+    private final LongSupplier clock;
+    private final Map<String, String> addresses;
+    private final List<String> controllers;
+    private final long heartbeatIntervalMs;
+    private WorkerModel model;
+    private int target;
+
+    /** {@code addresses} are those of the controllers, by name. */
+    EmulatedWorker(
+            EventLoopGroup loop,
+            HttpClient http,
+            LongSupplier clock,
+            Map<String, String> addresses,
+            long heartbeatIntervalMs) {
+        this.loop = loop;
+        this.http = http;
+        this.clock = clock;
+        this.addresses = addresses;
+        this.controllers = List.copyOf(addresses.keySet());
+        this.heartbeatIntervalMs = heartbeatIntervalMs;
+    }
+
+    /** Starts to send heartbeats; {@link #handle} may be called from now on. */
+    void start(WorkerModel worker) {
+        model = worker;
+        loop.next().schedule(this::sendHeartbeat, heartbeatIntervalMs / 4, TimeUnit.MILLISECONDS);
+    }
+
+    private void sendHeartbeat() {
+        model.advance(clock.getAsLong());
+        WorkerHeartbeat heartbeat = model.heartbeat();
+        String controller = controllers.get(Math.floorMod(target, controllers.size()));
+        long sentAt = clock.getAsLong();
+        byte[] body = Cbor.write(WorkerMessages.heartbeat(heartbeat));
+        http.call(addresses.get(controller), HttpMethod.POST, "/hello", body, TIMEOUT_MS, result -> {
+            long pause = onAnswer(heartbeat, sentAt, result);
+            loop.next().schedule(this::sendHeartbeat, pause, TimeUnit.MILLISECONDS);
+        });
+    }
+
+    /** Takes the answer in; returns the milliseconds until the next heartbeat. */
+    private long onAnswer(WorkerHeartbeat heartbeat, long sentAt, HttpResult result) {
+        try {
+            if (result.is(200)) {
+                Map<?, ?> body = Cbor.readMap(result.body());
+                long fencingToken = WorkerMessages.fencingToken(body);
+                model.answered(
+                        clock.getAsLong(), sentAt, heartbeat.agentEpoch(), fencingToken, WorkerMessages.commands(body));
+                return fencingToken > heartbeat.fencingToken()
+                        ? Math.min(heartbeatIntervalMs, TOKEN_CHANGE_REPORTED_MS)
+                        : heartbeatIntervalMs;
+            }
+            // The owner may be missing: asking an immutable list for null ended the worker for good.
+            if (result.is(421)
+                    && Cbor.readMap(result.body()).get("steward") instanceof String owner
+                    && controllers.contains(owner)) {
+                target = controllers.indexOf(owner);
+                return REDIRECT_DELAY_MS;
+            }
+            target++;
+        } catch (IOException e) {
+            target++;
+        }
+        return heartbeatIntervalMs;
+    }
+
+    /** Serves a direct request: {@code /commands}, or any other path for the worker's status alone. */
+    @SuppressWarnings("IllegalCatch") // A malformed body fails in casts all over its decoding; each is a 400.
+    void handle(String path, byte[] body, Consumer<Reply> answer) {
+        int status = 200;
+        try {
+            if (path.equals("/commands")) {
+                Map<?, ?> command = Cbor.readMap(body);
+                boolean isCarriedOut = model.command(
+                        clock.getAsLong(),
+                        WorkerMessages.fencingToken(command),
+                        WorkerMessages.agentEpoch(command),
+                        WorkerMessages.commands(command));
+                status = isCarriedOut ? 200 : 409;
+            }
+            answer.accept(Reply.of(status, Cbor.write(WorkerMessages.heartbeat(model.heartbeat()))));
+        } catch (IOException | RuntimeException e) {
+            answer.accept(Reply.of(400));
+        }
+    }
+}
--- a/src/main/java/garnetscale/emulator/StateLimits.java
+++ b/src/main/java/garnetscale/emulator/StateLimits.java
@@ -16,13 +16,13 @@
  */
 public record StateLimits(int valueBytes, int changes, int transactionBytes) {
 
-    /** Whatever is asked is taken. */
+    /** No limits. */
     public static final StateLimits NONE = new StateLimits(Integer.MAX_VALUE, Integer.MAX_VALUE, Integer.MAX_VALUE);
 
     private static final int CONDITIONS = 4;
     private static final JsonFactory JSON = new JsonFactory();
 
-    /** What a transaction is refused for, or null. */
+    /** The limit that a transaction exceeds, or null. */
     String violationBy(Transaction transaction) {
         if (equals(NONE)) {
             return null;
@@ -33,10 +33,10 @@
         if (transaction.guards().size() > (long) CONDITIONS * changes) {
             return transaction.guards().size() + " conditions";
         }
-        for (Transaction.Op op : transaction.ops()) {
-            long bytes = op.value() == null ? 0 : jsonBytes(op.value());
+        for (Transaction.Op operation : transaction.ops()) {
+            long bytes = operation.value() == null ? 0 : jsonBytes(operation.value());
             if (bytes > valueBytes) {
-                return "value of " + bytes + " bytes under " + op.key();
+                return "value of " + bytes + " bytes under " + operation.key();
             }
         }
         long bytes = jsonBytes(StateCodec.tree(transaction));
--- a/src/main/java/garnetscale/emulator/StateModel.java
+++ b/src/main/java/garnetscale/emulator/StateModel.java
@@ -7,10 +7,10 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** The state service by its published protocol, in memory, with the time handed in. */
+/** The state service by its published protocol, in memory, with the time passed in. */
 public final class StateModel {
 
-    /** A key's value, the revision of its last change, and the lease it hangs on (0: none). */
+    /** The value of a key, the revision of its last change, and the lease that it is attached to (0: none). */
     public record Entry(Object value, long modRevision, long lease) {}
 
     private static final class Lease {
@@ -38,24 +38,27 @@
         this(StateLimits.NONE);
     }
 
+    /** Creates an empty service that rejects what exceeds the limits. */
     public StateModel(StateLimits limits) {
         this.limits = limits;
     }
 
-    /** What was wrong with the transactions that were refused for their size. */
+    /** What was wrong with the transactions that were rejected for their size. */
     public List<String> oversized() {
         return oversized;
     }
 
+    /** The revision of the last change. */
     public long revision() {
         return revision;
     }
 
+    /** The entry of a key, or null. */
     public Entry get(String key) {
         return keys.get(key);
     }
 
-    /** Ends leases whose time is over, and removes their keys. */
+    /** Ends the leases that have expired, and removes their keys. */
     public void expire(long now) {
         for (long id : List.copyOf(leases.keySet())) {
             if (leases.get(id).until < now) {
@@ -64,31 +67,34 @@
         }
     }
 
+    /** Grants a lease; returns its id. */
     public long grant(long now, long ttlMs) {
         leases.put(++lastLease, new Lease(ttlMs, now));
         return lastLease;
     }
 
+    /** Renews a lease for its full time; false if there is none. */
     public boolean touch(long now, long id) {
-        Lease l = leases.get(id);
-        if (l == null) {
+        Lease lease = leases.get(id);
+        if (lease == null) {
             return false;
         }
-        l.until = now + l.ttlMs;
+        lease.until = now + lease.ttlMs;
         return true;
     }
 
-    /** After an outage every lease has its full time again. */
+    /** Renews all leases for their full time, as after an outage. */
     public void refreshLeases(long now) {
-        leases.values().forEach(l -> l.until = now + l.ttlMs);
+        leases.values().forEach(lease -> lease.until = now + lease.ttlMs);
     }
 
+    /** Ends a lease and removes its keys; false if there is none. */
     public boolean end(long id) {
         if (leases.remove(id) == null) {
             return false;
         }
         List<String> attached = keys.entrySet().stream()
-                .filter(e -> e.getValue().lease() == id)
+                .filter(entry -> entry.getValue().lease() == id)
                 .map(Map.Entry::getKey)
                 .toList();
         if (!attached.isEmpty()) {
@@ -104,33 +110,33 @@
         }
     }
 
-    /** 200, 409 or 400 as the protocol says. */
+    /** Applies a transaction: 200, 409 or 400 as the protocol says. */
     public int commit(Transaction transaction) {
         String violation = limits.violationBy(transaction);
         if (violation != null) {
             oversized.add(violation);
             return 400;
         }
-        for (Map.Entry<String, Long> g : transaction.guards().entrySet()) {
-            Entry e = keys.get(g.getKey());
-            if ((e == null ? 0 : e.modRevision()) != g.getValue()) {
+        for (Map.Entry<String, Long> guard : transaction.guards().entrySet()) {
+            Entry entry = keys.get(guard.getKey());
+            if ((entry == null ? 0 : entry.modRevision()) != guard.getValue()) {
                 return 409;
             }
         }
-        for (Transaction.Op op : transaction.ops()) {
-            if (op.lease() != 0 && !leases.containsKey(op.lease())) {
+        for (Transaction.Op operation : transaction.ops()) {
+            if (operation.lease() != 0 && !leases.containsKey(operation.lease())) {
                 return 400;
             }
         }
         if (!transaction.ops().isEmpty()) {
             revision++;
         }
-        for (Transaction.Op op : transaction.ops()) {
-            if (op.value() == null) {
-                remove(op.key());
+        for (Transaction.Op operation : transaction.ops()) {
+            if (operation.value() == null) {
+                remove(operation.key());
             } else {
-                keys.put(op.key(), new Entry(op.value(), revision, op.lease()));
-                log.add(new KeyChange(op.key(), op.value(), revision));
+                keys.put(operation.key(), new Entry(operation.value(), revision, operation.lease()));
+                log.add(new KeyChange(operation.key(), operation.value(), revision));
             }
         }
         return 200;
@@ -139,13 +145,15 @@
     /** Keys with the prefix after {@code since}, in order. */
     public List<KeyChange> list(String prefix, String since, int limit) {
         List<KeyChange> page = new ArrayList<>();
-        for (Map.Entry<String, Entry> e : keys.tailMap(prefix, true).entrySet()) {
-            if (!e.getKey().startsWith(prefix) || page.size() == limit) {
+        for (Map.Entry<String, Entry> entry : keys.tailMap(prefix, true).entrySet()) {
+            if (!entry.getKey().startsWith(prefix) || page.size() == limit) {
                 break;
             }
-            if (since == null || e.getKey().compareTo(since) > 0) {
+            if (since == null || entry.getKey().compareTo(since) > 0) {
                 page.add(new KeyChange(
-                        e.getKey(), e.getValue().value(), e.getValue().modRevision()));
+                        entry.getKey(),
+                        entry.getValue().value(),
+                        entry.getValue().modRevision()));
             }
         }
         return page;
@@ -158,7 +166,7 @@
             from--;
         }
         return log.subList(from, log.size()).stream()
-                .filter(c -> c.key().startsWith(prefix))
+                .filter(change -> change.key().startsWith(prefix))
                 .toList();
     }
 }
--- a/src/main/java/garnetscale/emulator/StateService.java
+++ b/src/main/java/garnetscale/emulator/StateService.java
@@ -13,63 +13,52 @@
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
 
-/** The state service's requests by its published protocol, on a {@link StateModel}; without limits or failures of its own. */
+/** Serves the requests of the state service by its published protocol, on a {@link StateModel}. */
 public final class StateService {
 
-    private record Waiting(String prefix, long since, long until, Consumer<Reply> answer) {}
+    private record Watch(String prefix, long since, long until, Consumer<Reply> answer) {}
+
+    private static final String LEASES = "/holds/";
+    private static final String RENEWAL = "/touch";
+    private static final String KEYS = "/keys/";
 
     private final StateModel state;
     private final LongSupplier clock;
-    private final long kept;
-    private final List<Waiting> watches = new ArrayList<>();
+    private final long keptRevisions;
+    private final List<Watch> watches = new ArrayList<>();
 
-    /** {@code kept} is how many revisions back a watch may begin. */
-    public StateService(StateModel state, LongSupplier clock, long kept) {
+    /**
+     * Creates a service.
+     *
+     * @param clock the time, in milliseconds
+     * @param keptRevisions how many revisions back a watch may begin
+     */
+    public StateService(StateModel state, LongSupplier clock, long keptRevisions) {
         this.state = state;
         this.clock = clock;
-        this.kept = kept;
+        this.keptRevisions = keptRevisions;
     }
 
+    /** Serves a request; malformed ones are answered with 400. */
+    @SuppressWarnings("IllegalCatch") // A malformed body fails in casts all over its decoding; each is a 400.
     public void handle(String method, String uri, byte[] body, Consumer<Reply> answer) {
-        QueryStringDecoder q = new QueryStringDecoder(uri);
-        String path = q.path();
+        QueryStringDecoder query = new QueryStringDecoder(uri);
+        String path = query.path();
         try {
-            if (path.equals("/multi")) {
-                answer.accept(commit(Cbor.readMap(body)));
-            } else if (path.equals("/holds")) {
-                long ttl = ((Number) Cbor.readMap(body).get("ttl_ms")).longValue();
-                answer.accept(ok(Map.of("tenure", state.grant(clock.getAsLong(), ttl))));
-            } else if (path.startsWith("/holds/") && path.endsWith("/touch")) {
-                long id = Long.parseLong(path.substring(7, path.length() - 6));
-                answer.accept(state.touch(clock.getAsLong(), id) ? ok(Map.of()) : Reply.of(404));
-            } else if (path.startsWith("/holds/") && method.equals("DELETE")) {
-                answer.accept(state.end(Long.parseLong(path.substring(7))) ? ok(Map.of()) : Reply.of(404));
-            } else if (path.equals("/follow") && Long.parseLong(param(q, "since", "0")) < state.revision() - kept) {
-                answer.accept(Reply.of(410));
-            } else if (path.equals("/follow")) {
-                long wait = Long.parseLong(param(q, "wait_ms", "0"));
-                watches.add(new Waiting(
-                        param(q, "starts", ""),
-                        Long.parseLong(param(q, "since", "0")),
-                        clock.getAsLong() + wait,
-                        answer));
-            } else if (path.equals("/keys")) {
-                int limit = Integer.parseInt(param(q, "limit", "1000"));
-                List<KeyChange> page = state.list(param(q, "starts", ""), param(q, "since", null), limit + 1);
-                boolean more = page.size() > limit;
-                List<Object> pairs = new ArrayList<>();
-                for (KeyChange c : more ? page.subList(0, limit) : page) {
-                    pairs.add(Map.of("key", c.key(), "v", c.value(), "stamp", c.modRevision()));
-                }
-                answer.accept(ok(Map.of("pairs", pairs, "has_next", more, "ledger", state.revision())));
-            } else if (path.startsWith("/keys/")) {
-                StateModel.Entry e = state.get(path.substring(6));
-                answer.accept(
-                        e == null
-                                ? Reply.of(404, Cbor.write(Map.of("ledger", state.revision())))
-                                : ok(Map.of("key", path.substring(6), "v", e.value(), "stamp", e.modRevision())));
+            if (path.equals("/follow")) {
+                watch(query, answer);
+            } else if (path.startsWith(LEASES)) {
+                answer.accept(onLease(method, path.substring(LEASES.length())));
+            } else if (path.startsWith(KEYS)) {
+                answer.accept(read(path.substring(KEYS.length())));
             } else {
-                answer.accept(Reply.of(404));
+                answer.accept(
+                        switch (path) {
+                            case "/multi" -> commit(Cbor.readMap(body));
+                            case "/holds" -> grant(Cbor.readMap(body));
+                            case "/keys" -> list(query);
+                            default -> Reply.of(404);
+                        });
             }
         } catch (IOException | RuntimeException e) {
             answer.accept(Reply.of(400, UserCodec.error(String.valueOf(e.getMessage()))));
@@ -77,9 +66,53 @@
         wake();
     }
 
-    private static String param(QueryStringDecoder q, String name, String other) {
-        List<String> v = q.parameters().get(name);
-        return v == null ? other : v.get(0);
+    private Reply grant(Map<?, ?> body) {
+        long ttlMs = ((Number) body.get("ttl_ms")).longValue();
+        return ok(Map.of("tenure", state.grant(clock.getAsLong(), ttlMs)));
+    }
+
+    private Reply onLease(String method, String path) {
+        if (path.endsWith(RENEWAL)) {
+            long lease = Long.parseLong(path.substring(0, path.length() - RENEWAL.length()));
+            return state.touch(clock.getAsLong(), lease) ? ok(Map.of()) : Reply.of(404);
+        }
+        if (method.equals("DELETE")) {
+            return state.end(Long.parseLong(path)) ? ok(Map.of()) : Reply.of(404);
+        }
+        return Reply.of(404);
+    }
+
+    private void watch(QueryStringDecoder query, Consumer<Reply> answer) {
+        long since = Long.parseLong(param(query, "since", "0"));
+        if (since < state.revision() - keptRevisions) {
+            answer.accept(Reply.of(410));
+            return;
+        }
+        long waitMs = Long.parseLong(param(query, "wait_ms", "0"));
+        watches.add(new Watch(param(query, "starts", ""), since, clock.getAsLong() + waitMs, answer));
+    }
+
+    private Reply list(QueryStringDecoder query) {
+        int limit = Integer.parseInt(param(query, "limit", "1000"));
+        List<KeyChange> page = state.list(param(query, "starts", ""), param(query, "since", null), limit + 1);
+        boolean more = page.size() > limit;
+        List<Object> pairs = new ArrayList<>();
+        for (KeyChange change : more ? page.subList(0, limit) : page) {
+            pairs.add(Map.of("key", change.key(), "v", change.value(), "stamp", change.modRevision()));
+        }
+        return ok(Map.of("pairs", pairs, "has_next", more, "ledger", state.revision()));
+    }
+
+    private Reply read(String key) {
+        StateModel.Entry entry = state.get(key);
+        return entry == null
+                ? Reply.of(404, Cbor.write(Map.of("ledger", state.revision())))
+                : ok(Map.of("key", key, "v", entry.value(), "stamp", entry.modRevision()));
+    }
+
+    private static String param(QueryStringDecoder query, String name, String other) {
+        List<String> values = query.parameters().get(name);
+        return values == null ? other : values.get(0);
     }
 
     private static Reply ok(Map<String, ?> body) {
@@ -88,22 +121,22 @@
 
     private Reply commit(Map<?, ?> body) {
         Transaction transaction = new Transaction();
-        for (Object o : (List<?>) body.get("guards")) {
-            Map<?, ?> g = (Map<?, ?>) o;
-            transaction.guard((String) g.get("key"), ((Number) g.get("stamp")).longValue());
+        for (Object item : (List<?>) body.get("guards")) {
+            Map<?, ?> guard = (Map<?, ?>) item;
+            transaction.guard((String) guard.get("key"), ((Number) guard.get("stamp")).longValue());
         }
-        List<?> then = body.get("then") instanceof List<?> l ? l : List.of();
-        for (Object o : then) {
-            Map<?, ?> op = (Map<?, ?>) o;
+        List<?> then = body.get("then") instanceof List<?> list ? list : List.of();
+        for (Object item : then) {
+            Map<?, ?> op = (Map<?, ?>) item;
             if (op.containsKey("set")) {
-                long lease = op.get("tenure") instanceof Number n ? n.longValue() : 0;
+                long lease = op.get("tenure") instanceof Number number ? number.longValue() : 0;
                 transaction.put((String) op.get("set"), op.get("v"), lease);
             } else {
                 transaction.delete((String) op.get("remove"));
             }
         }
         List<String> failed = transaction.guards().entrySet().stream()
-                .filter(g -> modRevision(g.getKey()) != g.getValue())
+                .filter(guard -> modRevision(guard.getKey()) != guard.getValue())
                 .map(Map.Entry::getKey)
                 .toList();
         int status = state.commit(transaction);
@@ -116,26 +149,26 @@
     }
 
     private long modRevision(String key) {
-        StateModel.Entry e = state.get(key);
-        return e == null ? 0 : e.modRevision();
+        StateModel.Entry entry = state.get(key);
+        return entry == null ? 0 : entry.modRevision();
     }
 
-    /** Answers the watches that something has changed for, and those whose time is over. */
+    /** Answers the watches for which a key has changed, and those whose time is over. */
     public void wake() {
-        for (Waiting w : List.copyOf(watches)) {
-            List<KeyChange> changes = state.changes(w.prefix(), w.since());
-            if (changes.isEmpty() && clock.getAsLong() < w.until()) {
+        for (Watch watch : List.copyOf(watches)) {
+            List<KeyChange> changes = state.changes(watch.prefix(), watch.since());
+            if (changes.isEmpty() && clock.getAsLong() < watch.until()) {
                 continue;
             }
-            watches.remove(w);
+            watches.remove(watch);
             List<Object> log = new ArrayList<>();
-            for (KeyChange c : changes) {
+            for (KeyChange change : changes) {
                 log.add(
-                        c.value() == null
-                                ? Map.of("remove", c.key(), "stamp", c.modRevision())
-                                : Map.of("set", c.key(), "v", c.value(), "stamp", c.modRevision()));
+                        change.value() == null
+                                ? Map.of("remove", change.key(), "stamp", change.modRevision())
+                                : Map.of("set", change.key(), "v", change.value(), "stamp", change.modRevision()));
             }
-            w.answer().accept(ok(Map.of("ledger", state.revision(), "log", log)));
+            watch.answer().accept(ok(Map.of("ledger", state.revision(), "log", log)));
         }
     }
 }
--- a/src/main/java/garnetscale/emulator/WorkerModel.java
+++ b/src/main/java/garnetscale/emulator/WorkerModel.java
@@ -18,13 +18,15 @@
 import java.util.function.Function;
 import java.util.function.Predicate;
 
-/** A worker by its published protocol, with the time handed in: tokens, sessions, tasks and leases. */
+/** A worker by its published protocol, with the time passed in: fencing tokens, agent epochs, tasks and leases. */
 public final class WorkerModel {
 
-    /** Told of every start and end of a task on this machine, so that a test can watch the rules. */
+    /** Observes every start and end of a task on this machine, so that a test can check the rules. */
     public interface Watcher {
+        /** A task started to run. */
         void began(String machine, TaskId task, long attempt);
 
+        /** A task stopped running; {@code completed} if it was done. */
         void ended(String machine, TaskId task, long attempt, boolean completed);
     }
 
@@ -58,9 +60,14 @@
     private long fencingToken;
     private long leaseFrom;
     private double slowness = 1;
-    private Predicate<TaskId> fails = t -> false;
+    private Predicate<TaskId> fails = task -> false;
     private Double evictionNoticeS;
 
+    /**
+     * Creates a worker in its first epoch, with a full lease from {@code now} on.
+     *
+     * @param jobs the specification of a job by its id, null if there is no such job
+     */
     public WorkerModel(
             String id,
             String address,
@@ -85,7 +92,7 @@
         slowness = times;
     }
 
-    /** Reports from now on that the cloud takes the machine in so many seconds. */
+    /** Reports from now on that the cloud evicts the machine in so many seconds. */
     public void evictionNotice(double seconds) {
         evictionNoticeS = seconds;
     }
@@ -95,72 +102,74 @@
         fails = which;
     }
 
+    /** The present agent epoch; it rises whenever the lease expires. */
     public long agentEpoch() {
         return agentEpoch;
     }
 
+    /** The name of the machine. */
     public String id() {
         return id;
     }
 
-    /** Ends the session if its lease is over; that holds for a machine that stands still, too. */
+    /** Starts a new agent epoch, without tasks, if the lease has expired; that holds for a machine that is paused, too. */
     public void expire(long now) {
         if (now - leaseFrom > leaseMs) {
-            tasks.values().forEach(t -> ended(t, false));
+            tasks.values().forEach(task -> ended(task, false));
             tasks.clear();
             agentEpoch++;
             leaseFrom = now;
         }
     }
 
-    /** Lets time pass: fetches and runs end, and a lease that wasn't renewed ends the session. */
+    /** Lets time pass: image fetches and tasks end, and a lease that wasn't renewed expires. */
     public void advance(long now) {
         expire(now);
-        for (Running t : tasks.values()) {
-            JobSpec job = jobs.apply(t.id.job());
-            if (t.state == TaskState.FETCHING && now >= t.until) {
+        for (Running task : tasks.values()) {
+            JobSpec job = jobs.apply(task.id.job());
+            if (task.state == TaskState.FETCHING && now >= task.until) {
                 images.add(job.image());
-                t.state = TaskState.RUNNING;
-                t.until = now + (results.contains(t.id) ? 0 : Math.round(job.estimateS() * 1000 * slowness));
-                watcher.began(id, t.id, t.attempt);
-                if (fails.test(t.id)) {
-                    exit(t, ExitCause.ERROR);
+                task.state = TaskState.RUNNING;
+                task.until = now + (results.contains(task.id) ? 0 : Math.round(job.estimateS() * 1000 * slowness));
+                watcher.began(id, task.id, task.attempt);
+                if (fails.test(task.id)) {
+                    exit(task, ExitCause.ERROR);
                 }
             }
-            if (t.state == TaskState.RUNNING && now >= t.until) {
-                results.add(t.id);
-                exit(t, ExitCause.DONE);
+            if (task.state == TaskState.RUNNING && now >= task.until) {
+                results.add(task.id);
+                exit(task, ExitCause.DONE);
             }
         }
     }
 
-    /** Goes on after the machine stood still: its tasks weren't executed meanwhile. */
+    /** Resumes after the machine was paused: its tasks didn't run meanwhile. */
     public void goOn(long now, long stoodStillMs) {
-        tasks.values().forEach(t -> t.until += stoodStillMs);
+        tasks.values().forEach(task -> task.until += stoodStillMs);
         advance(now);
     }
 
-    private void exit(Running t, ExitCause cause) {
-        ended(t, cause == ExitCause.DONE);
-        t.state = TaskState.EXITED;
-        t.cause = cause;
+    private void exit(Running task, ExitCause cause) {
+        ended(task, cause == ExitCause.DONE);
+        task.state = TaskState.EXITED;
+        task.cause = cause;
     }
 
-    private void ended(Running t, boolean completed) {
-        if (t.state == TaskState.RUNNING) {
-            watcher.ended(id, t.id, t.attempt, completed);
+    private void ended(Running task, boolean completed) {
+        if (task.state == TaskState.RUNNING) {
+            watcher.ended(id, task.id, task.attempt, completed);
         }
     }
 
-    /** A fresh report. */
+    /** A new heartbeat, of the status as it is now. */
     public WorkerHeartbeat heartbeat() {
         List<TaskStatus> list = new ArrayList<>();
-        tasks.values().forEach(t -> list.add(new TaskStatus(t.id, t.attempt, t.state, t.cause, false)));
+        tasks.values().forEach(task -> list.add(new TaskStatus(task.id, task.attempt, task.state, task.cause, false)));
         return new WorkerHeartbeat(
                 id, address, type.name(), zone, false, agentEpoch, ++tick, fencingToken, evictionNoticeS, list);
     }
 
-    /** The answer to a report that was sent at {@code sentAt} in session {@code heartbeatEpoch}. */
+    /** Takes in the answer to a heartbeat that was sent at {@code sentAt} in {@code heartbeatEpoch}. */
     public void answered(long now, long sentAt, long heartbeatEpoch, long answerToken, List<WorkerCommand> commands) {
         advance(now);
         if (heartbeatEpoch != agentEpoch || answerToken < fencingToken) {
@@ -168,60 +177,60 @@
         }
         fencingToken = answerToken;
         leaseFrom = Math.max(leaseFrom, sentAt);
-        commands.forEach(o -> execute(now, o));
+        commands.forEach(command -> execute(now, command));
     }
 
-    /** A direct command; false (409) when its token or session is not the present one. */
-    public boolean command(long now, long commandToken, long commandShift, List<WorkerCommand> commands) {
+    /** Carries out direct commands; false (409) if their fencing token or agent epoch isn't the present one. */
+    public boolean command(long now, long commandToken, long commandEpoch, List<WorkerCommand> commands) {
         advance(now);
-        if (commandToken < fencingToken || commandShift != agentEpoch) {
+        if (commandToken < fencingToken || commandEpoch != agentEpoch) {
             return false;
         }
         fencingToken = commandToken;
-        commands.forEach(o -> execute(now, o));
+        commands.forEach(command -> execute(now, command));
         return true;
     }
 
-    private void execute(long now, WorkerCommand order) {
-        Running t = tasks.get(order.attempt());
-        if (order instanceof WorkerCommand.Clear) {
-            if (t != null && t.state == TaskState.EXITED) {
-                tasks.remove(order.attempt());
+    private void execute(long now, WorkerCommand command) {
+        Running task = tasks.get(command.attempt());
+        if (command instanceof WorkerCommand.Clear) {
+            if (task != null && task.state == TaskState.EXITED) {
+                tasks.remove(command.attempt());
             }
-        } else if (order instanceof WorkerCommand.Stop) {
-            if (t != null && t.state != TaskState.EXITED) {
-                exit(t, ExitCause.STOPPED);
+        } else if (command instanceof WorkerCommand.Stop) {
+            if (task != null && task.state != TaskState.EXITED) {
+                exit(task, ExitCause.STOPPED);
             }
-        } else if (t == null) {
-            start(now, order);
+        } else if (task == null) {
+            start(now, command);
         }
     }
 
-    private void start(long now, WorkerCommand order) {
-        JobSpec job = jobs.apply(order.task().job());
-        Running t = new Running(order.task(), order.attempt(), TaskState.FETCHING, now);
-        tasks.put(order.attempt(), t);
-        boolean busy =
-                tasks.values().stream().anyMatch(o -> o != t && o.id.equals(t.id) && o.state != TaskState.EXITED);
+    private void start(long now, WorkerCommand command) {
+        JobSpec job = jobs.apply(command.task().job());
+        Running task = new Running(command.task(), command.attempt(), TaskState.FETCHING, now);
+        tasks.put(command.attempt(), task);
+        boolean busy = tasks.values().stream()
+                .anyMatch(other -> other != task && other.id.equals(task.id) && other.state != TaskState.EXITED);
         if (job == null) {
-            exit(t, ExitCause.UNKNOWN_TASK);
+            exit(task, ExitCause.UNKNOWN_TASK);
         } else if (busy) {
-            exit(t, ExitCause.BUSY);
-        } else if (!fits(t, job)) {
-            exit(t, ExitCause.NO_ROOM);
+            exit(task, ExitCause.BUSY);
+        } else if (!fits(task, job)) {
+            exit(task, ExitCause.NO_ROOM);
         } else if (!images.contains(job.image())) {
-            t.until = now + Math.round(job.imageGb() / type.fetchGbPerS() * 1000);
+            task.until = now + Math.round(job.imageGb() / type.fetchGbPerS() * 1000);
         }
         advance(now);
     }
 
     private boolean fits(Running mine, JobSpec job) {
-        FreeCapacity room = new FreeCapacity(type);
-        for (Running t : tasks.values()) {
-            if (t != mine && t.state != TaskState.EXITED) {
-                room.take(jobs.apply(t.id.job()));
+        FreeCapacity free = new FreeCapacity(type);
+        for (Running task : tasks.values()) {
+            if (task != mine && task.state != TaskState.EXITED) {
+                free.take(jobs.apply(task.id.job()));
             }
         }
-        return room.fits(job);
+        return free.fits(job);
     }
 }
--- a/src/main/java/garnetscale/wire/Cbor.java
+++ b/src/main/java/garnetscale/wire/Cbor.java
@@ -9,8 +9,8 @@
 import java.util.Map;
 
 /**
- * Bodies as plain maps, lists, texts and numbers, by Jackson's streaming parser. No data binding: it would cost
- * a starting process more processor time than all else together.
+ * Reads and writes CBOR bodies as plain maps, lists, strings and numbers, by Jackson's streaming parser. No data binding:
+ * initialising it would cost a starting process more processor time than everything else together.
  */
 public final class Cbor {
 
@@ -21,13 +21,22 @@
 
     private Cbor() {}
 
-    /** Reads exactly one value; anything else is an IOException. */
+    /**
+     * Decodes exactly one value.
+     *
+     * @throws IOException if the body is empty, cut short, nested too deeply or followed by more
+     */
     public static Object read(byte[] body) throws IOException {
-        try (JsonParser p = FACTORY.createParser(body)) {
-            return Trees.read(p);
+        try (JsonParser parser = FACTORY.createParser(body)) {
+            return Trees.read(parser);
         }
     }
 
+    /**
+     * Decodes exactly one map.
+     *
+     * @throws IOException if the body is malformed or not a map
+     */
     public static Map<?, ?> readMap(byte[] body) throws IOException {
         if (read(body) instanceof Map<?, ?> map) {
             return map;
@@ -35,10 +44,11 @@
         throw new IOException("not a map");
     }
 
+    /** Encodes a value of maps, lists, strings, booleans and numbers. */
     public static byte[] write(Object value) {
         ByteArrayOutputStream out = new ByteArrayOutputStream(256);
-        try (JsonGenerator g = FACTORY.createGenerator(out)) {
-            Trees.write(g, value);
+        try (JsonGenerator generator = FACTORY.createGenerator(out)) {
+            Trees.write(generator, value);
         } catch (IOException e) {
             throw new IllegalStateException(e);
         }
--- a/src/main/java/garnetscale/wire/CloudCodec.java
+++ b/src/main/java/garnetscale/wire/CloudCodec.java
@@ -9,82 +9,105 @@
 import java.util.List;
 import java.util.Map;
 
-/** What the cloud is asked and answers. */
+/** Encodes requests to the cloud and decodes its answers, in the words of PROTOCOL, "The cloud". */
 public final class CloudCodec {
 
+    /** Instances per page of the instance list. */
     public static final int PAGE = 500;
 
-    /** A page of the machine list. */
+    /**
+     * One page of the instance list.
+     *
+     * @param more whether further pages follow
+     */
     public record Page(List<CloudInstance> machines, boolean more) {}
 
     private CloudCodec() {}
 
+    /**
+     * Decodes the machine types with their current prices.
+     *
+     * @throws IOException if the body is malformed; the message names the field
+     */
     public static List<MachineType> types(byte[] body) throws IOException {
         List<MachineType> list = new ArrayList<>();
-        for (Object o : new Fields(Cbor.readMap(body)).list("breeds")) {
-            Fields t = Fields.of(o, "breed");
-            double price = t.amount("rate");
-            Double spot = t.amountOrNull("market_price");
-            List<String> zones = t.textsOrNull("fields");
+        for (Object item : new Fields(Cbor.readMap(body)).list("breeds")) {
+            Fields type = Fields.of(item, "breed");
+            double price = type.amount("rate");
+            Double spot = type.amountOrNull("market_price");
+            List<String> zones = type.textsOrNull("fields");
             list.add(new MachineType(
-                    t.text("name"),
-                    t.amount("cpus"),
-                    t.amount("gpus"),
-                    t.amount("ram_gb"),
-                    t.amount("cache_gb"),
-                    t.amount("fetch_gb_per_s"),
+                    type.text("name"),
+                    type.amount("cpus"),
+                    type.amount("gpus"),
+                    type.amount("ram_gb"),
+                    type.amount("cache_gb"),
+                    type.amount("fetch_gb_per_s"),
                     price,
                     spot == null ? price : spot,
-                    t.amount("startup_s"),
+                    type.amount("startup_s"),
                     zones == null ? List.of() : zones));
         }
         return List.copyOf(list);
     }
 
-    public static byte[] scaleOut(CloudCall.ScaleOut r) {
-        Map<String, Object> m = new LinkedHashMap<>();
-        m.put("ask", r.request());
-        m.put("breed", r.type());
-        m.put("field", r.zone());
-        m.put("windfall", r.spot());
-        m.put("how_many", r.count());
-        return Cbor.write(m);
+    /** Encodes a request for new instances. */
+    public static byte[] scaleOut(CloudCall.ScaleOut request) {
+        Map<String, Object> body = new LinkedHashMap<>();
+        body.put("ask", request.request());
+        body.put("breed", request.type());
+        body.put("field", request.zone());
+        body.put("windfall", request.spot());
+        body.put("how_many", request.count());
+        return Cbor.write(body);
     }
 
+    /**
+     * Decodes the names of the instances that a scale-out request brought; empty if the answer names none.
+     *
+     * @throws IOException if the body is malformed
+     */
     public static List<String> scaledOut(byte[] body) throws IOException {
         List<String> ids = new Fields(Cbor.readMap(body)).textsOrNull("hives");
         return ids == null ? List.of() : ids;
     }
 
-    public static byte[] delete(CloudCall.ScaleIn d) {
-        return Cbor.write(Map.of("hives", d.machines()));
+    /** Encodes the deletion of instances. */
+    public static byte[] delete(CloudCall.ScaleIn request) {
+        return Cbor.write(Map.of("hives", request.machines()));
     }
 
-    public static String pagePath(CloudCall.ListInstances p) {
-        return "/machines?limit=" + PAGE + (p.after().isEmpty() ? "" : "&since=" + p.after());
+    /** The path and query of a page of the instance list. */
+    public static String pagePath(CloudCall.ListInstances request) {
+        return "/machines?limit=" + PAGE + (request.after().isEmpty() ? "" : "&since=" + request.after());
     }
 
+    /**
+     * Decodes a page of the instance list.
+     *
+     * @throws IOException if the body is malformed; the message names the field
+     */
     public static Page page(byte[] body) throws IOException {
-        Fields f = new Fields(Cbor.readMap(body));
+        Fields fields = new Fields(Cbor.readMap(body));
         List<CloudInstance> list = new ArrayList<>();
-        for (Object o : f.list("hives")) {
-            Fields m = Fields.of(o, "machine");
+        for (Object item : fields.list("hives")) {
+            Fields machine = Fields.of(item, "machine");
             CloudInstance.State state =
-                    switch (m.text("mood")) {
+                    switch (machine.text("mood")) {
                         case "failed" -> CloudInstance.State.FAILED;
                         case "running" -> CloudInstance.State.RUNNING;
                         default -> CloudInstance.State.BOOTING;
                     };
-            String address = m.textOrNull("address");
+            String address = machine.textOrNull("address");
             list.add(new CloudInstance(
-                    m.text("id"),
+                    machine.text("id"),
                     address == null ? "" : address,
-                    m.text("breed"),
-                    m.text("field"),
-                    m.flagOrFalse("windfall"),
+                    machine.text("breed"),
+                    machine.text("field"),
+                    machine.flagOrFalse("windfall"),
                     state,
-                    m.amount("age_s")));
+                    machine.amount("age_s")));
         }
-        return new Page(list, f.flagOrFalse("has_next"));
+        return new Page(list, fields.flagOrFalse("has_next"));
     }
 }
--- a/src/main/java/garnetscale/wire/Fields.java
+++ b/src/main/java/garnetscale/wire/Fields.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** Reads fields of a decoded body, naming the field that is at fault. */
+/** Reads the fields of a decoded body; each exception names the field that is malformed. */
 final class Fields {
 
     private final Map<?, ?> map;
@@ -14,24 +14,24 @@
     }
 
     String text(String name) throws IOException {
-        String s = textOrNull(name);
-        if (s == null) {
+        String text = textOrNull(name);
+        if (text == null) {
             throw new IOException(name + " is missing");
         }
-        return s;
+        return text;
     }
 
     String textOrNull(String name) throws IOException {
-        Object v = map.get(name);
-        if (v == null || v instanceof String) {
-            return (String) v;
+        Object value = map.get(name);
+        if (value == null || value instanceof String) {
+            return (String) value;
         }
         throw new IOException(name + " is not text");
     }
 
     boolean flag(String name) throws IOException {
-        if (map.get(name) instanceof Boolean b) {
-            return b;
+        if (map.get(name) instanceof Boolean flag) {
+            return flag;
         }
         throw new IOException(name + " is not true or false");
     }
@@ -42,31 +42,31 @@
 
     /** A finite number of at least zero. */
     double amount(String name) throws IOException {
-        Double d = amountOrNull(name);
-        if (d == null) {
+        Double amount = amountOrNull(name);
+        if (amount == null) {
             throw new IOException(name + " is missing");
         }
-        return d;
+        return amount;
     }
 
     Double amountOrNull(String name) throws IOException {
-        Object v = map.get(name);
-        if (v == null) {
+        Object value = map.get(name);
+        if (value == null) {
             return null;
         }
-        if (v instanceof Number n) {
-            double d = n.doubleValue();
-            if (Double.isFinite(d) && d >= 0) {
-                return d;
+        if (value instanceof Number number) {
+            double amount = number.doubleValue();
+            if (Double.isFinite(amount) && amount >= 0) {
+                return amount;
             }
         }
         throw new IOException(name + " is not a finite number of at least 0");
     }
 
     long whole(String name) throws IOException {
-        Object v = map.get(name);
-        if (v instanceof Integer || v instanceof Long) {
-            return ((Number) v).longValue();
+        Object value = map.get(name);
+        if (value instanceof Integer || value instanceof Long) {
+            return ((Number) value).longValue();
         }
         throw new IOException(name + " is not an integer");
     }
@@ -76,8 +76,8 @@
     }
 
     List<?> list(String name) throws IOException {
-        if (map.get(name) instanceof List<?> l) {
-            return l;
+        if (map.get(name) instanceof List<?> list) {
+            return list;
         }
         throw new IOException(name + " is not a list");
     }
@@ -86,18 +86,18 @@
         if (map.get(name) == null) {
             return null;
         }
-        List<?> l = list(name);
-        for (Object o : l) {
-            if (!(o instanceof String)) {
+        List<?> list = list(name);
+        for (Object item : list) {
+            if (!(item instanceof String)) {
                 throw new IOException(name + " is not a list of texts");
             }
         }
-        return l.stream().map(String.class::cast).toList();
+        return list.stream().map(String.class::cast).toList();
     }
 
     static Fields of(Object value, String what) throws IOException {
-        if (value instanceof Map<?, ?> m) {
-            return new Fields(m);
+        if (value instanceof Map<?, ?> map) {
+            return new Fields(map);
         }
         throw new IOException(what + " is not a map");
     }
--- a/src/main/java/garnetscale/wire/Trees.java
+++ b/src/main/java/garnetscale/wire/Trees.java
@@ -9,84 +9,93 @@
 import java.util.List;
 import java.util.Map;
 
-/** What any of Jackson's streaming parsers brings, as plain maps, lists, texts and numbers. */
+/** Converts between Jackson's streaming parsers and generators of any format and plain maps, lists, strings and numbers. */
 public final class Trees {
 
     private Trees() {}
 
-    /** Reads exactly one value; anything else is an IOException. */
-    public static Object read(JsonParser p) throws IOException {
-        if (p.nextToken() == null) {
+    /**
+     * Reads exactly one value.
+     *
+     * @throws IOException if there is none, it is cut short or followed by more
+     */
+    public static Object read(JsonParser parser) throws IOException {
+        if (parser.nextToken() == null) {
             throw new IOException("empty body");
         }
-        Object value = value(p);
-        if (p.nextToken() != null) {
+        Object value = value(parser);
+        if (parser.nextToken() != null) {
             throw new IOException("more than one value");
         }
         return value;
     }
 
-    private static Object value(JsonParser p) throws IOException {
-        JsonToken t = p.currentToken();
-        return switch (t) {
+    private static Object value(JsonParser parser) throws IOException {
+        JsonToken token = parser.currentToken();
+        return switch (token) {
             case START_OBJECT -> {
                 Map<String, Object> map = new LinkedHashMap<>();
-                while (p.nextToken() == JsonToken.FIELD_NAME) {
-                    String name = p.currentName();
-                    p.nextToken();
-                    map.put(name, value(p));
+                while (parser.nextToken() == JsonToken.FIELD_NAME) {
+                    String name = parser.currentName();
+                    parser.nextToken();
+                    map.put(name, value(parser));
                 }
-                if (p.currentToken() != JsonToken.END_OBJECT) {
+                if (parser.currentToken() != JsonToken.END_OBJECT) {
                     throw new IOException("map cut short");
                 }
                 yield map;
             }
             case START_ARRAY -> {
                 List<Object> list = new ArrayList<>();
-                while (p.nextToken() != JsonToken.END_ARRAY) {
-                    if (p.currentToken() == null) {
+                while (parser.nextToken() != JsonToken.END_ARRAY) {
+                    if (parser.currentToken() == null) {
                         throw new IOException("list cut short");
                     }
-                    list.add(value(p));
+                    list.add(value(parser));
                 }
                 yield list;
             }
-            case VALUE_STRING -> p.getText();
-            case VALUE_NUMBER_INT, VALUE_NUMBER_FLOAT -> p.getNumberValue();
+            case VALUE_STRING -> parser.getText();
+            case VALUE_NUMBER_INT, VALUE_NUMBER_FLOAT -> parser.getNumberValue();
             case VALUE_TRUE -> Boolean.TRUE;
             case VALUE_FALSE -> Boolean.FALSE;
             case VALUE_NULL -> null;
-            default -> throw new IOException("not in the protocol: " + t);
+            default -> throw new IOException("not in the protocol: " + token);
         };
     }
 
-    /** Writes a value of maps, lists, texts and numbers by any of Jackson's generators. */
-    public static void write(JsonGenerator g, Object value) throws IOException {
+    /**
+     * Writes a value.
+     *
+     * @throws IllegalArgumentException if the value has a type other than map, list, string, boolean, integer, long or
+     * double
+     */
+    public static void write(JsonGenerator generator, Object value) throws IOException {
         if (value instanceof Map<?, ?> map) {
-            g.writeStartObject(map, map.size());
-            for (Map.Entry<?, ?> e : map.entrySet()) {
-                g.writeFieldName((String) e.getKey());
-                write(g, e.getValue());
+            generator.writeStartObject(map, map.size());
+            for (Map.Entry<?, ?> entry : map.entrySet()) {
+                generator.writeFieldName((String) entry.getKey());
+                write(generator, entry.getValue());
             }
-            g.writeEndObject();
+            generator.writeEndObject();
         } else if (value instanceof List<?> list) {
-            g.writeStartArray(list, list.size());
-            for (Object o : list) {
-                write(g, o);
+            generator.writeStartArray(list, list.size());
+            for (Object item : list) {
+                write(generator, item);
             }
-            g.writeEndArray();
-        } else if (value instanceof String s) {
-            g.writeString(s);
-        } else if (value instanceof Integer i) {
-            g.writeNumber(i);
-        } else if (value instanceof Long l) {
-            g.writeNumber(l);
-        } else if (value instanceof Double d) {
-            g.writeNumber(d);
-        } else if (value instanceof Boolean b) {
-            g.writeBoolean(b);
+            generator.writeEndArray();
+        } else if (value instanceof String text) {
+            generator.writeString(text);
+        } else if (value instanceof Integer number) {
+            generator.writeNumber(number);
+        } else if (value instanceof Long number) {
+            generator.writeNumber(number);
+        } else if (value instanceof Double number) {
+            generator.writeNumber(number);
+        } else if (value instanceof Boolean flag) {
+            generator.writeBoolean(flag);
         } else if (value == null) {
-            g.writeNull();
+            generator.writeNull();
         } else {
             throw new IllegalArgumentException("no form in the protocol for " + value.getClass());
         }
--- a/src/main/java/garnetscale/wire/WorkerCodec.java
+++ b/src/main/java/garnetscale/wire/WorkerCodec.java
@@ -12,43 +12,48 @@
 import java.util.List;
 import java.util.Map;
 
-/** Reports and commands. */
+/** Decodes heartbeats of workers and encodes answers and commands to them (PROTOCOL, "Workers"). */
 public final class WorkerCodec {
 
     private WorkerCodec() {}
 
+    /**
+     * Decodes a heartbeat; states and causes that the protocol doesn't name become {@code UNKNOWN} and {@code OTHER}.
+     *
+     * @throws IOException if a field is missing or malformed; the message names it
+     */
     public static WorkerHeartbeat heartbeat(byte[] body) throws IOException {
-        Fields f = new Fields(Cbor.readMap(body));
+        Fields fields = new Fields(Cbor.readMap(body));
         List<TaskStatus> tasks = new ArrayList<>();
-        for (Object o : f.list("chores")) {
-            Fields t = Fields.of(o, "chore");
-            TaskId id = TaskId.parse(t.text("chore"));
+        for (Object item : fields.list("chores")) {
+            Fields task = Fields.of(item, "chore");
+            TaskId id = TaskId.parse(task.text("chore"));
             if (id == null) {
                 throw new IOException("chore is not job/number");
             }
-            TaskState state = state(t.text("mood"));
+            TaskState state = state(task.text("mood"));
             tasks.add(new TaskStatus(
                     id,
-                    t.whole("try"),
+                    task.whole("try"),
                     state,
-                    state == TaskState.EXITED ? cause(t.textOrNull("cause")) : null,
-                    t.flagOrFalse("saved")));
+                    state == TaskState.EXITED ? cause(task.textOrNull("cause")) : null,
+                    task.flagOrFalse("saved")));
         }
         return new WorkerHeartbeat(
-                f.text("hive"),
-                f.text("address"),
-                f.text("breed"),
-                f.text("field"),
-                f.flagOrFalse("windfall"),
-                f.whole("shift"),
-                f.whole("tick"),
-                f.wholeOr("baton", 0),
-                f.amountOrNull("warning_s"),
+                fields.text("hive"),
+                fields.text("address"),
+                fields.text("breed"),
+                fields.text("field"),
+                fields.flagOrFalse("windfall"),
+                fields.whole("shift"),
+                fields.whole("tick"),
+                fields.wholeOr("baton", 0),
+                fields.amountOrNull("warning_s"),
                 List.copyOf(tasks));
     }
 
-    private static TaskState state(String s) {
-        return switch (s) {
+    private static TaskState state(String word) {
+        return switch (word) {
             case "fetching" -> TaskState.FETCHING;
             case "running" -> TaskState.RUNNING;
             case "saving" -> TaskState.CHECKPOINTING;
@@ -57,8 +62,8 @@
         };
     }
 
-    private static ExitCause cause(String s) {
-        return switch (s == null ? "" : s) {
+    private static ExitCause cause(String word) {
+        return switch (word == null ? "" : word) {
             case "done" -> ExitCause.DONE;
             case "halted" -> ExitCause.STOPPED;
             case "error" -> ExitCause.ERROR;
@@ -69,34 +74,40 @@
         };
     }
 
-    /** The answer to a report. */
+    /** Encodes the answer to an accepted heartbeat. */
     public static byte[] answer(long fencingToken, List<WorkerCommand> commands) {
         return Cbor.write(Map.of("baton", fencingToken, "orders", commands(commands)));
     }
 
-    /** A direct command. */
+    /** Encodes commands that are sent directly, outside of a heartbeat. */
     public static byte[] commands(long fencingToken, long agentEpoch, List<WorkerCommand> commands) {
         return Cbor.write(Map.of("baton", fencingToken, "shift", agentEpoch, "orders", commands(commands)));
     }
 
+    /** Encodes the answer to a heartbeat that another controller is to get; {@code node} is null when none is known. */
     public static byte[] redirect(String node) {
         return Cbor.write(node == null ? Map.of() : Map.of("steward", node));
     }
 
     private static List<Object> commands(List<WorkerCommand> commands) {
-        List<Object> list = new ArrayList<>(commands.size());
-        for (WorkerCommand o : commands) {
-            Map<String, Object> m = new LinkedHashMap<>();
-            m.put(
-                    "verb",
-                    o instanceof WorkerCommand.Start ? "start" : o instanceof WorkerCommand.Stop ? "halt" : "clear");
-            m.put("chore", o.task().toString());
-            m.put("try", o.attempt());
-            if (o instanceof WorkerCommand.Stop s) {
-                m.put("mercy_s", s.graceS());
+        List<Object> rows = new ArrayList<>(commands.size());
+        for (WorkerCommand command : commands) {
+            Map<String, Object> row = new LinkedHashMap<>();
+            row.put("verb", verb(command));
+            row.put("chore", command.task().toString());
+            row.put("try", command.attempt());
+            if (command instanceof WorkerCommand.Stop stop) {
+                row.put("mercy_s", stop.graceS());
             }
-            list.add(m);
+            rows.add(row);
         }
-        return list;
+        return rows;
+    }
+
+    private static String verb(WorkerCommand command) {
+        if (command instanceof WorkerCommand.Start) {
+            return "start";
+        }
+        return command instanceof WorkerCommand.Stop ? "halt" : "clear";
     }
 }
