--- a/src/main/java/garnetscale/controller/ClusterInspector.java
+++ b/src/main/java/garnetscale/controller/ClusterInspector.java
@@ -218,7 +218,7 @@
                     row.put("task", placement.task().index());
                     row.put("machine", machine);
                     row.put("zone", replica.placedZone(machine));
-                    row.put("stop", placement.stop().name());
+                    row.put("stop", stop(placement.stop()));
                     rows.add(row);
                 }
             }
@@ -226,6 +226,11 @@
         return rows;
     }
 
+    /** The operators' word, which is older than the constant's name. */
+    private static String stop(Placement.Stop stop) {
+        return stop == Placement.Stop.CHECKPOINT ? "SAVE" : stop.name();
+    }
+
     // ---- upgrade
 
     private PeerMessage.OperatorResponse upgrade(String name) {
--- a/src/main/java/garnetscale/controller/LoadView.java
+++ b/src/main/java/garnetscale/controller/LoadView.java
@@ -5,6 +5,7 @@
 import garnetscale.core.balance.MachineGroup;
 import garnetscale.core.balance.MachineLoad;
 import garnetscale.core.balance.Move;
+import garnetscale.core.balance.UnknownReason;
 import java.util.Comparator;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -60,15 +61,25 @@
         return row;
     }
 
-    private static String counts(Map<?, Integer> counts) {
+    private static String counts(Map<UnknownReason, Integer> counts) {
         return counts.isEmpty()
                 ? "none"
                 : counts.entrySet().stream()
-                        .map(entry -> entry.getValue() + " " + entry.getKey())
+                        .map(entry -> entry.getValue() + " " + reason(entry.getKey()))
                         .sorted()
                         .collect(Collectors.joining(", "));
     }
 
+    /** The operators' word, which is older than the constant's name. */
+    private static String reason(UnknownReason reason) {
+        return switch (reason) {
+            case PARTITION_REASSIGNED -> "BLOCK_REASSIGNED";
+            case OWNER_UNHEARD -> "HOLDER_UNHEARD";
+            case OWNER_NOT_BIDDING -> "HOLDER_NOT_BIDDING";
+            case MACHINE_SILENT -> "MACHINE_SILENT";
+        };
+    }
+
     private static String teams(GroupTotals totals) {
         return totals.usedBy().isEmpty()
                 ? "none"
--- /dev/null
+++ b/src/test/java/garnetscale/controller/ClusterInspectorJsonTest.java
@@ -0,0 +1,173 @@
+package garnetscale.controller;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import garnetscale.core.SchedulerConfig;
+import garnetscale.core.TestConfig;
+import garnetscale.core.job.JobRecord;
+import garnetscale.core.job.JobState;
+import garnetscale.core.job.TaskId;
+import garnetscale.core.job.TestJob;
+import garnetscale.core.leader.Leader;
+import garnetscale.core.machine.Placement;
+import garnetscale.core.partition.ControllerInfo;
+import garnetscale.core.partition.LeaderInfo;
+import garnetscale.core.partition.PartitionLease;
+import garnetscale.core.partition.PartitionMap;
+import garnetscale.core.state.Keys;
+import garnetscale.core.state.Layouts;
+import garnetscale.core.state.LogWriter;
+import garnetscale.core.state.MachineRecord;
+import garnetscale.core.state.Records;
+import garnetscale.core.state.StateReplica;
+import garnetscale.core.state.Transaction;
+import garnetscale.core.upgrade.ClusterVersion;
+import garnetscale.emulator.StateModel;
+import garnetscale.peer.PeerMessage;
+import garnetscale.peer.PeerMessage.OperatorRequest.Kind;
+import garnetscale.peer.PeerMessage.OperatorResponse.Outcome;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
+
+/** The exact JSON that operators get: scripts of theirs read its keys, and people its order. */
+class ClusterInspectorJsonTest {
+
+    private final SchedulerConfig config = TestConfig.small()
+            .controllers(List.of(
+                    new SchedulerConfig.ControllerAddress("n0", "a", ""),
+                    new SchedulerConfig.ControllerAddress("n1", "a", "10.0.0.2:8081")))
+            .teams(new SchedulerConfig.Team("red", 8, 64, 0, Double.POSITIVE_INFINITY))
+            .build();
+    private final StateModel state = new StateModel();
+    private final long lease = state.grant(0, Long.MAX_VALUE / 4);
+    private final StateReplica replica = new StateReplica();
+    private final PartitionMap partitions = new PartitionMap(config);
+    private final Leader leader = new Leader(config, replica, partitions, line -> {});
+    private final ClusterInspector inspector = new ClusterInspector(
+            config,
+            partitions,
+            new ClusterInspector.Sources(
+                    replica,
+                    leader,
+                    () -> 0,
+                    () -> PROCESS,
+                    job -> job.unstarted() == 0 ? null : "waits",
+                    (id, found) -> found.accept(
+                            !id.equals("wk-9"),
+                            id.equals("wk-0") ? new Records.TerminalJob(JobState.DONE, 4, 4, "red") : null)));
+
+    private static final Map<String, Object> PROCESS = Map.of("ready", true);
+
+    @BeforeEach
+    void store() {
+        state.commit(new Transaction()
+                .put(Keys.node("n0"), Records.node(new ControllerInfo("n0", lease, "a", Layouts.SUPPORTED)), lease)
+                .put(Keys.LEADER, Records.leader(new LeaderInfo("n0", lease, 3)), lease)
+                .put(Keys.partition("a/0"), Records.partition(new PartitionLease("n0", lease, 17)))
+                .put(Keys.job("wk-1"), job("wk-1", 5)));
+        replica.reset(state.list(Keys.MIRRORED, null, 100), state.revision());
+        leader.onLeaseGranted(lease);
+    }
+
+    private static Map<String, Object> job(String id, int tasks) {
+        return Records.job(
+                new JobRecord(TestJob.named(id).team("red").tasks(tasks).build(), JobState.LIVE, 0));
+    }
+
+    private PeerMessage.OperatorResponse ask(Kind kind, String argument) {
+        List<PeerMessage.OperatorResponse> answers = new ArrayList<>();
+        inspector.answer(new PeerMessage.OperatorRequest(kind, argument), answers::add);
+        assertEquals(1, answers.size());
+        return answers.get(0);
+    }
+
+    @Test
+    void status() {
+        String partitionsJson = partitions.all().stream()
+                .map(name -> "{\"block\":\"" + name
+                        + (name.equals("a/0")
+                                ? "\",\"holder\":\"n0\",\"term\":17}"
+                                : "\",\"holder\":\"none\",\"term\":0}"))
+                .reduce((all, next) -> all + "," + next)
+                .orElseThrow();
+        PeerMessage.OperatorResponse answer = ask(Kind.STATUS, "");
+        assertEquals(Outcome.DONE, answer.outcome());
+        assertEquals(
+                "{\"node\":\"n0\",\"complete\":true,\"ready\":true,\"leader\":\"n0\",\"leader_term\":3,"
+                        + "\"version\":{\"active\":1,\"floor\":1,\"converted\":true,\"supported_here\":\"1 to 2\"},"
+                        + "\"controllers\":[{\"node\":\"n0\",\"zone\":\"a\",\"incarnation\":" + lease
+                        + ",\"versions\":\"1 to 2\"}],"
+                        + "\"blocks\":[" + partitionsJson + "],\"machines_with_records\":0,"
+                        + "\"teams\":[{\"team\":\"red\",\"jobs\":1,\"waiting\":5,\"placed\":0,\"cpus\":0.0,"
+                        + "\"cpus_guaranteed\":8.0,\"cpus_max\":64.0,\"gpus\":0.0,\"gpus_max\":\"none\"}]}",
+                answer.json());
+    }
+
+    @Test
+    void unreadableState() {
+        state.commit(new Transaction().put(Keys.VERSION, Records.version(new ClusterVersion(9, 1))));
+        replica.advance(state.changes(Keys.MIRRORED, replica.revision()), state.revision());
+        String json = ask(Kind.STATUS, "").json();
+        String start = "{\"node\":\"n0\",\"complete\":false,\"unreadable\":\"" + replica.unreadable()
+                + "\",\"ready\":true,\"leader\":\"";
+        assertEquals(start, json.substring(0, start.length()));
+    }
+
+    @Test
+    void liveJob() {
+        assertEquals(
+                "{\"job\":\"wk-1\",\"state\":\"LIVE\",\"team\":\"red\",\"class\":\"c\",\"tasks\":5,\"finished\":0,"
+                        + "\"placed\":0,\"waiting\":5,\"why\":\"waits\",\"placements\":[]}",
+                ask(Kind.JOB, "wk-1").json());
+    }
+
+    @Test
+    void placementsOfAJob() {
+        place("m-1", Placement.Stop.KEEP, 0);
+        place("m-2", Placement.Stop.CHECKPOINT, 1);
+        place("m-3", Placement.Stop.NOW, 2);
+        String json = ask(Kind.JOB, "wk-1").json();
+        assertEquals(
+                "{\"job\":\"wk-1\",\"state\":\"LIVE\",\"team\":\"red\",\"class\":\"c\",\"tasks\":5,\"finished\":0,"
+                        + "\"placed\":3,\"waiting\":2,\"why\":\"waits\",\"placements\":["
+                        + "{\"task\":0,\"machine\":\"m-1\",\"zone\":\"a\",\"stop\":\"KEEP\"},"
+                        + "{\"task\":1,\"machine\":\"m-2\",\"zone\":\"a\",\"stop\":\"SAVE\"},"
+                        + "{\"task\":2,\"machine\":\"m-3\",\"zone\":\"a\",\"stop\":\"NOW\"}]}",
+                json);
+    }
+
+    private void place(String machine, Placement.Stop stop, int task) {
+        Placement placement = new Placement(new TaskId("wk-1", task), task + 1, 1, stop);
+        Transaction transaction = new Transaction();
+        new LogWriter(replica, config.valueBytes())
+                .write(transaction, Map.of(machine, new MachineRecord("a", List.of(placement), Map.of())), Map.of());
+        assertEquals(200, state.commit(transaction));
+        replica.advance(state.changes(Keys.MIRRORED, replica.revision()), state.revision());
+    }
+
+    @Test
+    void terminalAndUnknownJobs() {
+        assertEquals(
+                "{\"job\":\"wk-0\",\"state\":\"DONE\",\"team\":\"red\",\"tasks\":4,\"finished\":4}",
+                ask(Kind.JOB, "wk-0").json());
+        PeerMessage.OperatorResponse none = ask(Kind.JOB, "wk-2");
+        assertEquals(Outcome.REFUSED, none.outcome());
+        assertEquals("{\"reason\":\"no job wk-2\"}", none.json());
+        assertEquals(
+                "{\"reason\":\"the state service can't be asked now\"}",
+                ask(Kind.JOB, "wk-9").json());
+    }
+
+    @Test
+    void upgradeSteps() {
+        assertEquals(
+                "{\"reason\":\"unknown step sideways\"}",
+                ask(Kind.UPGRADE, "sideways").json());
+        PeerMessage.OperatorResponse answer = ask(Kind.UPGRADE, "DEACTIVATE");
+        assertEquals(Outcome.DONE, answer.outcome());
+        assertEquals("{\"active\":1,\"floor\":1,\"converted\":true,\"supported_here\":\"1 to 2\"}", answer.json());
+    }
+}
