--- a/src/main/java/garnetscale/controller/ClusterInspector.java
+++ b/src/main/java/garnetscale/controller/ClusterInspector.java
@@ -1,12 +1,9 @@
 package garnetscale.controller;
 
-import com.fasterxml.jackson.core.JsonFactory;
-import com.fasterxml.jackson.core.JsonGenerator;
 import garnetscale.core.SchedulerConfig;
 import garnetscale.core.job.JobSpec;
 import garnetscale.core.leader.Leader;
 import garnetscale.core.machine.Placement;
-import garnetscale.core.partition.ControllerInfo;
 import garnetscale.core.partition.LeaderInfo;
 import garnetscale.core.partition.PartitionLease;
 import garnetscale.core.partition.PartitionMap;
@@ -19,11 +16,7 @@
 import garnetscale.net.PeerLinks;
 import garnetscale.peer.PeerMessage;
 import garnetscale.peer.PeerMessage.OperatorResponse.Outcome;
-import garnetscale.wire.Trees;
-import java.io.IOException;
-import java.io.StringWriter;
 import java.util.ArrayList;
-import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.function.BiConsumer;
@@ -33,23 +26,41 @@
 import java.util.function.Supplier;
 
 /**
- * Answers operators from what this controller knows. It reads the replica and nothing else; only an upgrade step changes
- * anything, and that through the leader alone. Lives on the event loop.
+ * Answers operators from what this controller knows. It only reads the replica; an upgrade step alone changes anything, and
+ * does so through the leader. Lives on the event loop.
  */
 public final class ClusterInspector implements PeerLinks.Inspector {
 
-    /** What the inspector asks of the process that it is in. */
+    private static final String NOT_COMPLETE = "this controller's replica isn't complete";
+
+    /**
+     * What the inspector asks of the process that it is in.
+     *
+     * @param clock         milliseconds of the steady clock
+     * @param process       the state of the process itself
+     * @param waitingReason why a job's tasks wait, or null when none does
+     */
     public record Sources(
             StateReplica replica,
             Leader leader,
             LongSupplier clock,
-            Supplier<Map<String, Object>> process,
-            Function<JobView, String> reason,
-            Endings endings) {}
+            Supplier<ProcessView> process,
+            Function<JobView, String> waitingReason,
+            TerminalJobs terminalJobs) {}
+
+    /**
+     * The state of the process that answers.
+     *
+     * @param ready      whether it takes requests
+     * @param stateAgeMs how long ago it sent its last request that the state service answered
+     * @param budgets    what it may send to the state service now and in a second, by kind of request
+     */
+    public record ProcessView(boolean ready, long stateAgeMs, Map<String, Object> budgets) {}
 
     /** Finds out how a job ended that the replica doesn't hold. */
-    public interface Endings {
-        void ended(String job, BiConsumer<Boolean, Records.TerminalJob> found);
+    public interface TerminalJobs {
+        /** Calls back with false when nobody can tell now, and with null when there is no such job. */
+        void lookUp(String job, BiConsumer<Boolean, Records.TerminalJob> found);
     }
 
     private final SchedulerConfig config;
@@ -57,6 +68,7 @@
     private final Sources sources;
     private final StateReplica replica;
 
+    /** An inspector of one controller. */
     public ClusterInspector(SchedulerConfig config, PartitionMap partitions, Sources sources) {
         this.config = config;
         this.partitions = partitions;
@@ -65,172 +77,124 @@
     }
 
     @Override
-    public void answer(PeerMessage.OperatorRequest inquiry, Consumer<PeerMessage.OperatorResponse> answer) {
-        switch (inquiry.kind()) {
-            case STATUS -> answer.accept(done(status()));
-            case JOB -> job(inquiry.argument(), answer);
-            case UPGRADE -> answer.accept(upgrade(inquiry.argument()));
-            default -> answer.accept(refused("unknown inquiry " + inquiry.kind()));
+    public void answer(PeerMessage.OperatorRequest request, Consumer<PeerMessage.OperatorResponse> answer) {
+        switch (request.kind()) {
+            case STATUS -> answer.accept(done(OperatorJson.status(status())));
+            case JOB -> job(request.argument(), answer);
+            case UPGRADE -> answer.accept(upgrade(request.argument()));
+            default -> answer.accept(refused("unknown inquiry " + request.kind()));
         }
     }
 
     // ---- status
 
-    private Map<String, Object> status() {
-        Map<String, Object> status = new LinkedHashMap<>();
-        status.put("node", config.self());
-        status.put("complete", replica.loaded());
-        if (replica.unreadable() != null) {
-            status.put("unreadable", replica.unreadable());
-        }
-        status.putAll(sources.process().get());
-        LeaderInfo leader = replica.leader();
-        status.put("leader", leader == null ? "none" : leader.node());
-        status.put("leader_term", leader == null ? 0 : leader.term());
-        status.put("version", version());
-        status.put("controllers", replica.nodes().stream().map(this::controller).toList());
-        status.put("blocks", partitions.all().stream().map(this::partition).toList());
-        status.put("machines_with_records", replica.placedMachines().size());
-        status.put("teams", teams());
-        if (config.features().balance().enabled() && sources.leader().leadingTerm() >= 0) {
-            status.put(
-                    "load",
-                    LoadView.load(sources.leader().load(), sources.clock().getAsLong()));
-        }
-        return status;
-    }
-
-    private Map<String, Object> version() {
-        Map<String, Object> version = new LinkedHashMap<>();
-        version.put("active", replica.version().active());
-        version.put("floor", replica.version().floor());
-        version.put("converted", replica.isConverted());
-        version.put("supported_here", config.features().layouts().toString());
-        return version;
-    }
-
-    private Map<String, Object> controller(ControllerInfo node) {
-        Map<String, Object> row = new LinkedHashMap<>();
-        row.put("node", node.name());
-        row.put("zone", node.zone());
-        row.put("incarnation", node.incarnation());
-        row.put("versions", node.layouts().toString());
-        return row;
-    }
-
-    private Map<String, Object> partition(String partition) {
-        PartitionLease lease = replica.partition(partition);
-        Map<String, Object> row = new LinkedHashMap<>();
-        row.put("block", partition);
-        row.put("holder", lease == null ? "none" : lease.owner());
-        row.put("term", lease == null ? 0 : lease.term());
-        return row;
-    }
-
-    private List<Map<String, Object>> teams() {
+    private StatusView status() {
+        boolean showsLoad =
+                config.features().balance().enabled() && sources.leader().leadingTerm() >= 0;
+        return new StatusView(
+                config.self(),
+                replica.loaded(),
+                replica.unreadable(),
+                sources.process().get(),
+                replica.leader(),
+                version(),
+                List.copyOf(replica.nodes()),
+                partitions.all().stream().map(this::partition).toList(),
+                replica.placedMachines().size(),
+                teams(),
+                showsLoad
+                        ? LoadView.of(sources.leader().load(), sources.clock().getAsLong())
+                        : null);
+    }
+
+    private StatusView.Version version() {
+        return new StatusView.Version(
+                replica.version().active(),
+                replica.version().floor(),
+                replica.isConverted(),
+                config.features().layouts().toString());
+    }
+
+    private StatusView.Partition partition(String name) {
+        PartitionLease lease = replica.partition(name);
+        return lease == null
+                ? new StatusView.Partition(name, null, 0)
+                : new StatusView.Partition(name, lease.owner(), lease.term());
+    }
+
+    private List<StatusView.Team> teams() {
         QuotaUsage quota = QuotaUsage.of(config, replica);
-        List<Map<String, Object>> rows = new ArrayList<>();
+        List<StatusView.Team> rows = new ArrayList<>();
         for (SchedulerConfig.Team team : config.teams().values()) {
             List<JobView> jobs = replica.jobs().stream()
                     .filter(job -> job.live() && job.spec().team().equals(team.name()))
                     .toList();
-            Map<String, Object> row = new LinkedHashMap<>();
-            row.put("team", team.name());
-            row.put("jobs", jobs.size());
-            row.put("waiting", jobs.stream().mapToInt(JobView::unstarted).sum());
-            row.put("placed", jobs.stream().mapToInt(JobView::placedCount).sum());
-            row.put("cpus", quota.cpus(team.name()));
-            row.put("cpus_guaranteed", team.cpus());
-            row.put("cpus_max", limit(team.cpusMax()));
-            row.put("gpus", quota.gpus(team.name()));
-            row.put("gpus_max", limit(team.gpusMax()));
-            rows.add(row);
+            rows.add(new StatusView.Team(
+                    team.name(),
+                    jobs.size(),
+                    jobs.stream().mapToInt(JobView::unstarted).sum(),
+                    jobs.stream().mapToInt(JobView::placedCount).sum(),
+                    quota.cpus(team.name()),
+                    team.cpus(),
+                    team.cpusMax(),
+                    quota.gpus(team.name()),
+                    team.gpusMax()));
         }
         return rows;
     }
 
-    private static Object limit(double most) {
-        return Double.isInfinite(most) ? "none" : (Object) most;
-    }
-
     // ---- a job
 
     private void job(String id, Consumer<PeerMessage.OperatorResponse> answer) {
         if (!replica.loaded()) {
-            answer.accept(refused("this controller's replica isn't complete"));
+            answer.accept(refused(NOT_COMPLETE));
             return;
         }
         JobView job = replica.job(id);
         if (job != null) {
-            answer.accept(done(job(job)));
+            answer.accept(done(OperatorJson.job(details(job))));
             return;
         }
-        sources.endings().ended(id, (sure, ending) -> {
-            if (!sure) {
+        sources.terminalJobs().lookUp(id, (known, terminalJob) -> {
+            if (!known) {
                 answer.accept(refused("the state service can't be asked now"));
-            } else if (ending == null) {
+            } else if (terminalJob == null) {
                 answer.accept(refused("no job " + id));
             } else {
-                answer.accept(done(ended(id, ending)));
+                answer.accept(done(OperatorJson.terminalJob(id, terminalJob)));
             }
         });
     }
 
-    private static Map<String, Object> ended(String id, Records.TerminalJob ending) {
-        Map<String, Object> tree = new LinkedHashMap<>();
-        tree.put("job", id);
-        tree.put("state", ending.state().name());
-        tree.put("team", ending.team());
-        tree.put("tasks", ending.tasks());
-        tree.put("finished", ending.finished());
-        return tree;
-    }
-
-    private Map<String, Object> job(JobView job) {
+    private JobDetails details(JobView job) {
         JobSpec spec = job.spec();
-        Map<String, Object> tree = new LinkedHashMap<>();
-        tree.put("job", spec.id());
-        tree.put("state", job.job().state().name());
-        tree.put("team", spec.team());
-        tree.put("class", spec.jobClass());
-        tree.put("tasks", spec.tasks());
-        tree.put("finished", job.finishedCount());
-        tree.put("placed", job.placedCount());
-        tree.put("waiting", job.unstarted());
-        String reason = sources.reason().apply(job);
-        if (reason != null) {
-            tree.put("why", reason);
-        }
-        tree.put("placements", placements(spec.id()));
-        List<Map<String, Object>> moves = LoadView.moves(sources.leader().recentMoves(), spec.id());
-        if (!moves.isEmpty()) {
-            tree.put("moves", moves);
-        }
-        return tree;
-    }
-
-    private List<Map<String, Object>> placements(String job) {
-        List<Map<String, Object>> rows = new ArrayList<>();
+        return new JobDetails(
+                spec.id(),
+                job.job().state().name(),
+                spec.team(),
+                spec.jobClass(),
+                spec.tasks(),
+                job.finishedCount(),
+                job.placedCount(),
+                job.unstarted(),
+                sources.waitingReason().apply(job),
+                placements(spec.id()),
+                JobDetails.MoveRow.ofJob(sources.leader().recentMoves(), spec.id()));
+    }
+
+    private List<JobDetails.PlacementRow> placements(String job) {
+        List<JobDetails.PlacementRow> rows = new ArrayList<>();
         for (String machine : replica.placedMachines()) {
             for (Placement placement : replica.placements(machine)) {
                 if (placement.task().job().equals(job)) {
-                    Map<String, Object> row = new LinkedHashMap<>();
-                    row.put("task", placement.task().index());
-                    row.put("machine", machine);
-                    row.put("zone", replica.placedZone(machine));
-                    row.put("stop", stop(placement.stop()));
-                    rows.add(row);
+                    rows.add(new JobDetails.PlacementRow(
+                            placement.task().index(), machine, replica.placedZone(machine), placement.stop()));
                 }
             }
         }
         return rows;
     }
 
-    /** The operators' word, which is older than the constant's name. */
-    private static String stop(Placement.Stop stop) {
-        return stop == Placement.Stop.CHECKPOINT ? "SAVE" : stop.name();
-    }
-
     // ---- upgrade
 
     private PeerMessage.OperatorResponse upgrade(String name) {
@@ -241,19 +205,19 @@
             return refused("unknown step " + name);
         }
         if (!replica.loaded()) {
-            return refused(
-                    replica.unreadable() == null ? "this controller's replica isn't complete" : replica.unreadable());
+            return refused(replica.unreadable() == null ? NOT_COMPLETE : replica.unreadable());
         }
         LeaderInfo leader = replica.leader();
         if (leader == null || !leader.node().equals(config.self())) {
-            return refused("this controller isn't the leader; " + (leader == null ? "there is none" : whereIs(leader)));
+            return refused(
+                    "this controller isn't the leader; " + (leader == null ? "there is none" : whereIs(leader)));
         }
         UpgradeDecision decision = sources.leader().upgrade(sources.clock().getAsLong(), step);
-        if (decision instanceof UpgradeDecision.Refused no) {
-            return refused(no.reason());
+        if (decision instanceof UpgradeDecision.Refused refusal) {
+            return refused(refusal.reason());
         }
-        boolean isDone = decision instanceof UpgradeDecision.Done;
-        return new PeerMessage.OperatorResponse(isDone ? Outcome.DONE : Outcome.UNDER_WAY, json(version()));
+        Outcome outcome = decision instanceof UpgradeDecision.Done ? Outcome.DONE : Outcome.UNDER_WAY;
+        return new PeerMessage.OperatorResponse(outcome, OperatorJson.version(version()));
     }
 
     private String whereIs(LeaderInfo leader) {
@@ -261,21 +225,11 @@
         return leader.node() + " is" + (controller == null ? "" : ", at " + controller.address());
     }
 
-    private static PeerMessage.OperatorResponse done(Map<String, Object> tree) {
-        return new PeerMessage.OperatorResponse(Outcome.DONE, json(tree));
+    private static PeerMessage.OperatorResponse done(String json) {
+        return new PeerMessage.OperatorResponse(Outcome.DONE, json);
     }
 
     private static PeerMessage.OperatorResponse refused(String reason) {
-        return new PeerMessage.OperatorResponse(Outcome.REFUSED, json(Map.of("reason", reason)));
-    }
-
-    private static String json(Map<String, Object> tree) {
-        StringWriter text = new StringWriter();
-        try (JsonGenerator generator = new JsonFactory().createGenerator(text)) {
-            Trees.write(generator, tree);
-        } catch (IOException e) {
-            throw new IllegalStateException(e);
-        }
-        return text.toString();
+        return new PeerMessage.OperatorResponse(Outcome.REFUSED, OperatorJson.reason(reason));
     }
 }
--- a/src/main/java/garnetscale/controller/LoadView.java
+++ b/src/main/java/garnetscale/controller/LoadView.java
@@ -4,74 +4,95 @@
 import garnetscale.core.balance.LoadSnapshot;
 import garnetscale.core.balance.MachineGroup;
 import garnetscale.core.balance.MachineLoad;
-import garnetscale.core.balance.Move;
 import garnetscale.core.balance.UnknownReason;
-import java.util.Comparator;
-import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.stream.Collectors;
 
-/** Shows operators the load of the fleet, and which tasks were moved. All of one answer comes from one snapshot. */
-final class LoadView {
+/**
+ * The load of all machines as operators see it, from one consistent snapshot.
+ *
+ * @param ageMs      how long ago the snapshot was made
+ * @param peakToMean the largest utilization of a group over the mean of all, rounded to hundredths
+ * @param groups     sorted by name
+ * @param demand     sorted by team
+ */
+record LoadView(long ageMs, double peakToMean, List<Group> groups, List<TeamDemand> demand) {
 
     private static final double PERCENT = 100;
+    private static final String NONE = "none";
 
-    private LoadView() {}
+    /**
+     * The machines of one type in one zone.
+     *
+     * @param serving      machines that take work
+     * @param known        whether enough is known of the group to move work into or out of it
+     * @param unknown      machines whose load isn't known, by reason, or {@code none}
+     * @param cpus         of the serving machines
+     * @param used         CPUs of those that are in use
+     * @param utilization  smoothed, from 0 to 1, rounded to hundredths
+     * @param waitingCpuS  CPU-seconds that wait for this group
+     * @param teams        CPUs in use by team, or {@code none}
+     */
+    record Group(
+            String name,
+            int machines,
+            int serving,
+            boolean known,
+            String unknown,
+            double cpus,
+            double used,
+            double utilization,
+            long waitingCpuS,
+            String teams) {}
+
+    /** What a team's jobs ask for, in whole CPU-seconds. */
+    record TeamDemand(String team, long waitingCpuS, long placedCpuS) {}
 
     /** The load by group and by team; {@code now} in milliseconds of the clock that the snapshot was made by. */
-    static Map<String, Object> load(LoadSnapshot load, long now) {
-        Map<String, Object> tree = new LinkedHashMap<>();
-        tree.put("age_ms", now - load.at());
-        tree.put("peak_to_mean", rounded(load.peakToMean()));
-        tree.put(
-                "groups",
+    static LoadView of(LoadSnapshot load, long now) {
+        return new LoadView(
+                now - load.at(),
+                rounded(load.peakToMean()),
                 load.groups().keySet().stream()
-                        .sorted(Comparator.comparing(MachineGroup::toString))
+                        .sorted((left, right) -> left.toString().compareTo(right.toString()))
                         .map(group -> group(load, group))
-                        .toList());
-        tree.put(
-                "demand",
+                        .toList(),
                 load.demand().byTeam().entrySet().stream()
                         .sorted(Map.Entry.comparingByKey())
-                        .map(entry -> {
-                            Map<String, Object> row = new LinkedHashMap<>();
-                            row.put("team", entry.getKey());
-                            row.put("waiting_cpu_s", Math.round(entry.getValue().waitingCpuS()));
-                            row.put("placed_cpu_s", Math.round(entry.getValue().placedCpuS()));
-                            return row;
-                        })
+                        .map(entry -> new TeamDemand(
+                                entry.getKey(),
+                                Math.round(entry.getValue().waitingCpuS()),
+                                Math.round(entry.getValue().placedCpuS())))
                         .toList());
-        return tree;
     }
 
-    private static Map<String, Object> group(LoadSnapshot load, MachineGroup group) {
+    private static Group group(LoadSnapshot load, MachineGroup group) {
         GroupTotals totals = load.groups().get(group).totals();
-        Map<String, Object> row = new LinkedHashMap<>();
-        row.put("group", group.toString());
-        row.put("machines", totals.machines());
-        row.put("serving", totals.serving());
-        row.put("known", load.isKnown(group));
-        row.put("unknown", counts(totals.unknown()));
-        row.put("cpus", MachineLoad.cpus(totals.capacity()));
-        row.put("used", MachineLoad.cpus(totals.used()));
-        row.put("utilization", rounded(load.utilization(group)));
-        row.put("waiting_cpu_s", Math.round(load.demand().waitingByGroup().getOrDefault(group, 0.0)));
-        row.put("teams", teams(totals));
-        return row;
+        return new Group(
+                group.toString(),
+                totals.machines(),
+                totals.serving(),
+                load.isKnown(group),
+                unknown(totals),
+                MachineLoad.cpus(totals.capacity()),
+                MachineLoad.cpus(totals.used()),
+                rounded(load.utilization(group)),
+                Math.round(load.demand().waitingByGroup().getOrDefault(group, 0.0)),
+                teams(totals));
     }
 
-    private static String counts(Map<UnknownReason, Integer> counts) {
-        return counts.isEmpty()
-                ? "none"
-                : counts.entrySet().stream()
-                        .map(entry -> entry.getValue() + " " + reason(entry.getKey()))
+    private static String unknown(GroupTotals totals) {
+        return totals.unknown().isEmpty()
+                ? NONE
+                : totals.unknown().entrySet().stream()
+                        .map(entry -> entry.getValue() + " " + word(entry.getKey()))
                         .sorted()
                         .collect(Collectors.joining(", "));
     }
 
     /** The operators' word, which is older than the constant's name. */
-    private static String reason(UnknownReason reason) {
+    private static String word(UnknownReason reason) {
         return switch (reason) {
             case PARTITION_REASSIGNED -> "BLOCK_REASSIGNED";
             case OWNER_UNHEARD -> "HOLDER_UNHEARD";
@@ -82,32 +103,13 @@
 
     private static String teams(GroupTotals totals) {
         return totals.usedBy().isEmpty()
-                ? "none"
+                ? NONE
                 : totals.usedBy().entrySet().stream()
                         .map(entry -> entry.getKey() + " " + MachineLoad.cpus(entry.getValue()))
                         .sorted()
                         .collect(Collectors.joining(", "));
     }
 
-    /** The moves of a job's tasks. */
-    static List<Map<String, Object>> moves(List<Move> moves, String job) {
-        return moves.stream()
-                .filter(move -> move.task().job().equals(job))
-                .map(LoadView::move)
-                .toList();
-    }
-
-    private static Map<String, Object> move(Move move) {
-        Map<String, Object> row = new LinkedHashMap<>();
-        row.put("task", move.task().index());
-        row.put("from", move.machine() + " (" + move.from() + ")");
-        row.put("to", move.to().toString());
-        row.put("for", move.beneficiary() == null ? "itself" : move.beneficiary());
-        row.put("gain_cpu_s", Math.round(move.gainCpuS()));
-        row.put("disruption_cpu_s", Math.round(move.disruptionCpuS()));
-        return row;
-    }
-
     private static double rounded(double value) {
         return Math.round(value * PERCENT) / PERCENT;
     }
--- a/src/main/java/garnetscale/controller/Node.java
+++ b/src/main/java/garnetscale/controller/Node.java
@@ -39,7 +39,6 @@
 import java.net.StandardSocketOptions;
 import java.nio.channels.ServerSocketChannel;
 import java.util.HashMap;
-import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
@@ -706,12 +705,8 @@
     }
 
     /** What operators are shown of this process. */
-    private Map<String, Object> process() {
-        Map<String, Object> process = new LinkedHashMap<>();
-        process.put("ready", ready());
-        process.put("state_age_ms", state.ageMs());
-        process.put("budgets", state.budgets());
-        return process;
+    private ClusterInspector.ProcessView process() {
+        return new ClusterInspector.ProcessView(ready(), state.ageMs(), state.budgets());
     }
 
     /** Why a job's work waits, for its user. */
--- a/src/test/java/garnetscale/cli/OperatorCommandTest.java
+++ b/src/test/java/garnetscale/cli/OperatorCommandTest.java
@@ -80,7 +80,7 @@
                         replica,
                         leader,
                         () -> now,
-                        () -> Map.of("ready", true),
+                        () -> new ClusterInspector.ProcessView(true, 0, Map.of()),
                         job -> job.unstarted() + " tasks wait for room",
                         (id, found) -> found.accept(
                                 true, id.equals("wk-0") ? new Records.TerminalJob(JobState.DONE, 4, 4, "red") : null)));
--- a/src/test/java/garnetscale/controller/ClusterInspectorJsonTest.java
+++ b/src/test/java/garnetscale/controller/ClusterInspectorJsonTest.java
@@ -53,14 +53,12 @@
                     replica,
                     leader,
                     () -> 0,
-                    () -> PROCESS,
+                    () -> new ClusterInspector.ProcessView(true, 7, Map.of("reads", Map.of("per_s", 2.5))),
                     job -> job.unstarted() == 0 ? null : "waits",
                     (id, found) -> found.accept(
                             !id.equals("wk-9"),
                             id.equals("wk-0") ? new Records.TerminalJob(JobState.DONE, 4, 4, "red") : null)));
 
-    private static final Map<String, Object> PROCESS = Map.of("ready", true);
-
     @BeforeEach
     void store() {
         state.commit(new Transaction()
@@ -96,7 +94,8 @@
         PeerMessage.OperatorResponse answer = ask(Kind.STATUS, "");
         assertEquals(Outcome.DONE, answer.outcome());
         assertEquals(
-                "{\"node\":\"n0\",\"complete\":true,\"ready\":true,\"leader\":\"n0\",\"leader_term\":3,"
+                "{\"node\":\"n0\",\"complete\":true,\"ready\":true,\"state_age_ms\":7,"
+                        + "\"budgets\":{\"reads\":{\"per_s\":2.5}},\"leader\":\"n0\",\"leader_term\":3,"
                         + "\"version\":{\"active\":1,\"floor\":1,\"converted\":true,\"supported_here\":\"1 to 2\"},"
                         + "\"controllers\":[{\"node\":\"n0\",\"zone\":\"a\",\"incarnation\":" + lease
                         + ",\"versions\":\"1 to 2\"}],"
@@ -112,7 +111,7 @@
         replica.advance(state.changes(Keys.MIRRORED, replica.revision()), state.revision());
         String json = ask(Kind.STATUS, "").json();
         String start = "{\"node\":\"n0\",\"complete\":false,\"unreadable\":\"" + replica.unreadable()
-                + "\",\"ready\":true,\"leader\":\"";
+                + "\",\"ready\":true,\"state_age_ms\":7,";
         assertEquals(start, json.substring(0, start.length()));
     }
 
