--- a/src/main/java/garnetscale/controller/ClusterInspector.java
+++ b/src/main/java/garnetscale/controller/ClusterInspector.java
@@ -9,7 +9,6 @@
 import garnetscale.core.partition.PartitionMap;
 import garnetscale.core.quota.QuotaUsage;
 import garnetscale.core.state.JobView;
-import garnetscale.core.state.Records;
 import garnetscale.core.state.StateReplica;
 import garnetscale.core.upgrade.UpgradeDecision;
 import garnetscale.core.upgrade.UpgradeStep;
@@ -19,7 +18,6 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import java.util.function.BiConsumer;
 import java.util.function.Consumer;
 import java.util.function.Function;
 import java.util.function.LongSupplier;
@@ -59,8 +57,8 @@
 
     /** Finds out how a job ended that the replica doesn't hold. */
     public interface TerminalJobs {
-        /** Calls back with false when nobody can tell now, and with null when there is no such job. */
-        void lookUp(String job, BiConsumer<Boolean, Records.TerminalJob> found);
+        /** Calls back once, at once or later, on the event loop. */
+        void lookUp(String job, TerminalJobCallback found);
     }
 
     private final SchedulerConfig config;
@@ -102,9 +100,7 @@
                 partitions.all().stream().map(this::partition).toList(),
                 replica.placedMachines().size(),
                 teams(),
-                showsLoad
-                        ? LoadView.of(sources.leader().load(), sources.clock().getAsLong())
-                        : null);
+                showsLoad ? LoadView.of(sources.leader().load(), sources.clock().getAsLong()) : null);
     }
 
     private StatusView.Version version() {
@@ -209,8 +205,7 @@
         }
         LeaderInfo leader = replica.leader();
         if (leader == null || !leader.node().equals(config.self())) {
-            return refused(
-                    "this controller isn't the leader; " + (leader == null ? "there is none" : whereIs(leader)));
+            return refused("this controller isn't the leader; " + (leader == null ? "there is none" : whereIs(leader)));
         }
         UpgradeDecision decision = sources.leader().upgrade(sources.clock().getAsLong(), step);
         if (decision instanceof UpgradeDecision.Refused refusal) {
--- /dev/null
+++ b/src/main/java/garnetscale/controller/JobReplies.java
@@ -0,0 +1,92 @@
+package garnetscale.controller;
+
+import garnetscale.core.job.JobState;
+import garnetscale.core.state.JobView;
+import garnetscale.core.state.Records;
+import garnetscale.net.Reply;
+import garnetscale.wire.UserCodec;
+
+/** The HTTP answers of the job API. */
+final class JobReplies {
+
+    static final int OK = 200;
+    static final int CREATED = 201;
+    static final int BAD_REQUEST = 400;
+    static final int NOT_FOUND = 404;
+    static final int METHOD_NOT_ALLOWED = 405;
+    static final int UNPROCESSABLE = 422;
+    private static final int UNAVAILABLE = 503;
+    private static final int RETRY_AFTER_S = 1;
+
+    /** States of a job as PROTOCOL names them. */
+    private static final String PENDING = "pending";
+
+    private static final String RUNNING = "running";
+    private static final String DONE = "done";
+    private static final String WITHDRAWN = "withdrawn";
+    private static final String CANCELLED_BY_USER = "cancelled by its user";
+
+    private JobReplies() {}
+
+    /** A request that can't succeed; {@code reason} is for its user. */
+    static Reply error(int status, String reason) {
+        return Reply.of(status, UserCodec.error(reason));
+    }
+
+    static Reply noSuchJob() {
+        return error(NOT_FOUND, "no such job");
+    }
+
+    /** A request that can't be answered now: 503, to be repeated. */
+    static Reply retryLater(String reason) {
+        return new Reply(UNAVAILABLE, UserCodec.error(reason), RETRY_AFTER_S);
+    }
+
+    static Reply stateUnknown() {
+        return retryLater("state unknown");
+    }
+
+    static Reply stateServiceUnavailable() {
+        return retryLater("the state service can't be asked");
+    }
+
+    static Reply notStored() {
+        return retryLater("the state service can't take it");
+    }
+
+    /** A new job was stored. */
+    static Reply created(String id, String team) {
+        return Reply.of(CREATED, UserCodec.answer(new UserCodec.Answer(id, PENDING, 0, 0, team, null)));
+    }
+
+    /** A live job; {@code waitingReason} is null unless tasks of it wait. */
+    static Reply live(JobView job, String waitingReason) {
+        return job(job, job.placedCount() > 0 ? RUNNING : PENDING, waitingReason);
+    }
+
+    /** A cancelled job that the replica still holds. */
+    static Reply cancelled(JobView job) {
+        return job(job, WITHDRAWN, CANCELLED_BY_USER);
+    }
+
+    private static Reply job(JobView job, String state, String reason) {
+        return Reply.of(
+                OK,
+                UserCodec.answer(new UserCodec.Answer(
+                        job.spec().id(),
+                        state,
+                        job.finishedCount(),
+                        job.placedCount(),
+                        job.spec().team(),
+                        reason)));
+    }
+
+    /** A job of which only its end is kept. */
+    static Reply terminal(String id, Records.TerminalJob job) {
+        boolean done = job.state() == JobState.DONE;
+        return Reply.of(
+                OK,
+                UserCodec.answer(new UserCodec.Answer(
+                        id, done ? DONE : WITHDRAWN, job.finished(), 0, job.team(), done ? null : CANCELLED_BY_USER)));
+    }
+}
--- a/src/main/java/garnetscale/controller/Node.java
+++ b/src/main/java/garnetscale/controller/Node.java
@@ -138,7 +138,8 @@
         ClusterInspector inspector = new ClusterInspector(
                 config,
                 partitions,
-                new ClusterInspector.Sources(replica, leader, Node::now, this::process, this::reason, front::ended));
+                new ClusterInspector.Sources(
+                        replica, leader, Node::now, this::process, this::reason, front::lookUpTerminal));
         this.peers = new PeerLinks(loop, this::onPeer, inspector, this::onLink, this::onRefused);
         ConnectionLimiter sockets =
                 new ConnectionLimiter(config.maxConnections(), config.features().sharedSocketsFrom());
@@ -251,7 +252,7 @@
                 answer.accept(method.equals("POST") ? onHeartbeat(body) : Reply.of(405));
             } else if (path.equals("/ready")) {
                 answer.accept(Reply.of(!method.equals("GET") ? 405 : ready() ? 200 : 503));
-            } else if (path.equals("/v2/runs") || path.startsWith("/v2/runs/")) {
+            } else if (path.equals(JobApi.PATH) || path.startsWith(JobApi.PATH + "/")) {
                 front.handle(method, path, body, answer);
             } else {
                 answer.accept(Reply.of(404));
@@ -392,7 +393,7 @@
             owner.onCancelled(c.job());
             queueWork();
         } else if (m instanceof PeerMessage.JobTerminated o) {
-            front.over(o.job(), o.how());
+            front.onTerminated(o.job(), o.how());
         } else if (m instanceof PeerMessage.MachineDirectory b) {
             owner.onMachineDirectory(b.machines(), b.lateJobs(), b.suspects());
             queueWork();
@@ -648,7 +649,7 @@
         String job = Keys.terminalJobOfKey(op.key());
         if (job != null) {
             Records.TerminalJob how = Records.terminalJob(op.value());
-            front.over(job, how);
+            front.onTerminated(job, how);
             peers.sendAll(new PeerMessage.JobTerminated(job, how));
         }
     }
--- a/src/main/java/garnetscale/controller/TerminalJobIndex.java
+++ b/src/main/java/garnetscale/controller/TerminalJobIndex.java
@@ -14,150 +14,161 @@
 import java.util.function.Consumer;
 
 /**
- * What is known of jobs that are over, and the questions about those that the replica doesn't hold. Users ask about jobs that
- * nobody has submitted, too, and each such question would cost a request: so many questions are put as one, by comparing
- * all their keys with "isn't there" in a transaction that changes nothing. Only what is there is read by itself.
+ * Finds jobs that are terminal and no longer in the replica. Users also ask for jobs that were never submitted, and each
+ * look-up by itself would cost a request. So many look-ups share one: a transaction without changes compares all their keys
+ * with "doesn't exist". Only keys that exist are read one by one. Lives on the event loop.
  */
 final class TerminalJobIndex {
 
-    /** Conditions that a transaction may have, in multiples of its changes. */
-    private static final int CONDITIONS = 4;
-    /** Questions that may wait, in multiples of what one request takes; more than that are refused at once. */
-    private static final int REQUESTS = 2;
+    /** Guards that a transaction may have, in multiples of the changes it may have. */
+    private static final int GUARDS_PER_CHANGE = 4;
+    /** Look-ups that may be queued, in multiples of what one request takes; beyond this they are refused at once. */
+    private static final int MAX_QUEUED_REQUESTS = 2;
 
-    /** Where the ends of jobs are kept; each call but the first is one request. */
+    private static final int INITIAL_CAPACITY = 64;
+    private static final float LOAD_FACTOR = 0.75f;
+
+    /** Where terminal jobs are stored; each call but the first is one request. */
     interface Store {
-        /** Runs once there is room for a request. */
+        /** Runs the action once a request may be sent within the limits. */
         void whenReadable(Runnable run);
 
-        /** Calls back with a key's value, or null when it isn't there; false when nobody knows. */
+        /** Calls back with a key's value, or null when it doesn't exist; with false when it can't be known. */
         void get(String key, BiConsumer<Boolean, Object> done);
 
         /**
-         * Which of the keys are there: none when the set is empty, at least those in it otherwise; null when nobody knows. A
-         * transaction without changes compares them all in one request.
+         * Calls back with keys that exist: with an empty set when none does, else with at least one of those that do; with
+         * null when it can't be known.
          */
         void present(List<String> keys, Consumer<Set<String>> done);
     }
 
-    private interface Asker extends BiConsumer<Boolean, Records.TerminalJob> {}
+    /** All that wait for the same job. */
+    private record Lookup(String id, List<TerminalJobCallback> callbacks) {
+
+        String key() {
+            return Keys.terminalJob(id);
+        }
 
-    private record Question(String id, List<Asker> askers) {
-        void answer(boolean sure, Records.TerminalJob terminalJob) {
-            askers.forEach(a -> a.accept(sure, terminalJob));
+        void complete(boolean known, Records.TerminalJob job) {
+            callbacks.forEach(callback -> callback.accept(known, job));
         }
     }
 
-    private final Store state;
-    private final int atOnce;
-    private final Map<String, Question> waiting = new LinkedHashMap<>();
-    /** Found to be there, and still to be read. */
-    private final Deque<Question> there = new ArrayDeque<>();
+    private final Store store;
+    private final int batchSize;
+    private final Map<String, Lookup> queued = new LinkedHashMap<>();
+    /** Look-ups whose key exists and is still to be read. */
+    private final Deque<Lookup> toRead = new ArrayDeque<>();
+    /** A terminal job never changes again, so that what was read once can be kept. */
+    private final Map<String, Records.TerminalJob> cache;
 
-    private boolean busy;
-    /** Jobs that are over; their state never changes again. */
-    private final Map<String, Records.TerminalJob> over;
+    private boolean requestPending;
 
-    /** At most {@code remembered} ends are kept, the latest asked for. */
-    TerminalJobIndex(int transactionOps, int remembered, Store state) {
-        this.state = state;
-        this.over = new LinkedHashMap<>(64, 0.75f, true) {
+    /** Keeps at most {@code cacheSize} jobs, those that were asked for last. */
+    TerminalJobIndex(int transactionOps, int cacheSize, Store store) {
+        this.store = store;
+        this.cache = new LinkedHashMap<>(INITIAL_CAPACITY, LOAD_FACTOR, true) {
             @Override
             protected boolean removeEldestEntry(Map.Entry<String, Records.TerminalJob> eldest) {
-                return size() > remembered;
+                return size() > cacheSize;
             }
         };
-        this.atOnce = CONDITIONS * transactionOps;
+        this.batchSize = GUARDS_PER_CHANGE * transactionOps;
     }
 
-    /** How the job ended, if that is known here. */
-    Records.TerminalJob known(String id) {
-        return over.get(id);
+    /** The job from the cache, or null when it isn't there. */
+    Records.TerminalJob cached(String id) {
+        return cache.get(id);
     }
 
-    /** The job is over, by a transaction that is known to be applied. */
-    void learn(String id, Records.TerminalJob terminalJob) {
-        over.put(id, terminalJob);
+    /** Remembers a job whose end is known to be stored. */
+    void remember(String id, Records.TerminalJob job) {
+        cache.put(id, job);
     }
 
-    /** Calls back with how the job ended, or null when it isn't over; false when nobody can tell. */
-    void ask(String id, BiConsumer<Boolean, Records.TerminalJob> answer) {
-        Records.TerminalJob known = over.get(id);
-        if (known != null) {
-            answer.accept(true, known);
+    /** Looks a job up in the cache, or else in the state service. */
+    void lookUp(String id, TerminalJobCallback callback) {
+        Records.TerminalJob job = cache.get(id);
+        if (job != null) {
+            callback.accept(true, job);
             return;
         }
-        if (!waiting.containsKey(id) && waiting.size() + there.size() >= REQUESTS * atOnce) {
-            answer.accept(false, null);
+        if (!queued.containsKey(id) && queued.size() + toRead.size() >= MAX_QUEUED_REQUESTS * batchSize) {
+            callback.accept(false, null);
             return;
         }
-        waiting.computeIfAbsent(id, k -> new Question(k, new ArrayList<>()))
-                .askers()
-                .add(answer::accept);
-        next();
+        queued.computeIfAbsent(id, key -> new Lookup(key, new ArrayList<>()))
+                .callbacks()
+                .add(callback);
+        sendNext();
     }
 
-    private void next() {
-        if (busy || waiting.isEmpty() && there.isEmpty()) {
+    private void sendNext() {
+        if (requestPending || queued.isEmpty() && toRead.isEmpty()) {
             return;
         }
-        busy = true;
-        state.whenReadable(() -> {
-            if (!there.isEmpty()) {
-                read(there.poll());
-            } else if (waiting.size() == 1) {
-                read(take().get(0));
+        requestPending = true;
+        store.whenReadable(() -> {
+            if (!toRead.isEmpty()) {
+                read(toRead.poll());
+            } else if (queued.size() == 1) {
+                read(takeBatch().get(0));
             } else {
-                compare(take());
+                compare(takeBatch());
             }
         });
     }
 
-    /** Takes questions out of the queue: one that comes from now on wants an answer of its own. */
-    private List<Question> take() {
-        List<Question> batch = new ArrayList<>();
-        Iterator<Question> i = waiting.values().iterator();
-        while (i.hasNext() && batch.size() < atOnce) {
-            batch.add(i.next());
-            i.remove();
+    /** Takes look-ups out of the queue: one for the same job that comes from now on needs a newer answer. */
+    private List<Lookup> takeBatch() {
+        List<Lookup> batch = new ArrayList<>();
+        Iterator<Lookup> lookups = queued.values().iterator();
+        while (lookups.hasNext() && batch.size() < batchSize) {
+            batch.add(lookups.next());
+            lookups.remove();
         }
         return batch;
     }
 
-    private void done() {
-        busy = false;
-        next();
+    private void requestDone() {
+        requestPending = false;
+        sendNext();
     }
 
-    private void read(Question q) {
-        state.get(Keys.terminalJob(q.id()), (sure, value) -> {
-            Records.TerminalJob terminalJob = value == null ? null : Records.terminalJob(value);
-            if (terminalJob != null) {
-                over.put(q.id(), terminalJob);
+    private void read(Lookup lookup) {
+        store.get(lookup.key(), (known, value) -> {
+            Records.TerminalJob job = value == null ? null : Records.terminalJob(value);
+            if (job != null) {
+                cache.put(lookup.id(), job);
             }
-            q.answer(sure, terminalJob);
-            done();
+            lookup.complete(known, job);
+            requestDone();
         });
     }
 
-    private void compare(List<Question> batch) {
-        state.present(batch.stream().map(q -> Keys.terminalJob(q.id())).toList(), present -> {
-            for (Question q : batch) {
+    private void compare(List<Lookup> batch) {
+        store.present(batch.stream().map(Lookup::key).toList(), present -> {
+            for (Lookup lookup : batch) {
                 if (present == null) {
-                    q.answer(false, null);
+                    lookup.complete(false, null);
                 } else if (present.isEmpty()) {
-                    q.answer(true, null);
-                } else if (present.contains(Keys.terminalJob(q.id()))) {
-                    there.add(q);
+                    lookup.complete(true, null);
+                } else if (present.contains(lookup.key())) {
+                    toRead.add(lookup);
                 } else {
-                    // The answer needn't name all that failed: asked again without those that it did name.
-                    waiting.merge(q.id(), q, (newer, old) -> {
-                        old.askers().addAll(newer.askers());
-                        return old;
-                    });
+                    compareAgain(lookup);
                 }
             }
-            done();
+            requestDone();
+        });
+    }
+
+    /** The answer needn't name all keys that exist; the others are compared again without those that it named. */
+    private void compareAgain(Lookup lookup) {
+        queued.merge(lookup.id(), lookup, (newer, older) -> {
+            older.callbacks().addAll(newer.callbacks());
+            return older;
         });
     }
 }
--- a/src/test/java/garnetscale/controller/LoadViewTest.java
+++ b/src/test/java/garnetscale/controller/LoadViewTest.java
@@ -47,7 +47,16 @@
                         + "{\"task\":3,\"from\":\"m-1 (a/large)\",\"to\":\"a/small\",\"for\":\"wk-9\","
                         + "\"gain_cpu_s\":100,\"disruption_cpu_s\":10}]}",
                 OperatorJson.job(new JobDetails(
-                        "wk-1", "LIVE", "red", "c", 5, 0, 0, 5, null, List.of(),
+                        "wk-1",
+                        "LIVE",
+                        "red",
+                        "c",
+                        5,
+                        0,
+                        0,
+                        5,
+                        null,
+                        List.of(),
                         JobDetails.MoveRow.ofJob(moves, "wk-1"))));
         assertEquals("itself", JobDetails.MoveRow.ofJob(moves, "wk-2").get(0).beneficiary());
     }
--- a/src/test/java/garnetscale/controller/ScriptedCluster.java
+++ b/src/test/java/garnetscale/controller/ScriptedCluster.java
@@ -138,7 +138,7 @@
                                 .put(Keys.terminalJob(id), Records.terminalJob(how)),
                         (result, revision) -> {
                             if (result == TransactionOutcome.OK) {
-                                desks.forEach(d -> at(hop(), () -> d.front.over(id, how)));
+                                desks.forEach(d -> at(hop(), () -> d.front.onTerminated(id, how)));
                             }
                         });
             }
--- a/src/test/java/garnetscale/controller/TerminalJobIndexTest.java
+++ b/src/test/java/garnetscale/controller/TerminalJobIndexTest.java
@@ -65,7 +65,7 @@
     private final Map<String, String> told = new TreeMap<>();
 
     private void ask(String id) {
-        terminalJobs.ask(
+        terminalJobs.lookUp(
                 id,
                 (sure, how) -> told.put(
                         id,
@@ -105,7 +105,7 @@
     void oneJobsUsersShareAnAnswer() {
         List<String> answers = new ArrayList<>();
         for (int i = 0; i < 1000; i++) {
-            terminalJobs.ask("wk-1", (sure, how) -> answers.add(String.valueOf(how)));
+            terminalJobs.lookUp("wk-1", (sure, how) -> answers.add(String.valueOf(how)));
         }
         store.work();
         assertEquals(1000, answers.size());
@@ -129,7 +129,7 @@
     @Test
     void endsAreRememberedUpToTheBound() {
         for (int i = 0; i <= REMEMBERED; i++) {
-            terminalJobs.learn("wk-" + i, DONE);
+            terminalJobs.remember("wk-" + i, DONE);
         }
         ask("wk-" + REMEMBERED);
         ask("wk-1");
@@ -141,7 +141,7 @@
 
     @Test
     void whatTheLeaderTellsNeedsNoRequest() {
-        terminalJobs.learn("wk-1", DONE);
+        terminalJobs.remember("wk-1", DONE);
         ask("wk-1");
         assertEquals("DONE", told.get("wk-1"));
         assertEquals(0, store.requests);
