--- a/src/main/java/garnetscale/cli/LoopbackDemo.java
+++ b/src/main/java/garnetscale/cli/LoopbackDemo.java
@@ -2,7 +2,7 @@
 
 import garnetscale.config.FeaturesFile;
 import garnetscale.config.Settings;
-import garnetscale.controller.Node;
+import garnetscale.controller.ControllerNode;
 import garnetscale.core.Features;
 import garnetscale.emulator.EmulatedServices;
 import garnetscale.net.HttpClient;
@@ -54,7 +54,7 @@
             description = "What is switched on, in FILE (TOML); without it nothing is.")
     Path features;
 
-    private final List<Node> nodes = new ArrayList<>();
+    private final List<ControllerNode> nodes = new ArrayList<>();
     private EventLoopGroup loop;
     private HttpClient http;
 
@@ -76,7 +76,7 @@
             for (int i = 0; i < 2; i++) {
                 Path file = dir.resolve("node-" + i + ".toml");
                 Files.writeString(file, settings(i, listen, back, state, cloud));
-                Node node = new Node(Settings.read(file, switchedOn));
+                ControllerNode node = new ControllerNode(Settings.read(file, switchedOn));
                 nodes.add(node);
                 node.start();
             }
--- a/src/main/java/garnetscale/cli/Main.java
+++ b/src/main/java/garnetscale/cli/Main.java
@@ -2,7 +2,7 @@
 
 import garnetscale.config.FeaturesFile;
 import garnetscale.config.Settings;
-import garnetscale.controller.Node;
+import garnetscale.controller.ControllerNode;
 import garnetscale.core.Features;
 import java.io.IOException;
 import java.nio.file.Path;
@@ -107,7 +107,7 @@
             return BAD_INPUT;
         }
         try {
-            new Node(settings).start();
+            new ControllerNode(settings).start();
         } catch (IOException e) {
             System.err.println("garnetscale: " + e.getMessage());
             return CANNOT_SERVE;
--- a/src/main/java/garnetscale/controller/CloudLink.java
+++ b/src/main/java/garnetscale/controller/CloudLink.java
@@ -1,6 +1,7 @@
 package garnetscale.controller;
 
 import garnetscale.core.SchedulerConfig;
+import garnetscale.core.Times;
 import garnetscale.core.autoscaling.Autoscaler;
 import garnetscale.core.autoscaling.CloudCall;
 import garnetscale.core.machine.MachineType;
@@ -10,113 +11,148 @@
 import io.netty.handler.codec.http.HttpMethod;
 import java.io.IOException;
 import java.util.List;
-import java.util.function.Consumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Carries out the fleet's calls, one at a time and never above the cloud's limit. */
+/**
+ * Carries out the autoscaler's calls to the cloud, one at a time and never above the cloud's rate limit. Tells the autoscaler
+ * of the answers first, then the listener. Lives on the event loop.
+ */
 final class CloudLink {
 
     private static final Logger LOG = LoggerFactory.getLogger(CloudLink.class);
     private static final long TIMEOUT_MS = 5000;
+    private static final int OK = 200;
+
+    /** Learns what the cloud answered. */
+    interface Listener {
+        /** The machine types that the cloud has. */
+        void onTypes(List<MachineType> types);
+
+        /** The cloud has confirmed that the machine is deleted or has failed: nothing runs on it any more. */
+        void onTerminated(String machine);
+
+        /** All pages of the list of instances have come. */
+        void onListed();
+    }
 
     private final HttpClient http;
-    private final String host;
+    private final String address;
     private final Autoscaler autoscaler;
-    private final Consumer<List<MachineType>> types;
-    private final Consumer<String> onTerminated;
-    private final Runnable listed;
     private final long spacingMs;
-    private boolean busy;
-    private long lastAt = Long.MIN_VALUE / 2;
-
-    CloudLink(
-            SchedulerConfig config,
-            HttpClient http,
-            String host,
-            Autoscaler autoscaler,
-            Consumer<List<MachineType>> types,
-            Consumer<String> onTerminated,
-            Runnable listed) {
+    private boolean callPending;
+    private long calledAt = Times.NEVER;
+
+    CloudLink(SchedulerConfig config, HttpClient http, String address, Autoscaler autoscaler) {
         this.http = http;
-        this.host = host;
+        this.address = address;
         this.autoscaler = autoscaler;
-        this.types = types;
-        this.onTerminated = onTerminated;
-        this.listed = listed;
         this.spacingMs = autoscaler.spacingMs() + config.clockOffMs();
     }
 
+    /** Whether a call may be made now. */
     boolean ready(long now) {
-        return !busy && now - lastAt >= spacingMs;
+        return !callPending && now - calledAt >= spacingMs;
     }
 
-    void call(long now, CloudCall call) {
-        busy = true;
-        lastAt = now;
+    /** Makes a call; only while {@link #ready}. */
+    void call(long now, CloudCall call, Listener listener) {
+        callPending = true;
+        calledAt = now;
         if (call instanceof CloudCall.ListTypes) {
-            send(
-                    HttpMethod.GET,
-                    "/flavors",
-                    null,
-                    r -> {
-                        List<MachineType> list = CloudCodec.types(r.body());
-                        autoscaler.onTypes(list);
-                        types.accept(list);
-                    },
-                    r -> {});
-        } else if (call instanceof CloudCall.ListInstances p) {
-            send(
-                    HttpMethod.GET,
-                    CloudCodec.pagePath(p),
-                    null,
-                    r -> {
-                        CloudCodec.Page page = CloudCodec.page(r.body());
-                        autoscaler.onPage(Node.now(), page.machines(), page.more());
-                        autoscaler.failed().forEach(onTerminated);
-                        if (!page.more()) {
-                            listed.run();
-                        }
-                    },
-                    r -> {});
+            listTypes(listener);
+        } else if (call instanceof CloudCall.ListInstances list) {
+            listInstances(list, listener);
         } else if (call instanceof CloudCall.ScaleOut scaleOut) {
-            // A rental without an answer may still be carried out; its machines then show in the list.
-            send(
-                    HttpMethod.POST,
-                    "/machines",
-                    CloudCodec.scaleOut(scaleOut),
-                    r -> autoscaler.onScaledOut(Node.now(), scaleOut, CloudCodec.scaledOut(r.body())),
-                    r -> autoscaler.onRefused(Node.now(), scaleOut));
-        } else if (call instanceof CloudCall.ScaleIn d) {
-            send(
-                    HttpMethod.POST,
-                    "/machines/delete",
-                    CloudCodec.delete(d),
-                    r -> {
-                        autoscaler.onDeleted(d.machines());
-                        d.machines().forEach(onTerminated);
-                    },
-                    r -> {});
+            scaleOut(scaleOut);
+        } else if (call instanceof CloudCall.ScaleIn scaleIn) {
+            scaleIn(scaleIn, listener);
         }
     }
 
-    private interface Body {
-        void read(HttpResult r) throws IOException;
+    private void listTypes(Listener listener) {
+        send(HttpMethod.GET, "/flavors", null, new AnswerHandler() {
+            @Override
+            public void onOk(byte[] body) throws IOException {
+                List<MachineType> types = CloudCodec.types(body);
+                autoscaler.onTypes(types);
+                listener.onTypes(types);
+            }
+        });
+    }
+
+    private void listInstances(CloudCall.ListInstances call, Listener listener) {
+        send(HttpMethod.GET, CloudCodec.pagePath(call), null, new AnswerHandler() {
+            @Override
+            public void onOk(byte[] body) throws IOException {
+                CloudCodec.Page page = CloudCodec.page(body);
+                autoscaler.onPage(EventLoopPacer.now(), page.machines(), page.more());
+                autoscaler.failed().forEach(listener::onTerminated);
+                if (!page.more()) {
+                    listener.onListed();
+                }
+            }
+        });
+    }
+
+    /** One without an answer may still be carried out; its instances then show in the list. */
+    private void scaleOut(CloudCall.ScaleOut call) {
+        send(HttpMethod.POST, "/machines", CloudCodec.scaleOut(call), new AnswerHandler() {
+            @Override
+            public void onOk(byte[] body) throws IOException {
+                autoscaler.onScaledOut(EventLoopPacer.now(), call, CloudCodec.scaledOut(body));
+            }
+
+            @Override
+            public void onFailed() {
+                autoscaler.onRefused(EventLoopPacer.now(), call);
+            }
+        });
+    }
+
+    private void scaleIn(CloudCall.ScaleIn call, Listener listener) {
+        send(HttpMethod.POST, "/machines/delete", CloudCodec.delete(call), new AnswerHandler() {
+            @Override
+            public void onOk(byte[] body) {
+                autoscaler.onDeleted(call.machines());
+                call.machines().forEach(listener::onTerminated);
+            }
+        });
     }
 
-    private void send(HttpMethod method, String path, byte[] body, Body ok, Consumer<HttpResult> failed) {
-        http.call(host, method, path, body, TIMEOUT_MS, r -> {
-            busy = false;
+    /** What is done with the answer to one call. */
+    private interface AnswerHandler {
+        /** The call was carried out; the exception says that the answer's body is malformed. */
+        void onOk(byte[] body) throws IOException;
+
+        /** The call was refused or not answered. */
+        default void onFailed() {
+            // Most calls are simply made again by the autoscaler.
+        }
+    }
+
+    private void send(HttpMethod method, String path, byte[] body, AnswerHandler handler) {
+        http.call(address, method, path, body, TIMEOUT_MS, result -> {
+            callPending = false;
             try {
-                if (r.is(200)) {
-                    ok.read(r);
+                if (result.is(OK)) {
+                    handler.onOk(result.body());
                 } else {
-                    LOG.debug("cloud: {} {} -> {} {}", method, path, r.outcome(), r.status());
-                    failed.accept(r);
+                    logFailure(method, path, result);
+                    handler.onFailed();
                 }
             } catch (IOException e) {
-                LOG.info("cloud: {} {} gave a malformed answer: {}", method, path, e.getMessage());
+                LOG.warn("cloud answer malformed, ignored, method={} path={} error={}", method, path, e.getMessage());
             }
         });
     }
+
+    private static void logFailure(HttpMethod method, String path, HttpResult result) {
+        LOG.debug(
+                "cloud request failed, method={} path={} outcome={} status={}",
+                method,
+                path,
+                result.outcome(),
+                result.status());
+    }
 }
--- /dev/null
+++ b/src/main/java/garnetscale/controller/ControllerContext.java
@@ -0,0 +1,19 @@
+package garnetscale.controller;
+
+import garnetscale.core.SchedulerConfig;
+import garnetscale.core.autoscaling.Autoscaler;
+import garnetscale.core.leader.Leader;
+import garnetscale.core.partition.PartitionOwner;
+import garnetscale.core.state.StateReplica;
+import io.netty.channel.EventLoop;
+
+/** What the parts of one controller process share; all of it is touched on its event loop alone. */
+record ControllerContext(
+        SchedulerConfig config,
+        EventLoop eventLoop,
+        EventLoopPacer pacer,
+        EventLoopProfile profile,
+        StateReplica replica,
+        PartitionOwner owner,
+        Leader leader,
+        Autoscaler autoscaler) {}
--- /dev/null
+++ b/src/main/java/garnetscale/controller/ControllerNode.java
@@ -0,0 +1,279 @@
+package garnetscale.controller;
+
+import garnetscale.config.Settings;
+import garnetscale.core.SchedulerConfig;
+import garnetscale.core.autoscaling.Autoscaler;
+import garnetscale.core.bidding.Estimator;
+import garnetscale.core.leader.Leader;
+import garnetscale.core.partition.PartitionMap;
+import garnetscale.core.partition.PartitionOwner;
+import garnetscale.core.state.StateReplica;
+import garnetscale.net.ConnectionLimiter;
+import garnetscale.net.HttpClient;
+import garnetscale.net.HttpResult;
+import garnetscale.net.HttpServer;
+import garnetscale.peer.PeerMessage;
+import io.netty.channel.ChannelFuture;
+import io.netty.channel.ChannelFutureListener;
+import io.netty.channel.EventLoop;
+import io.netty.channel.EventLoopGroup;
+import io.netty.channel.nio.NioEventLoopGroup;
+import io.netty.handler.codec.http.HttpMethod;
+import io.netty.util.concurrent.DefaultThreadFactory;
+import io.netty.util.concurrent.Future;
+import java.io.IOException;
+import java.net.StandardSocketOptions;
+import java.nio.channels.ServerSocketChannel;
+import java.util.SplittableRandom;
+import java.util.concurrent.TimeUnit;
+import java.util.function.Consumer;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * One controller process: builds the core's roles and the links around them, starts and stops them, and runs their cycles. All
+ * of it runs on one event loop; nothing else touches the core's objects.
+ */
+public final class ControllerNode implements StateLink.Listener {
+
+    private static final Logger LOG = LoggerFactory.getLogger(ControllerNode.class);
+    private static final long PROFILE_INTERVAL_MS = 60_000;
+    private static final long LISTEN_RETRY_MS = 1000;
+    private static final long CONNECT_TIMEOUT_MS = 1000;
+    private static final int STATE_CONNECTIONS = 6;
+
+    private final Settings settings;
+    private final EventLoopGroup loop;
+    private final EventLoop eventLoop;
+    private final EventLoopProfile profile = new EventLoopProfile();
+    private final EventLoopPacer pacer;
+    private final ControllerContext context;
+    private final StateLink state;
+    private final PeerMessageHandler peers;
+    private final OwnerEffectExecutor effects;
+    private final LeadershipLoop leadership;
+    private final HttpServer server;
+    private boolean serverOpened;
+    private boolean isolatedFromWorkers;
+
+    /** Builds the process; nothing is sent or listened for before {@link #start}. */
+    public ControllerNode(Settings settings) {
+        SchedulerConfig config = settings.config();
+        this.settings = settings;
+        this.loop = new NioEventLoopGroup(1, new DefaultThreadFactory("loop"));
+        this.eventLoop = loop.next();
+        this.pacer = new EventLoopPacer(config, eventLoop, this::runRequestedCycle);
+        StateReplica replica = new StateReplica(config.features().layouts());
+        PartitionMap partitions = new PartitionMap(config);
+        this.context = new ControllerContext(
+                config,
+                eventLoop,
+                pacer,
+                profile,
+                replica,
+                new PartitionOwner(config, replica, partitions, new Estimator(config.heartbeatIntervalMs())),
+                new Leader(config, replica, partitions, LOG::info),
+                new Autoscaler(config, replica, LOG::info));
+        this.state = new StateLink(config, stateIo(), new SplittableRandom(), replica, this);
+        CloudLink cloud = new CloudLink(
+                config, new HttpClient(loop, 1, CONNECT_TIMEOUT_MS), settings.cloud(), context.autoscaler());
+        PeerHeartbeats peerHeartbeats = new PeerHeartbeats();
+        ProcessStatus status = new ProcessStatus(replica, context.owner(), state, peerHeartbeats);
+        JobApi jobApi = new JobApi(config, replica, state, status::waitingReason, this::onJobCancelled);
+        ClusterInspector inspector = new ClusterInspector(
+                config,
+                partitions,
+                new ClusterInspector.Sources(
+                        replica,
+                        context.leader(),
+                        EventLoopPacer::now,
+                        status::view,
+                        status::waitingReason,
+                        jobApi::lookUpTerminal));
+        this.peers = new PeerMessageHandler(loop, context, state, jobApi, peerHeartbeats, inspector);
+        ConnectionLimiter connections =
+                new ConnectionLimiter(config.maxConnections(), config.features().sharedSocketsFrom());
+        this.effects =
+                new OwnerEffectExecutor(context, new HttpClient(loop, 1, connections, CONNECT_TIMEOUT_MS), peers);
+        this.leadership = new LeadershipLoop(context, state, cloud, peers, effects, jobApi);
+        this.server =
+                new HttpServer(loop, connections, config.maxConnections(), new RequestRouter(context, status, jobApi));
+    }
+
+    private StateLink.Io stateIo() {
+        HttpClient http = new HttpClient(loop, STATE_CONNECTIONS, CONNECT_TIMEOUT_MS);
+        return new StateLink.Io() {
+            @Override
+            public long now() {
+                return EventLoopPacer.now();
+            }
+
+            @Override
+            public void after(long ms, Runnable run) {
+                eventLoop.schedule(run, ms, TimeUnit.MILLISECONDS);
+            }
+
+            @Override
+            public void call(HttpMethod method, String path, byte[] body, long timeoutMs, Consumer<HttpResult> done) {
+                http.call(
+                        settings.state(),
+                        method,
+                        path,
+                        body,
+                        timeoutMs,
+                        result -> profile.run(EventLoopProfile.Activity.STATE, () -> done.accept(result)));
+            }
+        };
+    }
+
+    // ---- start and stop
+
+    /**
+     * Starts; throws when an address is in use. Users and workers are let in only once the replica is complete: before that
+     * there is nothing to tell them, and after an end of all controllers every worker asks once a second.
+     */
+    public void start() throws IOException {
+        requireFree(settings.listen());
+        await(peers.listen(settings.back()), settings.back());
+        eventLoop.execute(() -> {
+            state.start();
+            peers.connect();
+            // With a fixed delay: after a standstill a fixed rate would make up for every run that it missed.
+            every(EventLoopPacer.TICK_MS, this::runCycle);
+            every(PeerHeartbeats.INTERVAL_MS, peers::sendHeartbeats);
+            every(PROFILE_INTERVAL_MS, () -> LOG.info("event loop profile, {}", profile.takeSummary()));
+        });
+    }
+
+    private void every(long intervalMs, Runnable action) {
+        eventLoop.scheduleWithFixedDelay(action, intervalMs, intervalMs, TimeUnit.MILLISECONDS);
+    }
+
+    /** Opens and closes the address for users and workers, so that one in use is known at once. */
+    private static void requireFree(String address) throws IOException {
+        try (ServerSocketChannel probe = ServerSocketChannel.open()) {
+            probe.setOption(StandardSocketOptions.SO_REUSEADDR, true);
+            probe.bind(HttpClient.address(address));
+        } catch (IOException e) {
+            throw new IOException("can't listen on " + address + ": " + e.getMessage(), e);
+        }
+    }
+
+    private void await(ChannelFuture listening, String address) throws IOException {
+        if (!listening.awaitUninterruptibly().isSuccess()) {
+            stop();
+            throw new IOException(
+                    "can't listen on " + address + ": " + listening.cause().getMessage());
+        }
+    }
+
+    /** Lets users and workers in; tried again where the address was taken meanwhile. */
+    private void openServer() {
+        server.listen(settings.listen()).addListener((ChannelFutureListener) listening -> {
+            if (!listening.isSuccess()) {
+                LOG.error(
+                        "listen failed, trying again, address={} retry_ms={} error={}",
+                        settings.listen(),
+                        LISTEN_RETRY_MS,
+                        listening.cause().getMessage());
+                eventLoop.schedule(this::openServer, LISTEN_RETRY_MS, TimeUnit.MILLISECONDS);
+            }
+        });
+    }
+
+    /** Ends all that the process does; the future completes when it has. */
+    public Future<?> stop() {
+        eventLoop.execute(state::stop);
+        return loop.shutdownGracefully(0, 0, TimeUnit.SECONDS);
+    }
+
+    // ---- events
+
+    @Override
+    public void advanced() {
+        if (!serverOpened) {
+            serverOpened = true;
+            openServer();
+        }
+        pacer.requestCycle();
+    }
+
+    @Override
+    public void confirmed(long sentAt) {
+        context.owner().confirmed(sentAt);
+    }
+
+    @Override
+    public void leased(long lease) {
+        peers.onLeaseGranted(lease);
+        leadership.onLeaseGranted(lease);
+        context.owner().onLeaseGranted(lease);
+        context.leader().onLeaseGranted(lease);
+        pacer.requestCycle();
+    }
+
+    private void onJobCancelled(String job) {
+        context.owner().onCancelled(job);
+        peers.sendAll(new PeerMessage.JobCancelled(job));
+        pacer.requestCycle();
+    }
+
+    // ---- cycles
+
+    private void runRequestedCycle(boolean lagging) {
+        context.owner().lagging(lagging);
+        runCycle();
+    }
+
+    @SuppressWarnings("IllegalCatch") // One cycle that trips a fault mustn't end the process's tick.
+    private void runCycle() {
+        if (!context.replica().loaded()) {
+            return;
+        }
+        long now = EventLoopPacer.now();
+        try {
+            setWallClock(now);
+            profile.run(EventLoopProfile.Activity.OWNER, () -> {
+                context.owner().tick(now);
+                effects.drain();
+            });
+            publishReachability();
+            profile.run(EventLoopProfile.Activity.LEADER, () -> leadership.run(now));
+        } catch (RuntimeException e) {
+            LOG.error("cycle failed, the next one goes on", e);
+        }
+        pacer.pauseAfterCycle(now);
+        long nextBidsMs = context.owner().nextOffer(EventLoopPacer.now());
+        if (nextBidsMs > 0) {
+            pacer.requestCycleAt(EventLoopPacer.now() + nextBidsMs);
+        }
+    }
+
+    private void setWallClock(long now) {
+        long offset = System.currentTimeMillis() - now;
+        context.owner().wallClock(offset);
+        context.autoscaler().wallClock(offset);
+        context.leader().wallClock(offset);
+    }
+
+    /** Tells the leader and all peers when workers stop or begin to reach this process. */
+    private void publishReachability() {
+        boolean isolated = context.owner().isolatedFromWorkers();
+        if (isolated == isolatedFromWorkers) {
+            return;
+        }
+        isolatedFromWorkers = isolated;
+        if (isolated) {
+            LOG.warn(
+                    "isolated from workers, gives up its partitions, node={}",
+                    context.config().self());
+        } else {
+            LOG.info(
+                    "workers reach this controller again, node={}",
+                    context.config().self());
+        }
+        context.leader()
+                .onWorkerReachability(EventLoopPacer.now(), context.config().self(), isolated);
+        peers.sendHeartbeat();
+    }
+}
--- a/src/main/java/garnetscale/controller/EventLoopProfile.java
+++ b/src/main/java/garnetscale/controller/EventLoopProfile.java
@@ -4,14 +4,14 @@
 import java.util.Locale;
 
 /**
- * What the event loop's turns are spent on, by role: always on, and logged now and then. What Netty, the collector and the
- * compiler take is the rest of the process's time and not in here.
+ * Counts what the event loop's time is spent on, by activity: always on, and logged now and then. What Netty, the garbage
+ * collector and the compiler take is the rest of the process's time and isn't in here. Lives on the event loop.
  */
 final class EventLoopProfile {
 
-    /** Whose turn it is; a turn inside another counts for the inner one alone. */
-    enum Role {
-        REPORTS,
+    /** What the event loop works on; work inside other work counts for the inner activity alone. */
+    enum Activity {
+        HEARTBEATS,
         USERS,
         STATE,
         PEERS,
@@ -21,44 +21,50 @@
         AUTOSCALER
     }
 
-    private final long[] nanos = new long[Role.values().length];
-    private final long[] count = new long[Role.values().length];
-    private Role role;
+    private static final Activity[] ACTIVITIES = Activity.values();
+    private static final long NANOS_PER_MS = 1_000_000;
+
+    private final long[] nanos = new long[ACTIVITIES.length];
+    private final long[] runs = new long[ACTIVITIES.length];
+    private Activity current;
     private long since;
 
-    void run(Role mine, Runnable work) {
+    /** Runs the work, and counts its time for the activity. */
+    void run(Activity activity, Runnable work) {
         long now = System.nanoTime();
-        if (role != null) {
-            nanos[role.ordinal()] += now - since;
+        if (current != null) {
+            nanos[current.ordinal()] += now - since;
         }
         since = now;
-        Role outer = role;
-        role = mine;
-        count[mine.ordinal()]++;
+        Activity outer = current;
+        current = activity;
+        runs[activity.ordinal()]++;
         try {
             work.run();
         } finally {
             now = System.nanoTime();
-            nanos[mine.ordinal()] += now - since;
+            nanos[activity.ordinal()] += now - since;
             since = now;
-            role = outer;
+            current = outer;
         }
     }
 
-    /** A line with each role's turns and milliseconds since the last one. */
-    String take() {
+    /** Runs and milliseconds of each activity since the last call, as {@code activity=runs activity_ms=time}. */
+    String takeSummary() {
         StringBuilder line = new StringBuilder();
-        for (Role r : Role.values()) {
-            line.append(line.length() == 0 ? "" : ", ")
-                    .append(r.name().toLowerCase(Locale.ROOT))
+        for (Activity activity : ACTIVITIES) {
+            String name = activity.name().toLowerCase(Locale.ROOT);
+            line.append(line.length() == 0 ? "" : " ")
+                    .append(name)
+                    .append('=')
+                    .append(runs[activity.ordinal()])
                     .append(' ')
-                    .append(count[r.ordinal()])
-                    .append(" in ")
-                    .append(nanos[r.ordinal()] / 1_000_000)
-                    .append(" ms");
+                    .append(name)
+                    .append("_ms=")
+                    .append(nanos[activity.ordinal()] / NANOS_PER_MS);
         }
         Arrays.fill(nanos, 0);
-        Arrays.fill(count, 0);
+        Arrays.fill(runs, 0);
         return line.toString();
     }
 }
--- /dev/null
+++ b/src/main/java/garnetscale/controller/PeerMessageHandler.java
@@ -0,0 +1,175 @@
+package garnetscale.controller;
+
+import garnetscale.core.SchedulerConfig;
+import garnetscale.core.partition.LeaderInfo;
+import garnetscale.net.PeerLinks;
+import garnetscale.peer.PeerMessage;
+import io.netty.channel.ChannelFuture;
+import io.netty.channel.EventLoopGroup;
+import java.util.List;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * Exchanges messages with the other controllers: sends heartbeats, hands what comes to the role that it is for, and follows
+ * links that come up or are refused. Lives on the event loop.
+ */
+final class PeerMessageHandler {
+
+    private static final Logger LOG = LoggerFactory.getLogger(PeerMessageHandler.class);
+    /** From this many heartbeat intervals on, a gap is a standstill: of this process if it sent late, else of the peer. */
+    private static final long STANDSTILL_INTERVALS = 2;
+
+    private static final long MAX_GAP_MS = STANDSTILL_INTERVALS * PeerHeartbeats.INTERVAL_MS;
+
+    private final ControllerContext context;
+    private final StateLink state;
+    private final JobApi jobApi;
+    private final PeerHeartbeats heartbeats;
+    private final PeerLinks links;
+    private long lease = -1;
+    private long heartbeatsSentAt;
+
+    PeerMessageHandler(
+            EventLoopGroup loop,
+            ControllerContext context,
+            StateLink state,
+            JobApi jobApi,
+            PeerHeartbeats heartbeats,
+            PeerLinks.Inspector inspector) {
+        this.context = context;
+        this.state = state;
+        this.jobApi = jobApi;
+        this.heartbeats = heartbeats;
+        this.links = new PeerLinks(loop, this::onMessage, inspector, this::onLinkUp, this::onLinkRefused);
+    }
+
+    /** Listens for the other controllers; the future fails when the address is in use. */
+    ChannelFuture listen(String address) {
+        return links.listen(address);
+    }
+
+    /** Connects to all other controllers. */
+    void connect() {
+        SchedulerConfig config = context.config();
+        for (SchedulerConfig.ControllerAddress controller : config.controllers()) {
+            if (!controller.name().equals(config.self())) {
+                links.connect(controller.name(), controller.address());
+            }
+        }
+        heartbeatsSentAt = EventLoopPacer.now();
+    }
+
+    /** This process is registered under a lease; -1 when it has lost it. */
+    void onLeaseGranted(long newLease) {
+        lease = newLease;
+    }
+
+    /** Sends to one controller; what can't be sent is lost. */
+    void send(String controller, PeerMessage message) {
+        links.send(controller, message);
+    }
+
+    /** Sends to all other controllers that a link is up to. */
+    void sendAll(PeerMessage message) {
+        links.sendAll(message);
+    }
+
+    // ---- heartbeats
+
+    /** Looks for peers that have gone silent, and sends a heartbeat to all. */
+    void sendHeartbeats() {
+        long now = EventLoopPacer.now();
+        long gapMs = now - heartbeatsSentAt;
+        if (gapMs > MAX_GAP_MS) {
+            // It is this process that stood still: its peers' heartbeats are still to be read.
+            LOG.warn("process stood still, duration_ms={}", gapMs - PeerHeartbeats.INTERVAL_MS);
+            heartbeats.restartTimers(now);
+        }
+        heartbeatsSentAt = now;
+        heartbeats.forEachSilent(now, peer -> context.leader().suspect(EventLoopPacer.now(), peer, true));
+        sendHeartbeat();
+    }
+
+    /** Sends a heartbeat to all at once, as when what it says has changed. */
+    void sendHeartbeat() {
+        links.sendAll(heartbeat());
+    }
+
+    private PeerMessage.ControllerHeartbeat heartbeat() {
+        return new PeerMessage.ControllerHeartbeat(
+                context.config().self(),
+                lease,
+                context.leader().leadingTerm(),
+                state.ageMs(),
+                context.owner().isolatedFromWorkers());
+    }
+
+    /** The leader's machine directory as of now. */
+    PeerMessage.MachineDirectory machineDirectory() {
+        return new PeerMessage.MachineDirectory(
+                context.autoscaler().machineDirectory(),
+                context.leader().lateJobs(),
+                List.copyOf(context.leader().suspects()));
+    }
+
+    // ---- links
+
+    private void onLinkUp(String peer) {
+        context.leader().suspect(EventLoopPacer.now(), peer, false);
+        if (context.leader().leadingTerm() >= 0) {
+            links.send(peer, machineDirectory());
+        }
+        links.send(peer, heartbeat());
+        LeaderInfo leader = context.replica().leader();
+        if (leader != null && leader.node().equals(peer)) {
+            context.owner().resynchronize(EventLoopPacer.now());
+            context.pacer().requestCycle();
+        }
+    }
+
+    private void onLinkRefused(String peer) {
+        context.leader().suspect(EventLoopPacer.now(), peer, true);
+        context.pacer().requestCycle();
+    }
+
+    // ---- messages
+
+    private void onMessage(PeerMessage message) {
+        context.profile().run(EventLoopProfile.Activity.PEERS, () -> dispatch(message));
+    }
+
+    private void dispatch(PeerMessage message) {
+        if (message instanceof PeerMessage.ControllerHeartbeat heartbeat) {
+            onHeartbeat(heartbeat);
+        } else if (message instanceof PeerMessage.JobCancelled cancelled) {
+            context.owner().onCancelled(cancelled.job());
+            context.pacer().requestCycle();
+        } else if (message instanceof PeerMessage.JobTerminated terminated) {
+            jobApi.onTerminated(terminated.job(), terminated.how());
+        } else if (message instanceof PeerMessage.MachineDirectory directory) {
+            context.owner().onMachineDirectory(directory.machines(), directory.lateJobs(), directory.suspects());
+            context.pacer().requestCycle();
+        } else if (message instanceof PeerMessage.MachineStatusUpdate update) {
+            context.leader().onMachineStatus(EventLoopPacer.now(), update.machineStatus());
+            context.pacer().requestCycle();
+        } else if (message instanceof PeerMessage.Bids bids) {
+            context.leader().onBids(EventLoopPacer.now(), bids.batch());
+            context.pacer().requestCycle();
+        }
+    }
+
+    private void onHeartbeat(PeerMessage.ControllerHeartbeat heartbeat) {
+        String peer = heartbeat.node();
+        PeerHeartbeats.Received before = heartbeats.put(heartbeat, EventLoopPacer.now());
+        if (before == null || EventLoopPacer.now() - before.at() < MAX_GAP_MS) {
+            context.leader().suspect(EventLoopPacer.now(), peer, false);
+        }
+        context.leader().onWorkerReachability(EventLoopPacer.now(), peer, heartbeat.isolatedFromWorkers());
+        if (heartbeat.leaderTerm() >= 0
+                && (before == null || before.heartbeat().leaderTerm() != heartbeat.leaderTerm())) {
+            context.owner().resynchronize(EventLoopPacer.now());
+            context.pacer().requestCycle();
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/garnetscale/controller/RequestRouter.java
@@ -0,0 +1,105 @@
+package garnetscale.controller;
+
+import garnetscale.core.machine.WorkerHeartbeat;
+import garnetscale.core.partition.HeartbeatReply;
+import garnetscale.net.HttpServer;
+import garnetscale.net.Reply;
+import garnetscale.wire.WorkerCodec;
+import java.io.IOException;
+import java.util.function.Consumer;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/** Routes HTTP requests: heartbeats of workers, readiness checks, and the job API. Lives on the event loop. */
+final class RequestRouter implements HttpServer.Handler {
+
+    private static final Logger LOG = LoggerFactory.getLogger(RequestRouter.class);
+    private static final String READINESS_PATH = "/ready";
+    private static final int OK = 200;
+    private static final int BAD_REQUEST = 400;
+    private static final int NOT_FOUND = 404;
+    private static final int METHOD_NOT_ALLOWED = 405;
+    private static final int MISDIRECTED = 421;
+    private static final int UNAVAILABLE = 503;
+    private static final int RETRY_AFTER_S = 1;
+
+    private final ControllerContext context;
+    private final ProcessStatus status;
+    private final JobApi jobApi;
+
+    RequestRouter(ControllerContext context, ProcessStatus status, JobApi jobApi) {
+        this.context = context;
+        this.status = status;
+        this.jobApi = jobApi;
+    }
+
+    @Override
+    public void handle(String method, String path, byte[] body, Consumer<Reply> answer) {
+        context.profile()
+                .run(
+                        path.equals(HttpServer.WORKER_HEARTBEAT_PATH)
+                                ? EventLoopProfile.Activity.HEARTBEATS
+                                : EventLoopProfile.Activity.USERS,
+                        () -> route(method, path, body, answer));
+    }
+
+    @SuppressWarnings("IllegalCatch") // A request that trips a fault must be answered, and the others go on.
+    private void route(String method, String path, byte[] body, Consumer<Reply> answer) {
+        try {
+            if (path.equals(HttpServer.WORKER_HEARTBEAT_PATH)) {
+                answer.accept(method.equals("POST") ? onHeartbeat(body) : Reply.of(METHOD_NOT_ALLOWED));
+            } else if (path.equals(READINESS_PATH)) {
+                answer.accept(Reply.of(readiness(method)));
+            } else if (path.equals(JobApi.PATH) || path.startsWith(JobApi.PATH + "/")) {
+                jobApi.handle(method, path, body, answer);
+            } else {
+                answer.accept(Reply.of(NOT_FOUND));
+            }
+        } catch (RuntimeException e) {
+            LOG.error("request failed, answered 503, method={} path={}", method, path, e);
+            answer.accept(new Reply(UNAVAILABLE, new byte[0], RETRY_AFTER_S));
+        }
+    }
+
+    private int readiness(String method) {
+        if (!method.equals("GET")) {
+            return METHOD_NOT_ALLOWED;
+        }
+        return status.ready() ? OK : UNAVAILABLE;
+    }
+
+    @SuppressWarnings("IllegalCatch") // Whatever a malformed heartbeat makes fail, it is answered with 400.
+    private Reply onHeartbeat(byte[] body) {
+        WorkerHeartbeat heartbeat;
+        try {
+            heartbeat = WorkerCodec.heartbeat(body);
+        } catch (IOException | RuntimeException e) {
+            LOG.warn("worker heartbeat malformed, answered 400, error={}", e.getMessage());
+            return Reply.of(BAD_REQUEST);
+        }
+        if (!context.replica().loaded()) {
+            return Reply.of(UNAVAILABLE);
+        }
+        HeartbeatReply reply = context.owner().onHeartbeat(EventLoopPacer.now(), heartbeat);
+        context.pacer().requestCycle();
+        return toHttp(heartbeat.machine(), reply);
+    }
+
+    private static Reply toHttp(String machine, HeartbeatReply reply) {
+        if (reply instanceof HeartbeatReply.Acknowledge acknowledged) {
+            if (!acknowledged.commands().isEmpty()) {
+                LOG.debug(
+                        "commands sent in heartbeat reply, machine={} fencing_token={} commands={}",
+                        machine,
+                        acknowledged.fencingToken(),
+                        acknowledged.commands());
+            }
+            return Reply.of(OK, WorkerCodec.answer(acknowledged.fencingToken(), acknowledged.commands()));
+        }
+        if (reply instanceof HeartbeatReply.Redirect redirect) {
+            return Reply.of(MISDIRECTED, WorkerCodec.redirect(redirect.node()));
+        }
+        LOG.debug("worker heartbeat rejected, machine={} reason={}", machine, ((HeartbeatReply.Reject) reply).reason());
+        return Reply.of(UNAVAILABLE);
+    }
+}
--- a/src/main/java/garnetscale/net/HttpServer.java
+++ b/src/main/java/garnetscale/net/HttpServer.java
@@ -43,8 +43,12 @@
  */
 public final class HttpServer {
 
-    /** Answers a request by calling back once, at once or later, on the event loop. */
+    /** The path of workers' heartbeats; a connection that has brought one is a worker's. */
+    public static final String WORKER_HEARTBEAT_PATH = "/hello";
+
+    /** Serves requests. */
     public interface Handler {
+        /** Answers a request by calling back once, at once or later, on the event loop. */
         void handle(String method, String path, byte[] body, Consumer<Reply> answer);
     }
 
@@ -235,7 +239,7 @@
         }
 
         private void serve(ChannelHandlerContext ctx, Request request) {
-            worker |= request.path().equals("/hello");
+            worker |= request.path().equals(WORKER_HEARTBEAT_PATH);
             sockets.wake(ctx.channel());
             busy = true;
             servedInThisRead = true;
--- a/src/test/java/garnetscale/cli/MixedVersionsTest.java
+++ b/src/test/java/garnetscale/cli/MixedVersionsTest.java
@@ -6,7 +6,7 @@
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
 import garnetscale.config.Settings;
-import garnetscale.controller.Node;
+import garnetscale.controller.ControllerNode;
 import garnetscale.core.Features;
 import garnetscale.core.balance.BalanceSettings;
 import garnetscale.core.upgrade.UpgradeStep;
@@ -53,7 +53,7 @@
     private final HttpClient http = new HttpClient(loop, 2, 500);
     private final String[] listen = new String[2];
     private final String[] back = new String[2];
-    private final Node[] nodes = new Node[2];
+    private final ControllerNode[] nodes = new ControllerNode[2];
     private final List<String> jobs = new ArrayList<>();
     private String state;
     private String cloud;
@@ -77,14 +77,14 @@
         }
         Path file = dir.resolve("node-" + i + ".toml");
         Files.writeString(file, LoopbackDemo.settings(i, listen, back, state, cloud));
-        nodes[i] =
-                new Node(Settings.read(file, new Features(false, 0.5, layouts, Features.NEVER, BalanceSettings.OFF)));
+        nodes[i] = new ControllerNode(
+                Settings.read(file, new Features(false, 0.5, layouts, Features.NEVER, BalanceSettings.OFF)));
         nodes[i].start();
     }
 
     @AfterEach
     void stop() {
-        for (Node node : nodes) {
+        for (ControllerNode node : nodes) {
             if (node != null) {
                 node.stop();
             }
