--- a/src/main/java/garnetscale/controller/ControllerNode.java
+++ b/src/main/java/garnetscale/controller/ControllerNode.java
@@ -80,16 +80,7 @@
         PeerHeartbeats peerHeartbeats = new PeerHeartbeats();
         ProcessStatus status = new ProcessStatus(replica, context.owner(), state, peerHeartbeats);
         JobApi jobApi = new JobApi(config, replica, state, status::waitingReason, this::onJobCancelled);
-        ClusterInspector inspector = new ClusterInspector(
-                config,
-                partitions,
-                new ClusterInspector.Sources(
-                        replica,
-                        context.leader(),
-                        EventLoopPacer::now,
-                        status::view,
-                        status::waitingReason,
-                        jobApi::lookUpTerminal));
+        ClusterInspector inspector = inspector(partitions, status, jobApi);
         this.peers = new PeerMessageHandler(loop, context, state, jobApi, peerHeartbeats, inspector);
         ConnectionLimiter connections =
                 new ConnectionLimiter(config.maxConnections(), config.features().sharedSocketsFrom());
@@ -100,6 +91,19 @@
                 new HttpServer(loop, connections, config.maxConnections(), new RequestRouter(context, status, jobApi));
     }
 
+    private ClusterInspector inspector(PartitionMap partitions, ProcessStatus status, JobApi jobApi) {
+        return new ClusterInspector(
+                context.config(),
+                partitions,
+                new ClusterInspector.Sources(
+                        context.replica(),
+                        context.leader(),
+                        EventLoopPacer::now,
+                        status::view,
+                        status::waitingReason,
+                        jobApi::lookUpTerminal));
+    }
+
     private StateLink.Io stateIo() {
         HttpClient http = new HttpClient(loop, STATE_CONNECTIONS, CONNECT_TIMEOUT_MS);
         return new StateLink.Io() {
--- a/src/main/java/garnetscale/controller/OperatorJson.java
+++ b/src/main/java/garnetscale/controller/OperatorJson.java
@@ -42,26 +42,32 @@
         }
     }
 
+    /** The answer to {@code status}. */
     static String status(StatusView status) {
         return write(out -> out.writeStatus(status));
     }
 
+    /** The answer to {@code upgrade}: the versions after the step. */
     static String version(StatusView.Version version) {
         return write(out -> out.writeVersion(version));
     }
 
+    /** The answer to {@code job} for a job that the replica holds. */
     static String job(JobDetails job) {
         return write(out -> out.writeJob(job));
     }
 
+    /** The answer to {@code job} for a job of which only its end is kept. */
     static String terminalJob(String id, Records.TerminalJob job) {
         return write(out -> out.writeTerminalJob(id, job));
     }
 
+    /** The load by itself, as it stands in the answer to {@code status}. */
     static String load(LoadView load) {
         return write(out -> out.writeLoad(load));
     }
 
+    /** The answer to a request that was refused. */
     static String reason(String reason) {
         return write(out -> out.json.writeStringField("reason", reason));
     }
--- a/src/main/java/garnetscale/controller/package-info.java
+++ b/src/main/java/garnetscale/controller/package-info.java
@@ -1,5 +1,9 @@
 /**
  * One controller process: its event loop, its HTTP API for users and workers, and its links to the state service, the
- * cloud, the workers and the other controllers. Everything here runs on that one event loop and owns its state there.
+ * cloud, the workers and the other controllers.
+ *
+ * <p>{@link garnetscale.controller.ControllerNode} wires the parts and runs their cycles. Each part owns its own state and is
+ * touched on the one event loop alone; decisions are made in {@code garnetscale.core}, which the parts call and whose effects
+ * they carry out. Nothing here may block, or keep a copy of what the replica holds.
  */
 package garnetscale.controller;
--- a/src/main/java/garnetscale/net/BodyCollector.java
+++ b/src/main/java/garnetscale/net/BodyCollector.java
@@ -4,7 +4,7 @@
 import io.netty.buffer.ByteBufUtil;
 import java.util.Arrays;
 
-/** Collects the pieces of one message body, nearly always a single one, up to a limit. Not thread-safe. */
+/** Collects the chunks of one message body, nearly always a single one, up to a limit. Not thread-safe. */
 final class BodyCollector {
 
     private static final byte[] EMPTY = new byte[0];
@@ -16,9 +16,9 @@
         this.limit = limit;
     }
 
-    /** Appends the readable bytes of a piece; false, with nothing appended, when the body would exceed the limit. */
-    boolean add(ByteBuf piece) {
-        int length = piece.readableBytes();
+    /** Appends the readable bytes of a chunk; false, with nothing appended, when the body would exceed the limit. */
+    boolean add(ByteBuf chunk) {
+        int length = chunk.readableBytes();
         if (length > limit - body.length) {
             return false;
         }
@@ -26,11 +26,11 @@
             return true;
         }
         if (body.length == 0) {
-            body = ByteBufUtil.getBytes(piece);
+            body = ByteBufUtil.getBytes(chunk);
         } else {
             int before = body.length;
             body = Arrays.copyOf(body, before + length);
-            piece.getBytes(piece.readerIndex(), body, before, length);
+            chunk.getBytes(chunk.readerIndex(), body, before, length);
         }
         return true;
     }
--- a/src/main/java/garnetscale/net/ConnectionLimiter.java
+++ b/src/main/java/garnetscale/net/ConnectionLimiter.java
@@ -6,108 +6,109 @@
 import java.util.Set;
 
 /**
- * The process's sockets, given out by need. Above its limit a process gets none at all, not even for the state service,
- * and one controller may be the only one that is left for every worker. So a part is set aside for what the process itself
- * can't do without, and of the rest workers' connections come first: when it runs out, connections to workers that are at
- * rest are closed, which costs a handshake later, then users' connections at rest, longest unused first, and only when
- * there is neither is a new one turned away. Lives on one event loop, like all that opens or accepts connections.
+ * Shares the process's sockets. Above its limit a process gets none at all, not even for the state service, and one controller
+ * may be the only one that is left for every worker. So a part is reserved for what the process itself can't do without, and of
+ * the rest workers' connections come first: when it runs out, idle connections to workers are closed, which costs a handshake
+ * later, then users' idle connections, longest unused first, and only when there is neither is a new one turned away. Lives on
+ * one event loop, like all that opens or accepts connections.
  */
 public final class ConnectionLimiter {
 
     /**
-     * The part set aside for listeners, state service, cloud and peers, and for connections that are closed here but not
-     * yet at the other end: a machine behind a cut says nothing for as long as it lasts.
+     * The part reserved for listeners, state service, cloud and peers, and for connections that are closed here but not yet at
+     * the other end: a machine behind a network partition says nothing for as long as it lasts.
      */
-    private static final int ASIDE = 8;
+    private static final int RESERVED_PART = 8;
 
-    private static final int LEAST_ASIDE = 8;
-    /** The part that may be connections to workers at rest. */
-    private static final int IDLE = 8;
+    private static final int MIN_RESERVED = 8;
+    /** The part that may be idle connections to workers. */
+    private static final int IDLE_TO_WORKERS_PART = 8;
 
-    private final int most;
-    private final int mostIdle;
-    private final Set<Channel> idle = new LinkedHashSet<>();
-    private final Set<Channel> users = new LinkedHashSet<>();
+    private final int limit;
+    private final int idleToWorkersLimit;
+    private final double scarceFrom;
+    private final Set<Channel> idleToWorkers = new LinkedHashSet<>();
+    private final Set<Channel> idleUsers = new LinkedHashSet<>();
     /** Closed here and already out of the count; Netty tells of their end only later. */
-    private final Set<Channel> shed = new HashSet<>();
+    private final Set<Channel> closing = new HashSet<>();
 
-    private final double sharedFrom;
     private int open;
 
-    /** Sockets that workers keep for themselves. */
+    /** A limiter under which workers keep their connections. */
     public ConnectionLimiter(int maxConnections) {
         this(maxConnections, Double.POSITIVE_INFINITY);
     }
 
-    /** From that share of the sockets in use on, {@link #isScarce} asks workers to take turns. */
-    public ConnectionLimiter(int maxConnections, double sharedFrom) {
-        this.sharedFrom = sharedFrom;
-        this.most = Math.max(1, maxConnections - Math.max(LEAST_ASIDE, maxConnections / ASIDE));
-        this.mostIdle = Math.max(1, maxConnections / IDLE);
+    /** From the share {@code scarceFrom} of the sockets in use on, {@link #isScarce} asks workers to take turns. */
+    public ConnectionLimiter(int maxConnections, double scarceFrom) {
+        this.scarceFrom = scarceFrom;
+        this.limit = Math.max(1, maxConnections - Math.max(MIN_RESERVED, maxConnections / RESERVED_PART));
+        this.idleToWorkersLimit = Math.max(1, maxConnections / IDLE_TO_WORKERS_PART);
     }
 
-    /** Whether a connection more finds room, if need be by closing one that is at rest. It counts from now on if so. */
-    boolean enter() {
-        while (open >= most && (closeOldest(idle) || closeOldest(users))) {
+    /** Counts one more connection; false, and not counted, when none can be closed to make room for it. */
+    boolean tryOpen() {
+        while (open >= limit && (closeLongestIdle(idleToWorkers) || closeLongestIdle(idleUsers))) {
             open--;
         }
-        if (open >= most) {
+        if (open >= limit) {
             return false;
         }
         open++;
         return true;
     }
 
-    /** A connection that had entered is closed; null when it never came about. */
-    void leave(Channel channel) {
-        if (channel == null || !shed.remove(channel)) {
+    /** A counted connection is closed; null when it never came about. */
+    void onClosed(Channel channel) {
+        if (channel == null || !closing.remove(channel)) {
             open--;
         }
         if (channel != null) {
-            wake(channel);
+            markInUse(channel);
         }
     }
 
-    private boolean closeOldest(Set<Channel> resting) {
-        if (resting.isEmpty()) {
+    private boolean closeLongestIdle(Set<Channel> idle) {
+        if (idle.isEmpty()) {
             return false;
         }
-        Channel oldest = resting.iterator().next();
-        resting.remove(oldest);
-        shed.add(oldest);
-        oldest.close();
+        Channel longestIdle = idle.iterator().next();
+        idle.remove(longestIdle);
+        closing.add(longestIdle);
+        longestIdle.close();
         return true;
     }
 
-    /** A user's connection with no request under way. */
-    void restUser(Channel user) {
-        users.add(user);
+    /** A user's connection has no request under way. */
+    void markIdleUser(Channel user) {
+        idleUsers.add(user);
     }
 
-    /** A connection to a worker with no request under way. */
-    void restIdle(Channel toWorker) {
-        idle.add(toWorker);
-        if (idle.size() > mostIdle && closeOldest(idle)) {
+    /** A connection to a worker has no request under way. */
+    void markIdleToWorker(Channel toWorker) {
+        idleToWorkers.add(toWorker);
+        if (idleToWorkers.size() > idleToWorkersLimit && closeLongestIdle(idleToWorkers)) {
             open--;
         }
     }
 
-    /** The connection is in use again, or gone. */
-    void wake(Channel channel) {
-        if (!users.remove(channel)) {
-            idle.remove(channel);
+    /** The connection is in use again, or closed. */
+    void markInUse(Channel channel) {
+        if (!idleUsers.remove(channel)) {
+            idleToWorkers.remove(channel);
         }
     }
 
     /**
      * Whether so many sockets are in use that workers are to give theirs back after each answer: there may be more workers
-     * than sockets, and one that finds none loses its lease, while one that connects anew for each report does not.
-     * Connections at rest don't count, since a new one takes their place.
+     * than sockets, and one that finds none loses its lease, while one that connects anew for each heartbeat does not. Idle
+     * connections don't count, since a new one takes their place.
      */
     boolean isScarce() {
-        return open - users.size() - idle.size() >= sharedFrom * most;
+        return open - idleUsers.size() - idleToWorkers.size() >= scarceFrom * limit;
     }
 
+    /** How many connections are counted. */
     int open() {
         return open;
     }
--- a/src/main/java/garnetscale/net/PeerLinks.java
+++ b/src/main/java/garnetscale/net/PeerLinks.java
@@ -14,6 +14,7 @@
 import io.netty.channel.ChannelInboundHandlerAdapter;
 import io.netty.channel.ChannelInitializer;
 import io.netty.channel.ChannelOption;
+import io.netty.channel.ChannelOutboundBuffer;
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.SimpleChannelInboundHandler;
 import io.netty.channel.socket.SocketChannel;
@@ -31,48 +32,61 @@
 import java.util.function.Consumer;
 
 /**
- * One connection to each other controller, for what this one says; what the others say comes in by theirs. A
- * message on a broken link is lost: whoever needs it says it again.
+ * One connection to each other controller, for what this one sends; what the others send comes by theirs. A message on a
+ * broken link is lost: whoever needs it sends it again. Lives on one event loop.
  */
 public final class PeerLinks {
 
-    /** Answers operators, on the event loop, by calling back once. */
+    /** Answers operators. */
     public interface Inspector {
-        void answer(PeerMessage.OperatorRequest inquiry, Consumer<PeerMessage.OperatorResponse> answer);
+        /** Answers a request by calling back once, on the event loop. */
+        void answer(PeerMessage.OperatorRequest request, Consumer<PeerMessage.OperatorResponse> answer);
     }
 
-    private static final int MAX_FRAME = 4 << 20;
-    /** Bytes that may wait for a slow peer before its link is given up. */
-    private static final int MAX_WAITING = 1 << 20;
+    /** Each message follows its length in so many bytes. */
+    private static final int LENGTH_BYTES = 4;
 
-    private static final int SILENT_S = 5;
-    private static final int MOST_HELD = 256;
+    private static final int MAX_FRAME_BYTES = 4 << 20;
+    /** Bytes that may wait for a slow peer before its link is closed. */
+    private static final int MAX_PENDING_BYTES = 1 << 20;
+    /** A connection that nothing comes by for so long is closed; heartbeats come every second. */
+    private static final int READ_TIMEOUT_S = 20;
+
+    private static final int MAX_WRITES_PER_FLUSH = 256;
+    private static final int CONNECT_TIMEOUT_MS = 1000;
+    /** The pause before a link that broke is connected again. */
+    private static final long RECONNECT_DELAY_MS = 30;
+    /** The pause after an attempt to connect that failed. */
+    private static final long RETRY_DELAY_MS = 700;
 
     private final EventLoopGroup loop;
     private final PeerCodec codec = new PeerCodec();
     private final Map<String, Channel> links = new HashMap<>();
     private final Consumer<PeerMessage> receiver;
     private final Inspector inspector;
-    private final Consumer<String> connected;
-    private final Consumer<String> refused;
+    private final Consumer<String> onLinkUp;
+    private final Consumer<String> onLinkRefused;
 
     /**
-     * Calls {@code connected} with a node's name whenever a link to it is new, and {@code refused} when a link
-     * broke and the node refuses the next at once, as it does while its process is down (and at times otherwise).
+     * Calls {@code onLinkUp} with a controller's name whenever a link to it is new, and {@code onLinkRefused} when a link broke
+     * and the controller refuses the next at once, as it does while its process is down (and at times otherwise).
      */
     public PeerLinks(
             EventLoopGroup loop,
             Consumer<PeerMessage> receiver,
             Inspector inspector,
-            Consumer<String> connected,
-            Consumer<String> refused) {
+            Consumer<String> onLinkUp,
+            Consumer<String> onLinkRefused) {
         this.loop = loop;
         this.inspector = inspector;
         this.receiver = receiver;
-        this.connected = connected;
-        this.refused = refused;
+        this.onLinkUp = onLinkUp;
+        this.onLinkRefused = onLinkRefused;
     }
 
+    // ---- what the others send
+
+    /** Starts to listen; the future fails when the address is in use. */
     public ChannelFuture listen(String hostPort) {
         return new ServerBootstrap()
                 .group(loop)
@@ -80,12 +94,13 @@
                 .option(ChannelOption.SO_REUSEADDR, true)
                 .childHandler(new ChannelInitializer<SocketChannel>() {
                     @Override
-                    protected void initChannel(SocketChannel ch) {
-                        ch.pipeline()
+                    protected void initChannel(SocketChannel channel) {
+                        channel.pipeline()
                                 .addLast(
-                                        new ReadTimeoutHandler(4 * SILENT_S),
-                                        new LengthFieldBasedFrameDecoder(MAX_FRAME, 0, 4, 0, 4),
-                                        new LengthFieldPrepender(4),
+                                        new ReadTimeoutHandler(READ_TIMEOUT_S),
+                                        new LengthFieldBasedFrameDecoder(
+                                                MAX_FRAME_BYTES, 0, LENGTH_BYTES, 0, LENGTH_BYTES),
+                                        new LengthFieldPrepender(LENGTH_BYTES),
                                         new Incoming());
                     }
                 })
@@ -97,8 +112,8 @@
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, ByteBuf frame) throws IOException {
             PeerMessage message = codec.decode(ByteBufUtil.getBytes(frame));
-            if (message instanceof PeerMessage.OperatorRequest inquiry) {
-                inspector.answer(inquiry, answer -> ctx.writeAndFlush(Unpooled.wrappedBuffer(codec.encode(answer))));
+            if (message instanceof PeerMessage.OperatorRequest request) {
+                inspector.answer(request, answer -> ctx.writeAndFlush(Unpooled.wrappedBuffer(codec.encode(answer))));
             } else {
                 receiver.accept(message);
             }
@@ -110,73 +125,84 @@
         }
     }
 
-    /** Keeps a link to the node up, for as long as the process lives. */
-    public void connect(String node, String hostPort) {
-        connect(node, hostPort, false);
+    // ---- what this one sends
+
+    /** Keeps a link to the controller up, for as long as the process lives. */
+    public void connect(String controller, String hostPort) {
+        connect(controller, hostPort, false);
     }
 
-    private void connect(String node, String hostPort, boolean again) {
+    /** {@code afterBreak} is true for the first attempt after a link broke: a refusal then says most. */
+    private void connect(String controller, String hostPort, boolean afterBreak) {
         new Bootstrap()
                 .group(loop)
                 .channelFactory(NioSocketChannel::new)
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, 1000)
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MS)
                 .option(ChannelOption.TCP_NODELAY, true)
                 .handler(new ChannelInitializer<SocketChannel>() {
                     @Override
-                    protected void initChannel(SocketChannel ch) {
-                        // What one turn says goes out with one write: each costs a system call.
-                        ch.pipeline()
+                    protected void initChannel(SocketChannel channel) {
+                        // What one cycle sends goes out with one write: each costs a system call.
+                        channel.pipeline()
                                 .addLast(
-                                        new FlushConsolidationHandler(MOST_HELD, true),
-                                        new LengthFieldPrepender(4),
-                                        new ChannelInboundHandlerAdapter() {
-                                            @Override
-                                            public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-                                                ctx.close();
-                                            }
-                                        });
+                                        new FlushConsolidationHandler(MAX_WRITES_PER_FLUSH, true),
+                                        new LengthFieldPrepender(LENGTH_BYTES),
+                                        new Outgoing());
                     }
                 })
                 .connect(HttpClient.address(hostPort))
-                .addListener((ChannelFutureListener) f -> {
-                    if (!f.isSuccess()) {
-                        if (again && f.cause() instanceof ConnectException) {
-                            refused.accept(node);
-                        }
-                        later(node, hostPort, 700, false);
-                        return;
-                    }
-                    Channel c = f.channel();
-                    links.put(node, c);
-                    c.closeFuture().addListener(closed -> {
-                        links.remove(node, c);
-                        later(node, hostPort, 30, true);
-                    });
-                    connected.accept(node);
-                });
+                .addListener(
+                        (ChannelFutureListener) attempt -> onConnectEnded(controller, hostPort, afterBreak, attempt));
+    }
+
+    private static final class Outgoing extends ChannelInboundHandlerAdapter {
+
+        @Override
+        public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
+            ctx.close();
+        }
+    }
+
+    private void onConnectEnded(String controller, String hostPort, boolean afterBreak, ChannelFuture attempt) {
+        if (!attempt.isSuccess()) {
+            if (afterBreak && attempt.cause() instanceof ConnectException) {
+                onLinkRefused.accept(controller);
+            }
+            connectLater(controller, hostPort, RETRY_DELAY_MS, false);
+            return;
+        }
+        Channel link = attempt.channel();
+        links.put(controller, link);
+        link.closeFuture().addListener(closed -> {
+            links.remove(controller, link);
+            connectLater(controller, hostPort, RECONNECT_DELAY_MS, true);
+        });
+        onLinkUp.accept(controller);
     }
 
-    private void later(String node, String hostPort, long ms, boolean again) {
-        loop.next().schedule(() -> connect(node, hostPort, again), ms, TimeUnit.MILLISECONDS);
+    private void connectLater(String controller, String hostPort, long delayMs, boolean afterBreak) {
+        loop.next().schedule(() -> connect(controller, hostPort, afterBreak), delayMs, TimeUnit.MILLISECONDS);
     }
 
-    /** Sends to a node if its link is up; false if it isn't. */
-    public boolean send(String node, PeerMessage message) {
-        Channel c = links.get(node);
-        if (c == null || !c.isActive()) {
+    /** Sends to a controller if its link is up; false if it isn't, and the message is lost. */
+    public boolean send(String controller, PeerMessage message) {
+        Channel link = links.get(controller);
+        if (link == null || !link.isActive()) {
             return false;
         }
-        if (c.unsafe().outboundBuffer() != null && c.unsafe().outboundBuffer().totalPendingWriteBytes() > MAX_WAITING) {
-            c.close();
+        ChannelOutboundBuffer pending = link.unsafe().outboundBuffer();
+        if (pending != null && pending.totalPendingWriteBytes() > MAX_PENDING_BYTES) {
+            link.close();
             return false;
         }
-        c.writeAndFlush(Unpooled.wrappedBuffer(codec.encode(message)));
+        link.writeAndFlush(Unpooled.wrappedBuffer(codec.encode(message)));
         return true;
     }
 
+    /** Sends to every controller whose link is up. */
     public void sendAll(PeerMessage message) {
-        for (String node : links.keySet().toArray(new String[0])) {
-            send(node, message);
+        for (String controller : links.keySet().toArray(new String[0])) {
+            send(controller, message);
         }
     }
 }
--- a/src/main/java/garnetscale/net/Reply.java
+++ b/src/main/java/garnetscale/net/Reply.java
@@ -1,15 +1,23 @@
 package garnetscale.net;
 
-/** An answer to a request; {@code retryAfterS} 0 means that the header is left out. */
+/**
+ * An answer to a request.
+ *
+ * @param status      the HTTP status code
+ * @param body        CBOR, or empty
+ * @param retryAfterS seconds for the {@code Retry-After} header; 0 leaves it out
+ */
 public record Reply(int status, byte[] body, int retryAfterS) {
 
-    private static final byte[] NOTHING = new byte[0];
+    private static final byte[] EMPTY = new byte[0];
 
+    /** An answer with a body. */
     public static Reply of(int status, byte[] body) {
         return new Reply(status, body, 0);
     }
 
+    /** An answer without a body. */
     public static Reply of(int status) {
-        return new Reply(status, NOTHING, 0);
+        return new Reply(status, EMPTY, 0);
     }
 }
--- a/src/main/java/garnetscale/peer/PeerCodec.java
+++ b/src/main/java/garnetscale/peer/PeerCodec.java
@@ -25,37 +25,51 @@
 import org.apache.avro.io.EncoderFactory;
 
 /**
- * Peer messages in Avro's binary form. The schema is {@code peer.avsc}, and a test holds this to it by Avro's own generic
- * reader and writer; here its fields are written and read in their order by Avro's encoder and decoder. To parse the schema
- * and make generic records took a third of a starting process's time, and most of what a message costs.
+ * Encodes and decodes peer messages in Avro's binary form. The schema is {@code peer.avsc}, and a test holds this to it by
+ * Avro's own generic reader and writer; here its fields are written and read in their order by Avro's encoder and decoder. To
+ * parse the schema and make generic records took a third of a starting process's time, and most of what a message costs. Not
+ * thread-safe.
  */
 public final class PeerCodec {
 
-    /** Places in the schema's union; what stands between them is part of other messages. */
-    private static final int HEARTBEAT = 0;
+    /** Positions in the schema's union; those that are left out are records inside other messages. */
+    private static final int CONTROLLER_HEARTBEAT = 0;
 
-    private static final int OBSERVATION = 2;
+    private static final int MACHINE_STATUS = 2;
     private static final int MACHINE_DIRECTORY = 4;
-    private static final int CANCELLED = 5;
-    private static final int OVER = 6;
-    private static final int BID_SHEET = 8;
-    private static final int INQUIRY = 9;
-    private static final int ANSWER = 10;
+    private static final int JOB_CANCELLED = 5;
+    private static final int JOB_TERMINATED = 6;
+    private static final int BIDS = 8;
+    private static final int OPERATOR_REQUEST = 9;
+    private static final int OPERATOR_RESPONSE = 10;
+    /** Positions in the union of null and a value. */
+    private static final int ABSENT = 0;
+
+    private static final int PRESENT = 1;
+    /** The code of a task that has no exit cause; causes and states are coded by their order. */
+    private static final int NO_CAUSE = -1;
+
+    private static final int INITIAL_BUFFER_BYTES = 1024;
     private static final TaskState[] STATES = TaskState.values();
     private static final ExitCause[] CAUSES = ExitCause.values();
 
-    private final ByteArrayOutputStream bytes = new ByteArrayOutputStream(1024);
+    private final ByteArrayOutputStream bytes = new ByteArrayOutputStream(INITIAL_BUFFER_BYTES);
     private BinaryEncoder encoder;
     private BinaryDecoder decoder;
 
-    private interface Item<T> {
+    /** Writes one item of a list. */
+    private interface ItemWriter<T> {
         void write(T item) throws IOException;
     }
 
-    private interface Read<T> {
-        T item() throws IOException;
+    /** Reads one item of a list. */
+    private interface ItemReader<T> {
+        T read() throws IOException;
     }
 
+    // ---- encoding
+
+    /** Encodes a message. */
     public byte[] encode(PeerMessage message) {
         bytes.reset();
         encoder = EncoderFactory.get().binaryEncoder(bytes, encoder);
@@ -63,126 +77,141 @@
             write(encoder, message);
             encoder.flush();
         } catch (IOException e) {
-            throw new IllegalStateException(e);
+            throw new IllegalStateException("a buffer in memory can't be written", e);
         }
         return bytes.toByteArray();
     }
 
     private static void write(Encoder out, PeerMessage message) throws IOException {
-        if (message instanceof PeerMessage.ControllerHeartbeat h) {
-            out.writeIndex(HEARTBEAT);
-            out.writeString(h.node());
-            out.writeLong(h.incarnation());
-            out.writeLong(h.leaderTerm());
-            out.writeLong(h.stateAgeMs());
-            out.writeBoolean(h.isolatedFromWorkers());
-        } else if (message instanceof PeerMessage.MachineStatusUpdate s) {
-            out.writeIndex(OBSERVATION);
-            machineStatus(out, s.machineStatus());
-        } else if (message instanceof PeerMessage.MachineDirectory b) {
+        if (message instanceof PeerMessage.ControllerHeartbeat heartbeat) {
+            out.writeIndex(CONTROLLER_HEARTBEAT);
+            writeHeartbeat(out, heartbeat);
+        } else if (message instanceof PeerMessage.MachineStatusUpdate update) {
+            out.writeIndex(MACHINE_STATUS);
+            writeMachineStatus(out, update.machineStatus());
+        } else if (message instanceof PeerMessage.MachineDirectory directory) {
             out.writeIndex(MACHINE_DIRECTORY);
-            list(out, b.machines(), a -> {
-                out.writeString(a.machine());
-                out.writeString(a.address());
-                out.writeString(a.zone());
-            });
-            list(out, b.lateJobs(), out::writeString);
-            list(out, b.suspects(), out::writeString);
-        } else if (message instanceof PeerMessage.JobCancelled c) {
-            out.writeIndex(CANCELLED);
-            out.writeString(c.job());
-        } else if (message instanceof PeerMessage.JobTerminated o) {
-            out.writeIndex(OVER);
-            out.writeString(o.job());
-            out.writeString(o.how().state().name());
-            out.writeInt(o.how().tasks());
-            out.writeInt(o.how().finished());
-            out.writeString(o.how().team());
-        } else if (message instanceof PeerMessage.Bids b) {
-            out.writeIndex(BID_SHEET);
-            batch(out, b.batch());
-        } else if (message instanceof PeerMessage.OperatorRequest i) {
-            out.writeIndex(INQUIRY);
-            out.writeString(i.kind().name());
-            out.writeString(i.argument());
-        } else if (message instanceof PeerMessage.OperatorResponse a) {
-            out.writeIndex(ANSWER);
-            out.writeString(a.outcome().name());
-            out.writeString(a.json());
+            writeMachineDirectory(out, directory);
+        } else if (message instanceof PeerMessage.JobCancelled cancelled) {
+            out.writeIndex(JOB_CANCELLED);
+            out.writeString(cancelled.job());
+        } else if (message instanceof PeerMessage.JobTerminated terminated) {
+            out.writeIndex(JOB_TERMINATED);
+            writeJobTerminated(out, terminated);
+        } else if (message instanceof PeerMessage.Bids bids) {
+            out.writeIndex(BIDS);
+            writeBidBatch(out, bids.batch());
+        } else if (message instanceof PeerMessage.OperatorRequest request) {
+            out.writeIndex(OPERATOR_REQUEST);
+            out.writeString(request.kind().name());
+            out.writeString(request.argument());
+        } else if (message instanceof PeerMessage.OperatorResponse response) {
+            out.writeIndex(OPERATOR_RESPONSE);
+            out.writeString(response.outcome().name());
+            out.writeString(response.json());
         } else {
-            throw new IllegalArgumentException("no form for " + message);
+            throw new IllegalArgumentException("no encoding for " + message);
         }
     }
 
-    private static <T> void list(Encoder out, Collection<T> items, Item<T> item) throws IOException {
+    private static <T> void writeList(Encoder out, Collection<T> items, ItemWriter<T> writer) throws IOException {
         out.writeArrayStart();
         out.setItemCount(items.size());
-        for (T t : items) {
+        for (T item : items) {
             out.startItem();
-            item.write(t);
+            writer.write(item);
         }
         out.writeArrayEnd();
     }
 
-    private static void machineStatus(Encoder out, MachineStatus o) throws IOException {
-        out.writeString(o.node());
-        out.writeLong(o.incarnation());
-        out.writeString(o.partition());
-        out.writeLong(o.term());
-        out.writeString(o.machine());
-        out.writeString(o.address());
-        out.writeString(o.type());
-        out.writeString(o.zone());
-        out.writeBoolean(o.spot());
-        out.writeLong(o.agentEpoch());
-        if (o.evictionNoticeS() == null) {
-            out.writeIndex(0);
+    private static void writeHeartbeat(Encoder out, PeerMessage.ControllerHeartbeat heartbeat) throws IOException {
+        out.writeString(heartbeat.node());
+        out.writeLong(heartbeat.incarnation());
+        out.writeLong(heartbeat.leaderTerm());
+        out.writeLong(heartbeat.stateAgeMs());
+        out.writeBoolean(heartbeat.isolatedFromWorkers());
+    }
+
+    private static void writeMachineDirectory(Encoder out, PeerMessage.MachineDirectory directory) throws IOException {
+        writeList(out, directory.machines(), machine -> {
+            out.writeString(machine.machine());
+            out.writeString(machine.address());
+            out.writeString(machine.zone());
+        });
+        writeList(out, directory.lateJobs(), out::writeString);
+        writeList(out, directory.suspects(), out::writeString);
+    }
+
+    private static void writeJobTerminated(Encoder out, PeerMessage.JobTerminated terminated) throws IOException {
+        out.writeString(terminated.job());
+        out.writeString(terminated.how().state().name());
+        out.writeInt(terminated.how().tasks());
+        out.writeInt(terminated.how().finished());
+        out.writeString(terminated.how().team());
+    }
+
+    private static void writeMachineStatus(Encoder out, MachineStatus status) throws IOException {
+        out.writeString(status.node());
+        out.writeLong(status.incarnation());
+        out.writeString(status.partition());
+        out.writeLong(status.term());
+        out.writeString(status.machine());
+        out.writeString(status.address());
+        out.writeString(status.type());
+        out.writeString(status.zone());
+        out.writeBoolean(status.spot());
+        out.writeLong(status.agentEpoch());
+        if (status.evictionNoticeS() == null) {
+            out.writeIndex(ABSENT);
             out.writeNull();
         } else {
-            out.writeIndex(1);
-            out.writeDouble(o.evictionNoticeS());
+            out.writeIndex(PRESENT);
+            out.writeDouble(status.evictionNoticeS());
         }
-        out.writeBoolean(o.silent());
-        list(out, o.tasks(), t -> {
-            out.writeString(t.task().toString());
-            out.writeLong(t.attempt());
-            out.writeInt(t.state().ordinal());
-            out.writeInt(t.cause() == null ? -1 : t.cause().ordinal());
-            out.writeBoolean(t.checkpointed());
+        out.writeBoolean(status.silent());
+        writeList(out, status.tasks(), task -> {
+            out.writeString(task.task().toString());
+            out.writeLong(task.attempt());
+            out.writeInt(task.state().ordinal());
+            out.writeInt(task.cause() == null ? NO_CAUSE : task.cause().ordinal());
+            out.writeBoolean(task.checkpointed());
         });
-        list(out, o.terminated(), out::writeLong);
+        writeList(out, status.terminated(), out::writeLong);
     }
 
-    private static void batch(Encoder out, BidBatch s) throws IOException {
-        out.writeString(s.node());
-        out.writeLong(s.incarnation());
-        out.writeLong(s.revision());
+    private static void writeBidBatch(Encoder out, BidBatch batch) throws IOException {
+        out.writeString(batch.node());
+        out.writeLong(batch.incarnation());
+        out.writeLong(batch.revision());
         out.writeMapStart();
-        out.setItemCount(s.terms().size());
-        for (Map.Entry<String, Long> e : s.terms().entrySet()) {
+        out.setItemCount(batch.terms().size());
+        for (Map.Entry<String, Long> term : batch.terms().entrySet()) {
             out.startItem();
-            out.writeString(e.getKey());
-            out.writeLong(e.getValue());
+            out.writeString(term.getKey());
+            out.writeLong(term.getValue());
         }
         out.writeMapEnd();
-        list(out, s.bids(), b -> {
-            out.writeString(b.machine());
-            out.writeLong(b.agentEpoch());
-            out.writeString(b.job());
-            out.writeInt(b.slots());
-            out.writeDouble(b.finishS());
+        writeList(out, batch.bids(), bid -> {
+            out.writeString(bid.machine());
+            out.writeLong(bid.agentEpoch());
+            out.writeString(bid.job());
+            out.writeInt(bid.slots());
+            out.writeDouble(bid.finishS());
         });
     }
 
-    /** Reads a message; anything that isn't one is an IOException. */
+    // ---- decoding
+
+    /** Decodes a message; an IOException tells that the bytes aren't exactly one. */
+    @SuppressWarnings("IllegalCatch") // Malformed bytes make Avro and the constructors here fail in many ways.
     public PeerMessage decode(byte[] message) throws IOException {
         decoder = DecoderFactory.get().binaryDecoder(message, decoder);
         try {
-            PeerMessage m = read(decoder);
+            PeerMessage decoded = read(decoder);
             if (!decoder.isEnd()) {
                 throw new IOException("more than one peer message");
             }
-            return m;
+            return decoded;
         } catch (RuntimeException e) {
             throw new IOException("malformed peer message", e);
         }
@@ -191,43 +220,43 @@
     private static PeerMessage read(Decoder in) throws IOException {
         int kind = in.readIndex();
         return switch (kind) {
-            case HEARTBEAT ->
+            case CONTROLLER_HEARTBEAT ->
                 new PeerMessage.ControllerHeartbeat(
                         in.readString(), in.readLong(), in.readLong(), in.readLong(), in.readBoolean());
-            case OBSERVATION -> new PeerMessage.MachineStatusUpdate(machineStatus(in));
+            case MACHINE_STATUS -> new PeerMessage.MachineStatusUpdate(readMachineStatus(in));
             case MACHINE_DIRECTORY ->
                 new PeerMessage.MachineDirectory(
-                        list(in, () -> new MachineAddress(in.readString(), in.readString(), in.readString())),
-                        list(in, in::readString),
-                        list(in, in::readString));
-            case CANCELLED -> new PeerMessage.JobCancelled(in.readString());
-            case OVER ->
+                        readList(in, () -> new MachineAddress(in.readString(), in.readString(), in.readString())),
+                        readList(in, in::readString),
+                        readList(in, in::readString));
+            case JOB_CANCELLED -> new PeerMessage.JobCancelled(in.readString());
+            case JOB_TERMINATED ->
                 new PeerMessage.JobTerminated(
                         in.readString(),
                         new Records.TerminalJob(
                                 JobState.valueOf(in.readString()), in.readInt(), in.readInt(), in.readString()));
-            case INQUIRY ->
+            case OPERATOR_REQUEST ->
                 new PeerMessage.OperatorRequest(
                         PeerMessage.OperatorRequest.Kind.valueOf(in.readString()), in.readString());
-            case ANSWER ->
+            case OPERATOR_RESPONSE ->
                 new PeerMessage.OperatorResponse(
                         PeerMessage.OperatorResponse.Outcome.valueOf(in.readString()), in.readString());
-            case BID_SHEET -> new PeerMessage.Bids(batch(in));
-            default -> throw new IOException("not a message: " + kind);
+            case BIDS -> new PeerMessage.Bids(readBidBatch(in));
+            default -> throw new IOException("unknown kind of peer message: " + kind);
         };
     }
 
-    private static <T> List<T> list(Decoder in, Read<T> read) throws IOException {
+    private static <T> List<T> readList(Decoder in, ItemReader<T> reader) throws IOException {
         List<T> list = new ArrayList<>();
-        for (long n = in.readArrayStart(); n > 0; n = in.arrayNext()) {
-            for (long i = 0; i < n; i++) {
-                list.add(read.item());
+        for (long count = in.readArrayStart(); count > 0; count = in.arrayNext()) {
+            for (long i = 0; i < count; i++) {
+                list.add(reader.read());
             }
         }
         return List.copyOf(list);
     }
 
-    private static MachineStatus machineStatus(Decoder in) throws IOException {
+    private static MachineStatus readMachineStatus(Decoder in) throws IOException {
         return new MachineStatus(
                 in.readString(),
                 in.readLong(),
@@ -239,35 +268,32 @@
                 in.readString(),
                 in.readBoolean(),
                 in.readLong(),
-                in.readIndex() == 0 ? null : in.readDouble(),
+                in.readIndex() == ABSENT ? null : in.readDouble(),
                 in.readBoolean(),
-                list(in, () -> {
-                    TaskId task = TaskId.parse(in.readString());
-                    long attempt = in.readLong();
-                    TaskState state = STATES[in.readInt()];
-                    int cause = in.readInt();
-                    return new TaskStatus(task, attempt, state, cause < 0 ? null : CAUSES[cause], in.readBoolean());
-                }),
-                list(in, in::readLong));
+                readList(in, () -> readTaskStatus(in)),
+                readList(in, in::readLong));
+    }
+
+    private static TaskStatus readTaskStatus(Decoder in) throws IOException {
+        TaskId task = TaskId.parse(in.readString());
+        long attempt = in.readLong();
+        TaskState state = STATES[in.readInt()];
+        int cause = in.readInt();
+        return new TaskStatus(task, attempt, state, cause < 0 ? null : CAUSES[cause], in.readBoolean());
     }
 
-    private static BidBatch batch(Decoder in) throws IOException {
-        String node = in.readString();
+    private static BidBatch readBidBatch(Decoder in) throws IOException {
+        String controller = in.readString();
         long incarnation = in.readLong();
         long revision = in.readLong();
         Map<String, Long> terms = new HashMap<>();
-        for (long n = in.readMapStart(); n > 0; n = in.mapNext()) {
-            for (long i = 0; i < n; i++) {
+        for (long count = in.readMapStart(); count > 0; count = in.mapNext()) {
+            for (long i = 0; i < count; i++) {
                 terms.put(in.readString(), in.readLong());
             }
         }
-        return new BidBatch(
-                node,
-                incarnation,
-                revision,
-                terms,
-                list(
-                        in,
-                        () -> new Bid(in.readString(), in.readLong(), in.readString(), in.readInt(), in.readDouble())));
+        List<Bid> bids = readList(
+                in, () -> new Bid(in.readString(), in.readLong(), in.readString(), in.readInt(), in.readDouble()));
+        return new BidBatch(controller, incarnation, revision, terms, bids);
     }
 }
--- a/src/test/java/garnetscale/net/ConnectionLimiterTest.java
+++ b/src/test/java/garnetscale/net/ConnectionLimiterTest.java
@@ -20,12 +20,12 @@
 
     private List<Channel> rest(int count, boolean users) {
         List<Channel> list = new ArrayList<>();
-        for (int i = 0; i < count && sockets.enter(); i++) {
+        for (int i = 0; i < count && sockets.tryOpen(); i++) {
             Channel c = new EmbeddedChannel();
             if (users) {
-                sockets.restUser(c);
+                sockets.markIdleUser(c);
             } else {
-                sockets.restIdle(c);
+                sockets.markIdleToWorker(c);
             }
             list.add(c);
         }
@@ -43,7 +43,7 @@
         assertTrue(sockets.open() < LIMIT, "nothing set aside");
         assertEquals(600, closed(idle), "connections at rest to workers go before users'");
         for (int i = 0; i < WORKERS; i++) {
-            assertTrue(sockets.enter(), "worker " + i + " found no socket");
+            assertTrue(sockets.tryOpen(), "worker " + i + " found no socket");
         }
         assertTrue(sockets.open() <= LIMIT - LIMIT / 8, sockets.open() + " open");
         long left = users.stream().filter(Channel::isOpen).count();
@@ -57,9 +57,9 @@
     void whatWasShedLeavesTheCountOnce() {
         List<Channel> users = rest(3000, true);
         int open = sockets.open();
-        users.stream().filter(c -> !c.isOpen()).forEach(sockets::leave);
+        users.stream().filter(c -> !c.isOpen()).forEach(sockets::onClosed);
         assertEquals(open, sockets.open());
-        users.stream().filter(Channel::isOpen).forEach(sockets::leave);
+        users.stream().filter(Channel::isOpen).forEach(sockets::onClosed);
         assertEquals(0, sockets.open());
     }
 
@@ -69,26 +69,26 @@
         ConnectionLimiter shared = new ConnectionLimiter(LIMIT, 0.5);
         int usable = LIMIT - LIMIT / 8;
         for (int i = 0; i < usable; i++) {
-            assertTrue(shared.enter());
-            shared.restUser(new EmbeddedChannel());
+            assertTrue(shared.tryOpen());
+            shared.markIdleUser(new EmbeddedChannel());
         }
         assertFalse(shared.isScarce(), "users at rest make room");
         for (int i = 0; i < usable; i++) {
             assertEquals(i >= (usable + 1) / 2, shared.isScarce(), i + " workers of " + usable);
-            assertTrue(shared.enter());
+            assertTrue(shared.tryOpen());
         }
         assertFalse(sockets.isScarce(), "workers keep their sockets unless they are to share");
     }
 
     @Test
     void aNewOneIsTurnedAwayWhenAllAreInUse() {
-        while (sockets.enter()) {
+        while (sockets.tryOpen()) {
             // Workers' connections, none at rest.
         }
         int open = sockets.open();
-        assertFalse(sockets.enter());
+        assertFalse(sockets.tryOpen());
         assertEquals(open, sockets.open());
-        sockets.leave(null);
-        assertTrue(sockets.enter());
+        sockets.onClosed(null);
+        assertTrue(sockets.tryOpen());
     }
 }
