--- /dev/null
+++ b/src/test/java/garnetscale/controller/AnswerHistory.java
@@ -0,0 +1,105 @@
+package garnetscale.controller;
+
+import garnetscale.net.Reply;
+import garnetscale.wire.Cbor;
+import java.io.IOException;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+
+/** What users were told of each job, at whichever controller, and which answers contradict what was told before. */
+final class AnswerHistory {
+
+    /** How far a job has come by the newest answer; later ones may not go back. */
+    enum Progress {
+        NOTHING,
+        ACCEPTED,
+        TERMINAL
+    }
+
+    /** What was known of a job when a request was sent. */
+    record Before(Progress progress, String terminalState) {}
+
+    private final Map<String, Progress> progress = new HashMap<>();
+    private final Map<String, String> terminalStates = new HashMap<>();
+    private final Set<String> cancelRequested = new HashSet<>();
+    private final Set<String> refused = new HashSet<>();
+    private final List<String> violations;
+
+    AnswerHistory(List<String> violations) {
+        this.violations = violations;
+    }
+
+    /** What is known of a job by now. */
+    Before before(String id) {
+        return new Before(progress.getOrDefault(id, Progress.NOTHING), terminalStates.get(id));
+    }
+
+    boolean isKnown(String id) {
+        return progress.containsKey(id);
+    }
+
+    Set<String> knownJobs() {
+        return Set.copyOf(progress.keySet());
+    }
+
+    /** No job of this id exists, or may come to exist. */
+    void refuse(String id) {
+        refused.add(id);
+    }
+
+    Set<String> refusedJobs() {
+        return refused;
+    }
+
+    void requestCancel(String id) {
+        cancelRequested.add(id);
+    }
+
+    /** Checks an answer against what was known before its request was sent, and remembers it. */
+    void check(String id, Before before, String request, Reply reply) {
+        if (reply.status() == 503) {
+            if (reply.retryAfterS() < 1) {
+                violations.add(request + ": 503 without Retry-After");
+            }
+        } else if (reply.status() != 200 && reply.status() != 201) {
+            if (before.progress() != Progress.NOTHING) {
+                violations.add(request + ": " + reply.status() + " after " + before.progress());
+            }
+        } else {
+            checkState(id, before, request, stateOf(reply));
+        }
+    }
+
+    private void checkState(String id, Before before, String request, String state) {
+        boolean terminal = state.equals("done") || state.equals("withdrawn");
+        if (before.progress() == Progress.TERMINAL && !state.equals(before.terminalState())) {
+            violations.add(request + ": " + state + " after " + before.terminalState());
+        }
+        if (state.equals("withdrawn") && !cancelRequested.contains(id)) {
+            violations.add(request + ": nobody cancelled it");
+        }
+        if (refused.contains(id)) {
+            violations.add(request + ": a refused job became one");
+        }
+        progress.merge(
+                id,
+                terminal ? Progress.TERMINAL : Progress.ACCEPTED,
+                (older, newer) -> older.compareTo(newer) > 0 ? older : newer);
+        String other = terminal ? terminalStates.putIfAbsent(id, state) : null;
+        if (other != null && !other.equals(state)) {
+            violations.add(request + ": " + state + ", and " + other + " elsewhere");
+        }
+    }
+
+    /** The job's state in an answer, in the words of the protocol. */
+    static String stateOf(Reply reply) {
+        try {
+            return String.valueOf(Cbor.readMap(reply.body()).get("mood"));
+        } catch (IOException e) {
+            throw new IllegalStateException(e);
+        }
+    }
+}
--- /dev/null
+++ b/src/test/java/garnetscale/controller/ScriptedController.java
@@ -0,0 +1,145 @@
+package garnetscale.controller;
+
+import garnetscale.core.SchedulerConfig;
+import garnetscale.core.TestConfig;
+import garnetscale.core.state.StateReplica;
+import garnetscale.net.HttpResult;
+import garnetscale.net.Reply;
+import io.netty.handler.codec.http.HttpMethod;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.function.Consumer;
+
+/** One controller of a {@link ScriptedCluster}: the real link to the state service with its replica, and the real job API. */
+final class ScriptedController implements StateLink.Io, StateLink.Listener {
+
+    private static final long MAX_DELAY_MS = 10_000;
+
+    final String name;
+    final StateReplica replica = new StateReplica();
+    final StateLink state;
+    final JobApi jobApi;
+    long refusedUntil;
+    long confirmedAt = -1;
+    private long refusalBegan = Long.MAX_VALUE;
+    private final ScriptedCluster cluster;
+
+    ScriptedController(ScriptedCluster cluster, String name, int controllerCount) {
+        this.cluster = cluster;
+        this.name = name;
+        List<SchedulerConfig.ControllerAddress> controllers = new ArrayList<>();
+        for (int i = 0; i < controllerCount; i++) {
+            controllers.add(new SchedulerConfig.ControllerAddress("n" + i, "a", ""));
+        }
+        SchedulerConfig config = TestConfig.small()
+                .self(name)
+                .controllers(controllers)
+                .teams(new SchedulerConfig.Team("red", 8, 64, 0, 0))
+                .state(450, 180)
+                .build();
+        state = new StateLink(config, this, cluster.random, replica, this);
+        jobApi = new JobApi(config, replica, state, job -> null, job -> {});
+        state.start();
+    }
+
+    /** The state service refuses this controller alone for a while. */
+    void refuse(long ms) {
+        refusalBegan = cluster.now;
+        refusedUntil = cluster.now + ms;
+    }
+
+    private boolean isRefused() {
+        return cluster.now < refusalEnds();
+    }
+
+    private long refusalEnds() {
+        return Math.max(cluster.failingUntil, refusedUntil);
+    }
+
+    // ---- requests to the state service
+
+    @Override
+    public long now() {
+        return cluster.now;
+    }
+
+    @Override
+    public void after(long ms, Runnable run) {
+        cluster.at(ms, run);
+    }
+
+    @Override
+    public void call(HttpMethod method, String path, byte[] body, long timeoutMs, Consumer<HttpResult> done) {
+        boolean[] ended = new boolean[1];
+        Consumer<HttpResult> once = result -> {
+            if (!ended[0]) {
+                ended[0] = true;
+                done.accept(result);
+            }
+        };
+        cluster.at(timeoutMs, () -> once.accept(HttpResult.NO_ANSWER));
+        if (path.startsWith("/keys?") && path.contains("&since=")) {
+            cluster.met("listed in several pages");
+        }
+        boolean write = path.equals("/multi");
+        double luck = write ? cluster.random.nextDouble() : 1;
+        boolean lost = luck < cluster.answerLost;
+        boolean delayed = !lost && luck < cluster.answerLost + cluster.late;
+        cluster.at(
+                delayed ? 2000 + cluster.random.nextInt((int) MAX_DELAY_MS) : cluster.networkDelay(),
+                () -> arrive(method, path, body, reply -> {
+                    if (delayed) {
+                        cluster.met(reply.status() == 200 ? "carried out late" : "late and overtaken");
+                    } else if (lost) {
+                        cluster.met(reply.status() == 200 ? "carried out, answer lost" : "refused, answer lost");
+                    } else {
+                        cluster.at(
+                                cluster.networkDelay(),
+                                () -> once.accept(HttpResult.answered(reply.status(), reply.body())));
+                    }
+                }));
+    }
+
+    /** A watch that hangs open in a refusal is answered when the refusal ends, however old it is by then. */
+    private void arrive(HttpMethod method, String path, byte[] body, Consumer<Reply> answer) {
+        if (isRefused()) {
+            answer.accept(Reply.of(503));
+            return;
+        }
+        cluster.service.handle(method.name(), path, body, reply -> {
+            if (path.startsWith("/follow") && isRefused()) {
+                cluster.met("a watch hung open through a refusal");
+                cluster.at(refusalEnds() - cluster.now + 1, () -> arrive(method, path, body, answer));
+            } else {
+                answer.accept(reply);
+            }
+        });
+        cluster.recordRevision();
+    }
+
+    // ---- what the link tells its controller
+
+    @Override
+    public void advanced() {
+        // The job API reads the replica when it needs to.
+    }
+
+    /** By now the replica must hold all that the state service had when the request was sent. */
+    @Override
+    public void confirmed(long sentAt) {
+        confirmedAt = Math.max(confirmedAt, sentAt);
+        if (sentAt > cluster.now || replica.revision() < cluster.revisionAt(sentAt)) {
+            cluster.violations.add(name + " at " + cluster.now + " takes itself for complete as of " + sentAt
+                    + ", revision " + cluster.revisionAt(sentAt) + ", and has " + replica.revision());
+        }
+        if (isRefused() && sentAt >= refusalBegan) {
+            cluster.violations.add(name + " is confirmed by a request that was sent while it was refused");
+        }
+        cluster.met("confirmed");
+    }
+
+    @Override
+    public void leased(long lease) {
+        cluster.met(lease < 0 ? "lease lost" : "lease");
+    }
+}
--- a/src/test/java/garnetscale/controller/StateLinkTest.java
+++ b/src/test/java/garnetscale/controller/StateLinkTest.java
@@ -60,14 +60,14 @@
         Map<String, Integer> met = new TreeMap<>();
         for (long seed = 1; seed <= SEEDS; seed++) {
             ScriptedCluster t = day(seed);
-            ScriptedCluster.Desk leader = t.desks.get(0);
+            ScriptedController leader = t.controllers.get(0);
             t.at(9400 + t.random.nextInt(400), () -> leader.refuse(5000));
             t.at(18_400 + t.random.nextInt(400), () -> leader.refuse(4000));
             t.at(20_000, () -> t.failingUntil = t.now + 6000);
-            t.at(27_500, () -> t.desks.get(1).refuse(2000));
+            t.at(27_500, () -> t.controllers.get(1).refuse(2000));
             t.run(40_000);
-            assertEquals(List.of(), t.broken, "seed " + seed);
-            t.desks.forEach(d -> assertTrue(t.now - d.confirmedAt < 2000, "confirmed again once all is well"));
+            assertEquals(List.of(), t.violations, "seed " + seed);
+            t.controllers.forEach(d -> assertTrue(t.now - d.confirmedAt < 2000, "confirmed again once all is well"));
             t.met.forEach((what, times) -> met.merge(what, times, Integer::sum));
         }
         for (String what : List.of("a watch hung open through a refusal", "listed in several pages", "lease lost")) {
--- a/src/test/java/garnetscale/controller/TerminalJobIndexTest.java
+++ b/src/test/java/garnetscale/controller/TerminalJobIndexTest.java
@@ -19,68 +19,68 @@
 import java.util.stream.Collectors;
 import org.junit.jupiter.api.Test;
 
-/** Many users ask about jobs that are over, or that nobody has submitted. */
+/** Many users look up jobs that are terminal, or that nobody has submitted. */
 class TerminalJobIndexTest {
 
     private static final int TRANSACTION_OPS = 32;
     private static final int REMEMBERED = 50;
     private static final Records.TerminalJob DONE = new Records.TerminalJob(JobState.DONE, 3, 3, "red");
 
-    /** Answers when told to; of the keys that are there it names only the first, as little as the protocol promises. */
+    /** Answers when a test says so; of the keys that are there it names only the first, as little as the protocol promises. */
     private static final class Store implements TerminalJobIndex.Store {
         final Map<String, Object> values = new HashMap<>();
-        final Deque<Runnable> underWay = new ArrayDeque<>();
+        final Deque<Runnable> pending = new ArrayDeque<>();
         int requests;
-        boolean silent;
+        boolean failing;
 
         @Override
         public void whenReadable(Runnable run) {
-            underWay.add(run);
+            pending.add(run);
         }
 
         @Override
         public void get(String key, BiConsumer<Boolean, Object> done) {
             requests++;
-            done.accept(!silent, silent ? null : values.get(key));
+            done.accept(!failing, failing ? null : values.get(key));
         }
 
         @Override
         public void present(List<String> keys, Consumer<Set<String>> done) {
             requests++;
             done.accept(
-                    silent
+                    failing
                             ? null
                             : keys.stream().filter(values::containsKey).limit(1).collect(Collectors.toSet()));
         }
 
-        void work() {
-            while (!underWay.isEmpty()) {
-                underWay.poll().run();
+        void answerAll() {
+            while (!pending.isEmpty()) {
+                pending.poll().run();
             }
         }
     }
 
     private final Store store = new Store();
     private final TerminalJobIndex terminalJobs = new TerminalJobIndex(TRANSACTION_OPS, REMEMBERED, store);
-    private final Map<String, String> told = new TreeMap<>();
+    private final Map<String, String> results = new TreeMap<>();
 
-    private void ask(String id) {
+    private void lookUp(String id) {
         terminalJobs.lookUp(
                 id,
-                (sure, how) -> told.put(
+                (known, job) -> results.put(
                         id,
-                        !sure ? "unknown" : how == null ? "never" : how.state().name()));
+                        !known ? "unknown" : job == null ? "never" : job.state().name()));
     }
 
     /** Each question used to cost a read, of which a node may make eight a second. */
     @Test
     void aHundredQuestionsAboutNothingTakeOneRequest() {
         for (int i = 0; i < 100; i++) {
-            ask("wk-" + i);
+            lookUp("wk-" + i);
         }
-        store.work();
-        assertEquals(100, told.size());
-        assertEquals(Set.of("never"), Set.copyOf(told.values()));
+        store.answerAll();
+        assertEquals(100, results.size());
+        assertEquals(Set.of("never"), Set.copyOf(results.values()));
         assertEquals(1, store.requests);
     }
 
@@ -91,23 +91,23 @@
             if (i % 10 == 3) {
                 store.values.put(Keys.terminalJob("wk-" + i), Records.terminalJob(DONE));
             }
-            ask("wk-" + i);
+            lookUp("wk-" + i);
         }
-        store.work();
+        store.answerAll();
         for (int i = 0; i < 40; i++) {
-            assertEquals(i % 10 == 3 ? "DONE" : "never", told.get("wk-" + i), "wk-" + i);
+            assertEquals(i % 10 == 3 ? "DONE" : "never", results.get("wk-" + i), "wk-" + i);
         }
-        ask("wk-3");
-        assertTrue(store.underWay.isEmpty(), "what was read once is known");
+        lookUp("wk-3");
+        assertTrue(store.pending.isEmpty(), "what was read once is known");
     }
 
     @Test
     void oneJobsUsersShareAnAnswer() {
         List<String> answers = new ArrayList<>();
         for (int i = 0; i < 1000; i++) {
-            terminalJobs.lookUp("wk-1", (sure, how) -> answers.add(String.valueOf(how)));
+            terminalJobs.lookUp("wk-1", (known, job) -> answers.add(String.valueOf(job)));
         }
-        store.work();
+        store.answerAll();
         assertEquals(1000, answers.size());
         assertEquals(1, store.requests);
     }
@@ -115,14 +115,14 @@
     /** More than two requests' worth isn't held back, and nobody's silence is taken for "never". */
     @Test
     void whatCannotBeAskedIsRefusedAtOnce() {
-        store.silent = true;
+        store.failing = true;
         for (int i = 0; i < 1000; i++) {
-            ask("wk-" + i);
+            lookUp("wk-" + i);
         }
-        assertEquals(1000 - 2 * 4 * TRANSACTION_OPS, told.size());
-        store.work();
-        assertEquals(Set.of("unknown"), Set.copyOf(told.values()));
-        assertEquals(1000, told.size());
+        assertEquals(1000 - 2 * 4 * TRANSACTION_OPS, results.size());
+        store.answerAll();
+        assertEquals(Set.of("unknown"), Set.copyOf(results.values()));
+        assertEquals(1000, results.size());
     }
 
     /** What is kept follows from the settings; beyond it the end that was asked for the longest ago is read again. */
@@ -131,19 +131,19 @@
         for (int i = 0; i <= REMEMBERED; i++) {
             terminalJobs.remember("wk-" + i, DONE);
         }
-        ask("wk-" + REMEMBERED);
-        ask("wk-1");
+        lookUp("wk-" + REMEMBERED);
+        lookUp("wk-1");
         assertEquals(0, store.requests);
-        ask("wk-0");
-        store.work();
+        lookUp("wk-0");
+        store.answerAll();
         assertTrue(store.requests > 0, "more is remembered than was allowed");
     }
 
     @Test
     void whatTheLeaderTellsNeedsNoRequest() {
         terminalJobs.remember("wk-1", DONE);
-        ask("wk-1");
-        assertEquals("DONE", told.get("wk-1"));
+        lookUp("wk-1");
+        assertEquals("DONE", results.get("wk-1"));
         assertEquals(0, store.requests);
     }
 }
--- a/src/test/java/garnetscale/net/ConnectionLimiterTest.java
+++ b/src/test/java/garnetscale/net/ConnectionLimiterTest.java
@@ -10,42 +10,42 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** One controller is the only one left: 1,600 workers come to it while users and its own commands have the sockets. */
+/** One controller is the only one left: 1,600 workers come to it while users and its own commands have the limiter. */
 class ConnectionLimiterTest {
 
     private static final int LIMIT = 2266;
     private static final int WORKERS = 1600;
 
-    private final ConnectionLimiter sockets = new ConnectionLimiter(LIMIT);
+    private final ConnectionLimiter limiter = new ConnectionLimiter(LIMIT);
 
-    private List<Channel> rest(int count, boolean users) {
+    private List<Channel> openIdle(int count, boolean users) {
         List<Channel> list = new ArrayList<>();
-        for (int i = 0; i < count && sockets.tryOpen(); i++) {
-            Channel c = new EmbeddedChannel();
+        for (int i = 0; i < count && limiter.tryOpen(); i++) {
+            Channel channel = new EmbeddedChannel();
             if (users) {
-                sockets.markIdleUser(c);
+                limiter.markIdleUser(channel);
             } else {
-                sockets.markIdleToWorker(c);
+                limiter.markIdleToWorker(channel);
             }
-            list.add(c);
+            list.add(channel);
         }
         return list;
     }
 
     private static long closed(List<Channel> list) {
-        return list.stream().filter(c -> !c.isOpen()).count();
+        return list.stream().filter(channel -> !channel.isOpen()).count();
     }
 
     @Test
     void workersComeFirstAndWhatIsSetAsideStaysFree() {
-        List<Channel> idle = rest(600, false);
-        List<Channel> users = rest(3000, true);
-        assertTrue(sockets.open() < LIMIT, "nothing set aside");
+        List<Channel> idle = openIdle(600, false);
+        List<Channel> users = openIdle(3000, true);
+        assertTrue(limiter.open() < LIMIT, "nothing set aside");
         assertEquals(600, closed(idle), "connections at rest to workers go before users'");
         for (int i = 0; i < WORKERS; i++) {
-            assertTrue(sockets.tryOpen(), "worker " + i + " found no socket");
+            assertTrue(limiter.tryOpen(), "worker " + i + " found no socket");
         }
-        assertTrue(sockets.open() <= LIMIT - LIMIT / 8, sockets.open() + " open");
+        assertTrue(limiter.open() <= LIMIT - LIMIT / 8, limiter.open() + " open");
         long left = users.stream().filter(Channel::isOpen).count();
         assertTrue(left > 300, "only " + left + " users are left");
         assertFalse(users.get(0).isOpen(), "the longest unused goes first");
@@ -55,12 +55,12 @@
     /** Netty tells of a closed connection's end later; counted twice, it would let in more than there is room for. */
     @Test
     void whatWasShedLeavesTheCountOnce() {
-        List<Channel> users = rest(3000, true);
-        int open = sockets.open();
-        users.stream().filter(c -> !c.isOpen()).forEach(sockets::onClosed);
-        assertEquals(open, sockets.open());
-        users.stream().filter(Channel::isOpen).forEach(sockets::onClosed);
-        assertEquals(0, sockets.open());
+        List<Channel> users = openIdle(3000, true);
+        int open = limiter.open();
+        users.stream().filter(channel -> !channel.isOpen()).forEach(limiter::onClosed);
+        assertEquals(open, limiter.open());
+        users.stream().filter(Channel::isOpen).forEach(limiter::onClosed);
+        assertEquals(0, limiter.open());
     }
 
     /** What is at rest doesn't make sockets scarce, since a new connection takes its place. */
@@ -77,18 +77,18 @@
             assertEquals(i >= (usable + 1) / 2, shared.isScarce(), i + " workers of " + usable);
             assertTrue(shared.tryOpen());
         }
-        assertFalse(sockets.isScarce(), "workers keep their sockets unless they are to share");
+        assertFalse(limiter.isScarce(), "workers keep their sockets unless they are to share");
     }
 
     @Test
     void aNewOneIsTurnedAwayWhenAllAreInUse() {
-        while (sockets.tryOpen()) {
+        while (limiter.tryOpen()) {
             // Workers' connections, none at rest.
         }
-        int open = sockets.open();
-        assertFalse(sockets.tryOpen());
-        assertEquals(open, sockets.open());
-        sockets.onClosed(null);
-        assertTrue(sockets.tryOpen());
+        int open = limiter.open();
+        assertFalse(limiter.tryOpen());
+        assertEquals(open, limiter.open());
+        limiter.onClosed(null);
+        assertTrue(limiter.tryOpen());
     }
 }
--- a/src/test/java/garnetscale/net/HttpServerTest.java
+++ b/src/test/java/garnetscale/net/HttpServerTest.java
@@ -33,12 +33,12 @@
     }
 
     /** Serves what echoes every body, and returns its port. */
-    private int listen(ConnectionLimiter sockets) {
-        ChannelFuture f = new HttpServer(
-                        loop, sockets, 16, (method, path, body, answer) -> answer.accept(new Reply(200, body, 2)))
+    private int listen(ConnectionLimiter limiter) {
+        ChannelFuture listening = new HttpServer(
+                        loop, limiter, 16, (method, path, body, answer) -> answer.accept(new Reply(200, body, 2)))
                 .listen("127.0.0.1:0")
                 .awaitUninterruptibly();
-        return ((InetSocketAddress) f.channel().localAddress()).getPort();
+        return ((InetSocketAddress) listening.channel().localAddress()).getPort();
     }
 
     @AfterEach
@@ -47,50 +47,50 @@
     }
 
     private Socket connect() throws IOException {
-        Socket s = new Socket("127.0.0.1", port);
-        s.setTcpNoDelay(true);
-        s.setSoTimeout(20_000);
-        return s;
+        Socket socket = new Socket("127.0.0.1", port);
+        socket.setTcpNoDelay(true);
+        socket.setSoTimeout(20_000);
+        return socket;
     }
 
-    private static String firstLine(Socket s) throws IOException {
-        return new BufferedReader(new InputStreamReader(s.getInputStream(), StandardCharsets.US_ASCII)).readLine();
+    private static String firstLine(Socket socket) throws IOException {
+        return new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII)).readLine();
     }
 
     @Test
     void aRequestMayComeByteByByte() throws IOException {
-        try (Socket s = connect()) {
-            OutputStream out = s.getOutputStream();
+        try (Socket socket = connect()) {
+            OutputStream out = socket.getOutputStream();
             for (byte b : "POST /v2/runs HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\n\r\nabc"
                     .getBytes(StandardCharsets.US_ASCII)) {
                 out.write(b);
                 out.flush();
             }
-            assertEquals("HTTP/1.1 200 OK", firstLine(s));
+            assertEquals("HTTP/1.1 200 OK", firstLine(socket));
         }
     }
 
     @Test
     void aBodyOver64KiBIsMalformed() throws IOException {
-        try (Socket s = connect()) {
-            s.getOutputStream()
+        try (Socket socket = connect()) {
+            socket.getOutputStream()
                     .write("POST /v2/runs HTTP/1.1\r\nHost: x\r\nContent-Length: 65537\r\n\r\n"
                             .getBytes(StandardCharsets.US_ASCII));
-            assertEquals("HTTP/1.1 400 Bad Request", firstLine(s));
+            assertEquals("HTTP/1.1 400 Bad Request", firstLine(socket));
         }
     }
 
     /** A body may come in chunks, and several requests in one packet; answers keep the order and the bodies apart. */
     @Test
     void chunksAndSeveralRequestsInOnePacketAreKeptApart() throws IOException {
-        try (Socket s = connect()) {
-            s.getOutputStream()
+        try (Socket socket = connect()) {
+            socket.getOutputStream()
                     .write(
                             ("POST /a HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n1\r\nc\r\n0\r\n\r\n"
                                             + "POST /b HTTP/1.1\r\nHost: x\r\nContent-Length: 2\r\n\r\nde"
                                             + "POST /c HTTP/1.1\r\nHost: x\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")
                                     .getBytes(StandardCharsets.US_ASCII));
-            String all = new String(s.getInputStream().readAllBytes(), StandardCharsets.US_ASCII);
+            String all = new String(socket.getInputStream().readAllBytes(), StandardCharsets.US_ASCII);
             List<String> bodies = new ArrayList<>();
             for (String part : all.split("HTTP/1.1 200 OK")) {
                 if (!part.isEmpty()) {
@@ -103,23 +103,23 @@
 
     @Test
     void chunksOver64KiBAreMalformed() throws IOException {
-        try (Socket s = connect()) {
+        try (Socket socket = connect()) {
             String chunk = "8000\r\n" + "x".repeat(0x8000) + "\r\n";
-            s.getOutputStream()
+            socket.getOutputStream()
                     .write(("POST /v2/runs HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk.repeat(2)
                                     + "1\r\nx\r\n")
                             .getBytes(StandardCharsets.US_ASCII));
-            assertEquals("HTTP/1.1 400 Bad Request", firstLine(s));
+            assertEquals("HTTP/1.1 400 Bad Request", firstLine(socket));
         }
     }
 
     @Test
     void whoExpectsToContinueIsToldSo() throws IOException {
-        try (Socket s = connect()) {
-            s.getOutputStream()
+        try (Socket socket = connect()) {
+            socket.getOutputStream()
                     .write(("POST /v2/runs HTTP/1.1\r\nHost: x\r\nExpect: 100-continue\r\nContent-Length: 3\r\n\r\n")
                             .getBytes(StandardCharsets.US_ASCII));
-            assertEquals("HTTP/1.1 100 Continue", firstLine(s));
+            assertEquals("HTTP/1.1 100 Continue", firstLine(socket));
         }
     }
 
@@ -139,8 +139,8 @@
             worker.getOutputStream().write(hello);
             assertTrue(worker.getInputStream().read() > 0);
         } finally {
-            for (Socket s : users) {
-                s.close();
+            for (Socket socket : users) {
+                socket.close();
             }
         }
     }
--- a/src/test/java/garnetscale/peer/PeerCodecTest.java
+++ b/src/test/java/garnetscale/peer/PeerCodecTest.java
@@ -31,7 +31,7 @@
 import org.apache.avro.io.EncoderFactory;
 import org.junit.jupiter.api.Test;
 
-/** What controllers say to each other comes out as it went in, and half of it doesn't come out at all. */
+/** Messages are decoded as they were encoded, and cut short they are refused. */
 class PeerCodecTest {
 
     /** The names that the schema, which is the form on the wire, has for the messages. */
@@ -80,8 +80,8 @@
     @Test
     void everyMessageComesOutAsItWentIn() throws IOException {
         PeerCodec codec = new PeerCodec();
-        for (PeerMessage m : MESSAGES) {
-            assertEquals(m, codec.decode(codec.encode(m)));
+        for (PeerMessage message : MESSAGES) {
+            assertEquals(message, codec.decode(codec.encode(message)));
         }
     }
 
@@ -93,20 +93,20 @@
             schema = new Schema.Parser().parse(in);
         }
         PeerCodec codec = new PeerCodec();
-        for (PeerMessage m : MESSAGES) {
-            byte[] ours = codec.encode(m);
+        for (PeerMessage message : MESSAGES) {
+            byte[] ours = codec.encode(message);
             BinaryDecoder in = DecoderFactory.get().binaryDecoder(ours, null);
             GenericRecord read = new GenericDatumReader<GenericRecord>(schema).read(null, in);
-            assertTrue(in.isEnd(), m + " has more than the schema says");
+            assertTrue(in.isEnd(), message + " has more than the schema says");
             ByteArrayOutputStream out = new ByteArrayOutputStream();
             BinaryEncoder encoder = EncoderFactory.get().directBinaryEncoder(out, null);
             new GenericDatumWriter<GenericRecord>(schema).write(read, encoder);
             encoder.flush();
-            assertArrayEquals(ours, out.toByteArray(), m.toString());
-            String name = SCHEMA_NAMES.get(m.getClass());
+            assertArrayEquals(ours, out.toByteArray(), message.toString());
+            String name = SCHEMA_NAMES.get(message.getClass());
             assertEquals(name, read.getSchema().getName());
-            for (Schema.Field f : read.getSchema().getFields()) {
-                assertTrue(read.get(f.pos()) != null || f.name().equals("notice"), name + "." + f.name());
+            for (Schema.Field field : read.getSchema().getFields()) {
+                assertTrue(read.get(field.pos()) != null || field.name().equals("notice"), name + "." + field.name());
             }
         }
     }
@@ -119,7 +119,7 @@
             schema = new Schema.Parser().parse(in);
         }
         byte[] bytes = new PeerCodec().encode(MESSAGES.get(4));
-        GenericRecord r = new GenericDatumReader<GenericRecord>(schema)
+        GenericRecord read = new GenericDatumReader<GenericRecord>(schema)
                 .read(null, DecoderFactory.get().binaryDecoder(bytes, null));
         assertEquals(
                 "{\"node\": \"hive-0\", \"incarnation\": 4, \"block\": \"a/0\", \"term\": 1048577, \"machine\": \"m-000231\", "
@@ -129,7 +129,7 @@
                         + ", \"cause\": -1, \"saved\": false}, {\"task\": \"wk-000398/0\", \"attempt\": 16777218, \"state\": "
                         + TaskState.EXITED.ordinal() + ", \"cause\": " + ExitCause.STOPPED.ordinal()
                         + ", \"saved\": true}], \"gone\": [16777219]}",
-                r.toString());
+                read.toString());
     }
 
     @Test
@@ -142,11 +142,11 @@
     @Test
     void aMessageCutShortIsRefused() {
         PeerCodec codec = new PeerCodec();
-        for (PeerMessage m : MESSAGES) {
-            byte[] whole = codec.encode(m);
+        for (PeerMessage message : MESSAGES) {
+            byte[] whole = codec.encode(message);
             for (int cut = 0; cut < whole.length; cut++) {
                 byte[] part = Arrays.copyOf(whole, cut);
-                assertThrows(IOException.class, () -> codec.decode(part), m + " cut at " + cut);
+                assertThrows(IOException.class, () -> codec.decode(part), message + " cut at " + cut);
             }
         }
     }
