--- a/src/main/java/garnetscale/controller/CloudLink.java
+++ b/src/main/java/garnetscale/controller/CloudLink.java
@@ -7,6 +7,7 @@
 import garnetscale.core.machine.MachineType;
 import garnetscale.net.HttpClient;
 import garnetscale.net.HttpResult;
+import garnetscale.net.HttpStatus;
 import garnetscale.wire.CloudCodec;
 import io.netty.handler.codec.http.HttpMethod;
 import java.io.IOException;
@@ -22,7 +23,6 @@
 
     private static final Logger LOG = LoggerFactory.getLogger(CloudLink.class);
     private static final long TIMEOUT_MS = 5000;
-    private static final int OK = 200;
 
     /** Learns what the cloud answered. */
     interface Listener {
@@ -135,7 +135,7 @@
         http.call(address, method, path, body, TIMEOUT_MS, result -> {
             callPending = false;
             try {
-                if (result.is(OK)) {
+                if (result.is(HttpStatus.OK)) {
                     handler.onOk(result.body());
                 } else {
                     logFailure(method, path, result);
--- a/src/main/java/garnetscale/controller/ClusterInspector.java
+++ b/src/main/java/garnetscale/controller/ClusterInspector.java
@@ -51,9 +51,9 @@
      *
      * @param ready      whether it takes requests
      * @param stateAgeMs how long ago it sent its last request that the state service answered
-     * @param budgets    what it may send to the state service now and in a second, by kind of request
+     * @param rateLimits what it may send to the state service now and in a second, by kind of request
      */
-    public record ProcessView(boolean ready, long stateAgeMs, Map<String, Object> budgets) {}
+    public record ProcessView(boolean ready, long stateAgeMs, Map<String, Object> rateLimits) {}
 
     /** Finds out how a job ended that the replica doesn't hold. */
     public interface TerminalJobs {
--- a/src/main/java/garnetscale/controller/JobApi.java
+++ b/src/main/java/garnetscale/controller/JobApi.java
@@ -6,6 +6,7 @@
 import garnetscale.core.state.StateReplica;
 import garnetscale.core.state.Transaction;
 import garnetscale.core.state.TransactionOutcome;
+import garnetscale.net.HttpStatus;
 import garnetscale.net.Reply;
 import garnetscale.wire.UserCodec;
 import java.util.function.BiConsumer;
@@ -91,7 +92,7 @@
     }
 
     private static Reply onlyMethod(String allowed) {
-        return JobReplies.error(JobReplies.METHOD_NOT_ALLOWED, "only " + allowed);
+        return JobReplies.error(HttpStatus.METHOD_NOT_ALLOWED, "only " + allowed);
     }
 
     /** Looks up how a job ended that the replica doesn't hold. */
--- a/src/main/java/garnetscale/controller/JobReplies.java
+++ b/src/main/java/garnetscale/controller/JobReplies.java
@@ -3,19 +3,13 @@
 import garnetscale.core.job.JobState;
 import garnetscale.core.state.JobView;
 import garnetscale.core.state.Records;
+import garnetscale.net.HttpStatus;
 import garnetscale.net.Reply;
 import garnetscale.wire.UserCodec;
 
 /** The HTTP answers of the job API. */
 final class JobReplies {
 
-    static final int OK = 200;
-    static final int CREATED = 201;
-    static final int BAD_REQUEST = 400;
-    static final int NOT_FOUND = 404;
-    static final int METHOD_NOT_ALLOWED = 405;
-    static final int UNPROCESSABLE = 422;
-    private static final int UNAVAILABLE = 503;
     private static final int RETRY_AFTER_S = 1;
 
     /** States of a job as PROTOCOL names them. */
@@ -34,12 +28,12 @@
     }
 
     static Reply noSuchJob() {
-        return error(NOT_FOUND, "no such job");
+        return error(HttpStatus.NOT_FOUND, "no such job");
     }
 
     /** A request that can't be answered now: 503, to be repeated. */
     static Reply retryLater(String reason) {
-        return new Reply(UNAVAILABLE, UserCodec.error(reason), RETRY_AFTER_S);
+        return new Reply(HttpStatus.UNAVAILABLE, UserCodec.error(reason), RETRY_AFTER_S);
     }
 
     static Reply stateUnknown() {
@@ -56,7 +50,7 @@
 
     /** A new job was stored. */
     static Reply created(String id, String team) {
-        return Reply.of(CREATED, UserCodec.answer(new UserCodec.Answer(id, PENDING, 0, 0, team, null)));
+        return Reply.of(HttpStatus.CREATED, UserCodec.answer(new UserCodec.Answer(id, PENDING, 0, 0, team, null)));
     }
 
     /** A live job; {@code waitingReason} is null unless tasks of it wait. */
@@ -71,7 +65,7 @@
 
     private static Reply job(JobView job, String state, String reason) {
         return Reply.of(
-                OK,
+                HttpStatus.OK,
                 UserCodec.answer(new UserCodec.Answer(
                         job.spec().id(),
                         state,
@@ -85,7 +79,7 @@
     static Reply terminal(String id, Records.TerminalJob job) {
         boolean done = job.state() == JobState.DONE;
         return Reply.of(
-                OK,
+                HttpStatus.OK,
                 UserCodec.answer(new UserCodec.Answer(
                         id, done ? DONE : WITHDRAWN, job.finished(), 0, job.team(), done ? null : CANCELLED_BY_USER)));
     }
--- a/src/main/java/garnetscale/controller/JobSubmission.java
+++ b/src/main/java/garnetscale/controller/JobSubmission.java
@@ -11,6 +11,7 @@
 import garnetscale.core.state.StateReplica;
 import garnetscale.core.state.Transaction;
 import garnetscale.core.state.TransactionOutcome;
+import garnetscale.net.HttpStatus;
 import garnetscale.net.Reply;
 import garnetscale.wire.Cbor;
 import garnetscale.wire.UserCodec;
@@ -85,7 +86,7 @@
         }
         Map<String, Object> record = Records.job(new JobRecord(spec, JobState.LIVE, System.currentTimeMillis()));
         if (Cbor.write(record).length > config.valueBytes()) {
-            answer.accept(JobReplies.error(JobReplies.BAD_REQUEST, "too long"));
+            answer.accept(JobReplies.error(HttpStatus.BAD_REQUEST, "too long"));
             return;
         }
         store(spec, record, answer);
@@ -139,24 +140,24 @@
         String message = exception instanceof JacksonException jackson
                 ? "not CBOR: " + jackson.getOriginalMessage()
                 : exception.getMessage();
-        return JobReplies.error(JobReplies.BAD_REQUEST, message == null ? "malformed" : message);
+        return JobReplies.error(HttpStatus.BAD_REQUEST, message == null ? "malformed" : message);
     }
 
     /** Null when the job can run some time; 422 when it never can; 503 while the machine types aren't known. */
     private Reply validate(JobSpec spec) {
         SchedulerConfig.Team team = config.teams().get(spec.team());
         if (team == null) {
-            return JobReplies.error(JobReplies.UNPROCESSABLE, "unknown team " + spec.team());
+            return JobReplies.error(HttpStatus.UNPROCESSABLE, "unknown team " + spec.team());
         }
         if (replica.types().isEmpty()) {
             return JobReplies.retryLater("machine types not known yet");
         }
         if (!fitsAnyType(spec)) {
-            return JobReplies.error(JobReplies.UNPROCESSABLE, "a task fits no allowed machine type and zone");
+            return JobReplies.error(HttpStatus.UNPROCESSABLE, "a task fits no allowed machine type and zone");
         }
         if (spec.cpus() > team.cpusMax() || spec.gpus() > team.gpusMax()) {
             return JobReplies.error(
-                    JobReplies.UNPROCESSABLE, "a task needs more than the limit of team " + spec.team());
+                    HttpStatus.UNPROCESSABLE, "a task needs more than the limit of team " + spec.team());
         }
         return null;
     }
--- a/src/main/java/garnetscale/controller/OperatorJson.java
+++ b/src/main/java/garnetscale/controller/OperatorJson.java
@@ -81,7 +81,7 @@
         json.writeBooleanField("ready", status.process().ready());
         json.writeNumberField("state_age_ms", status.process().stateAgeMs());
         json.writeFieldName("budgets");
-        Trees.write(json, status.process().budgets());
+        Trees.write(json, status.process().rateLimits());
         json.writeStringField(
                 "leader", status.leader() == null ? NONE : status.leader().node());
         json.writeNumberField(
--- a/src/main/java/garnetscale/controller/OwnerEffectExecutor.java
+++ b/src/main/java/garnetscale/controller/OwnerEffectExecutor.java
@@ -1,11 +1,10 @@
 package garnetscale.controller;
 
-import garnetscale.core.bidding.BidBatch;
 import garnetscale.core.partition.LeaderInfo;
-import garnetscale.core.partition.MachineStatus;
 import garnetscale.core.partition.OwnerEffect;
 import garnetscale.net.HttpClient;
 import garnetscale.net.HttpResult;
+import garnetscale.net.HttpStatus;
 import garnetscale.peer.PeerMessage;
 import garnetscale.wire.WorkerCodec;
 import io.netty.handler.codec.http.HttpMethod;
@@ -24,9 +23,6 @@
     private static final String STATUS_PATH = "/show";
     private static final long COMMAND_TIMEOUT_MS = 4000;
     private static final long PROBE_TIMEOUT_MS = 2000;
-    private static final int OK = 200;
-    /** The worker has seen a newer fencing token; its answer holds its status all the same. */
-    private static final int CONFLICT = 409;
 
     private final ControllerContext context;
     private final HttpClient workers;
@@ -48,43 +44,35 @@
             sendCommands(command);
         } else if (effect instanceof OwnerEffect.ProbeWorker probe) {
             probe(probe);
-        } else if (effect instanceof OwnerEffect.PublishStatus publish) {
-            publishStatus(publish.machineStatus());
-        } else if (effect instanceof OwnerEffect.SubmitBids submit) {
-            submitBids(submit.batch());
-        }
-    }
-
-    // ---- to the leader; what comes while there is none is published again to the next one
-
-    private void publishStatus(MachineStatus status) {
-        LeaderInfo leader = context.replica().leader();
-        if (leader == null) {
-            return;
-        }
-        if (isHere(leader)) {
-            context.leader().onMachineStatus(EventLoopPacer.now(), status);
         } else {
-            peers.send(leader.node(), new PeerMessage.MachineStatusUpdate(status));
+            sendToLeader(effect);
         }
     }
 
-    private void submitBids(BidBatch batch) {
+    // ---- to the leader
+
+    /** Without a leader the effect is dropped: the owner publishes everything anew to the next one. */
+    private void sendToLeader(OwnerEffect effect) {
         LeaderInfo leader = context.replica().leader();
         if (leader == null) {
             return;
         }
-        if (isHere(leader)) {
-            context.leader().onBids(EventLoopPacer.now(), batch);
-        } else {
-            peers.send(leader.node(), new PeerMessage.Bids(batch));
+        boolean here = leader.node().equals(context.config().self());
+        if (effect instanceof OwnerEffect.PublishStatus publish) {
+            if (here) {
+                context.leader().onMachineStatus(EventLoopPacer.now(), publish.machineStatus());
+            } else {
+                peers.send(leader.node(), new PeerMessage.MachineStatusUpdate(publish.machineStatus()));
+            }
+        } else if (effect instanceof OwnerEffect.SubmitBids submit) {
+            if (here) {
+                context.leader().onBids(EventLoopPacer.now(), submit.batch());
+            } else {
+                peers.send(leader.node(), new PeerMessage.Bids(submit.batch()));
+            }
         }
     }
 
-    private boolean isHere(LeaderInfo leader) {
-        return leader.node().equals(context.config().self());
-    }
-
     // ---- to workers
 
     private void sendCommands(OwnerEffect.SendCommands command) {
@@ -106,7 +94,8 @@
     @SuppressWarnings("IllegalCatch") // Whatever a malformed answer makes fail, the command counts as unanswered.
     private void onCommandsAnswered(OwnerEffect.SendCommands command, HttpResult result) {
         try {
-            if (result.is(OK) || result.is(CONFLICT)) {
+            // A worker that has seen a newer fencing token answers with its status all the same.
+            if (result.is(HttpStatus.OK) || result.is(HttpStatus.CONFLICT)) {
                 context.owner()
                         .onCommandAnswer(
                                 EventLoopPacer.now(),
@@ -136,7 +125,7 @@
     private void onProbeAnswered(OwnerEffect.ProbeWorker probe, HttpResult result) {
         context.owner().onProbeEnded();
         try {
-            if (result.is(OK)) {
+            if (result.is(HttpStatus.OK)) {
                 context.owner().onProbeAnswer(EventLoopPacer.now(), WorkerCodec.heartbeat(result.body()));
             }
         } catch (IOException | RuntimeException e) {
--- a/src/main/java/garnetscale/controller/RequestRouter.java
+++ b/src/main/java/garnetscale/controller/RequestRouter.java
@@ -3,6 +3,7 @@
 import garnetscale.core.machine.WorkerHeartbeat;
 import garnetscale.core.partition.HeartbeatReply;
 import garnetscale.net.HttpServer;
+import garnetscale.net.HttpStatus;
 import garnetscale.net.Reply;
 import garnetscale.wire.WorkerCodec;
 import java.io.IOException;
@@ -15,12 +16,6 @@
 
     private static final Logger LOG = LoggerFactory.getLogger(RequestRouter.class);
     private static final String READINESS_PATH = "/ready";
-    private static final int OK = 200;
-    private static final int BAD_REQUEST = 400;
-    private static final int NOT_FOUND = 404;
-    private static final int METHOD_NOT_ALLOWED = 405;
-    private static final int MISDIRECTED = 421;
-    private static final int UNAVAILABLE = 503;
     private static final int RETRY_AFTER_S = 1;
 
     private final ControllerContext context;
@@ -47,25 +42,25 @@
     private void route(String method, String path, byte[] body, Consumer<Reply> answer) {
         try {
             if (path.equals(HttpServer.WORKER_HEARTBEAT_PATH)) {
-                answer.accept(method.equals("POST") ? onHeartbeat(body) : Reply.of(METHOD_NOT_ALLOWED));
+                answer.accept(method.equals("POST") ? onHeartbeat(body) : Reply.of(HttpStatus.METHOD_NOT_ALLOWED));
             } else if (path.equals(READINESS_PATH)) {
                 answer.accept(Reply.of(readiness(method)));
             } else if (path.equals(JobApi.PATH) || path.startsWith(JobApi.PATH + "/")) {
                 jobApi.handle(method, path, body, answer);
             } else {
-                answer.accept(Reply.of(NOT_FOUND));
+                answer.accept(Reply.of(HttpStatus.NOT_FOUND));
             }
         } catch (RuntimeException e) {
             LOG.error("request failed, answered 503, method={} path={}", method, path, e);
-            answer.accept(new Reply(UNAVAILABLE, new byte[0], RETRY_AFTER_S));
+            answer.accept(new Reply(HttpStatus.UNAVAILABLE, new byte[0], RETRY_AFTER_S));
         }
     }
 
     private int readiness(String method) {
         if (!method.equals("GET")) {
-            return METHOD_NOT_ALLOWED;
+            return HttpStatus.METHOD_NOT_ALLOWED;
         }
-        return status.ready() ? OK : UNAVAILABLE;
+        return status.ready() ? HttpStatus.OK : HttpStatus.UNAVAILABLE;
     }
 
     @SuppressWarnings("IllegalCatch") // Whatever a malformed heartbeat makes fail, it is answered with 400.
@@ -75,10 +70,10 @@
             heartbeat = WorkerCodec.heartbeat(body);
         } catch (IOException | RuntimeException e) {
             LOG.warn("worker heartbeat malformed, answered 400, error={}", e.getMessage());
-            return Reply.of(BAD_REQUEST);
+            return Reply.of(HttpStatus.BAD_REQUEST);
         }
         if (!context.replica().loaded()) {
-            return Reply.of(UNAVAILABLE);
+            return Reply.of(HttpStatus.UNAVAILABLE);
         }
         HeartbeatReply reply = context.owner().onHeartbeat(EventLoopPacer.now(), heartbeat);
         context.pacer().requestCycle();
@@ -94,12 +89,12 @@
                         acknowledged.fencingToken(),
                         acknowledged.commands());
             }
-            return Reply.of(OK, WorkerCodec.answer(acknowledged.fencingToken(), acknowledged.commands()));
+            return Reply.of(HttpStatus.OK, WorkerCodec.answer(acknowledged.fencingToken(), acknowledged.commands()));
         }
         if (reply instanceof HeartbeatReply.Redirect redirect) {
-            return Reply.of(MISDIRECTED, WorkerCodec.redirect(redirect.node()));
+            return Reply.of(HttpStatus.MISDIRECTED, WorkerCodec.redirect(redirect.node()));
         }
         LOG.debug("worker heartbeat rejected, machine={} reason={}", machine, ((HeartbeatReply.Reject) reply).reason());
-        return Reply.of(UNAVAILABLE);
+        return Reply.of(HttpStatus.UNAVAILABLE);
     }
 }
--- a/src/main/java/garnetscale/net/HttpResult.java
+++ b/src/main/java/garnetscale/net/HttpResult.java
@@ -21,10 +21,6 @@
         TOO_LONG
     }
 
-    private static final int SERVER_ERRORS = 500;
-    /** The one server error that says that nothing was carried out. */
-    private static final int UNAVAILABLE = 503;
-
     private static final byte[] EMPTY = new byte[0];
 
     /** The result of a request that wasn't written. */
@@ -50,6 +46,6 @@
     public boolean maybe() {
         return outcome == Outcome.NO_ANSWER
                 || outcome == Outcome.TOO_LONG
-                || outcome == Outcome.ANSWERED && status >= SERVER_ERRORS && status != UNAVAILABLE;
+                || outcome == Outcome.ANSWERED && status >= HttpStatus.SERVER_ERROR && status != HttpStatus.UNAVAILABLE;
     }
 }
--- a/src/main/java/garnetscale/net/HttpServerConnection.java
+++ b/src/main/java/garnetscale/net/HttpServerConnection.java
@@ -35,8 +35,6 @@
     /** A request that takes longer than this to arrive is dropped with its connection, however steadily its bytes come. */
     private static final long ARRIVAL_TIMEOUT_NANOS = 10 * NANOS_PER_S;
 
-    private static final int BAD_REQUEST = 400;
-
     /** A whole request that waits for its turn. */
     private record Request(String method, String path, boolean keepAlive, byte[] body) {}
 
@@ -120,7 +118,7 @@
             return;
         }
         if (!message.decoderResult().isSuccess()) {
-            reject(ctx, Reply.of(BAD_REQUEST));
+            reject(ctx, Reply.of(HttpStatus.BAD_REQUEST));
             return;
         }
         if (message instanceof HttpRequest request) {
@@ -169,7 +167,7 @@
 
     /** A body that is too long is malformed by PROTOCOL: 400, and not to be repeated. */
     private static Reply bodyTooLong() {
-        return Reply.of(BAD_REQUEST, UserCodec.error("body over 64 KiB"));
+        return Reply.of(HttpStatus.BAD_REQUEST, UserCodec.error("body over 64 KiB"));
     }
 
     private void reject(ChannelHandlerContext ctx, Reply reply) {
