--- a/src/main/java/garnetscale/controller/LoadView.java
+++ b/src/main/java/garnetscale/controller/LoadView.java
@@ -86,13 +86,13 @@
         return totals.unknown().isEmpty()
                 ? NONE
                 : totals.unknown().entrySet().stream()
-                        .map(entry -> entry.getValue() + " " + word(entry.getKey()))
+                        .map(entry -> entry.getValue() + " " + statusWord(entry.getKey()))
                         .sorted()
                         .collect(Collectors.joining(", "));
     }
 
-    /** The operators' word, which is older than the constant's name. */
-    private static String word(UnknownReason reason) {
+    /** The word that {@code status} has for a reason, as docs/operations.md lists it; operators' scripts look for these. */
+    private static String statusWord(UnknownReason reason) {
         return switch (reason) {
             case PARTITION_REASSIGNED -> "BLOCK_REASSIGNED";
             case OWNER_UNHEARD -> "HOLDER_UNHEARD";
--- a/src/main/java/garnetscale/controller/OperatorJson.java
+++ b/src/main/java/garnetscale/controller/OperatorJson.java
@@ -189,13 +189,17 @@
         json.writeNumberField("task", placement.task());
         json.writeStringField("machine", placement.machine());
         json.writeStringField("zone", placement.zone());
-        json.writeStringField("stop", word(placement.stop()));
+        json.writeStringField("stop", statusWord(placement.stop()));
         json.writeEndObject();
     }
 
-    /** The operators' word, which is older than the constant's name. */
-    private static String word(Placement.Stop stop) {
-        return stop == Placement.Stop.CHECKPOINT ? "SAVE" : stop.name();
+    /** The word that {@code job} has for a stop; operators' scripts look for these. */
+    private static String statusWord(Placement.Stop stop) {
+        return switch (stop) {
+            case KEEP -> "KEEP";
+            case CHECKPOINT -> "SAVE";
+            case NOW -> "NOW";
+        };
     }
 
     private void writeMove(JobDetails.MoveRow move) throws IOException {
