--- a/src/main/java/garnetscale/cli/LoopbackDemo.java
+++ b/src/main/java/garnetscale/cli/LoopbackDemo.java
@@ -31,8 +31,8 @@
 import picocli.CommandLine.Option;
 
 /**
- * Runs two controllers against the stand-ins until a job is done. The build does it to record which classes a
- * serving process loads, since at a small share of a core loading them is most of a restart.
+ * Runs two controllers against emulated services on loopback until a job is done. The build runs it to record which classes
+ * a serving process loads, since at a small share of a core loading them is most of a restart.
  */
 @Command(
         name = "rehearse",
@@ -45,82 +45,8 @@
     private static final int PORT_TRIES = 50;
     private static final int INSPECTION_MS = 5000;
 
-    @Option(names = "--seconds", defaultValue = "20", description = "Give up after so long (default ${DEFAULT-VALUE}).")
-    int seconds;
-
-    @Option(
-            names = "--features",
-            paramLabel = "FILE",
-            description = "What is switched on, in FILE (TOML); without it nothing is.")
-    Path features;
-
-    private final List<ControllerNode> nodes = new ArrayList<>();
-    private EventLoopGroup loop;
-    private HttpClient http;
-
-    @Override
-    public Integer call() throws Exception {
-        Features switchedOn = features == null ? Features.NONE : FeaturesFile.read(features);
-        loop = new NioEventLoopGroup(1);
-        http = new HttpClient(loop, 2, 500);
-        Path dir = Files.createTempDirectory("garnetscale");
-        try {
-            String[] listen = {freePort(), freePort()};
-            String[] back = {freePort(), freePort()};
-            EmulatedServices outside =
-                    new EmulatedServices(loop, Map.of("node-0", listen[0], "node-1", listen[1]), 300);
-            String state = outside.startState("127.0.0.1:0");
-            String cloud = outside.startCloud("127.0.0.1:0");
-            outside.startWorker("m-000001", 3000);
-            outside.startWorker("m-000002", 3000);
-            for (int i = 0; i < 2; i++) {
-                Path file = dir.resolve("node-" + i + ".toml");
-                Files.writeString(file, settings(i, listen, back, state, cloud));
-                ControllerNode node = new ControllerNode(Settings.read(file, switchedOn));
-                nodes.add(node);
-                node.start();
-            }
-            return play(listen) && isInspected(back[0]) ? 0 : 1;
-        } finally {
-            // The controllers first: while they go on, they log that the stand-ins don't answer any more.
-            nodes.forEach(node -> node.stop().awaitUninterruptibly());
-            loop.shutdownGracefully(0, 0, TimeUnit.SECONDS);
-            try (var files = Files.list(dir)) {
-                for (Path f : files.toList()) {
-                    Files.delete(f);
-                }
-            }
-            Files.delete(dir);
-        }
-    }
-
-    /** Whether a controller tells an operator of the leader. */
-    private static boolean isInspected(String address) throws IOException {
-        PeerMessage.OperatorResponse answer = new OperatorClient(address, INSPECTION_MS)
-                .ask(new PeerMessage.OperatorRequest(PeerMessage.OperatorRequest.Kind.STATUS, ""));
-        return answer.outcome() == PeerMessage.OperatorResponse.Outcome.DONE
-                && answer.json().contains("\"leader\":\"node-");
-    }
-
-    /**
-     * A port outside the range that systems give out by themselves. From within it, the stand-ins and the controllers' own
-     * connections could take the port between this look and the controller that is to listen on it, and a build failed.
-     */
-    static String freePort() throws IOException {
-        for (int i = 0; i < PORT_TRIES; i++) {
-            int port = ThreadLocalRandom.current().nextInt(FIRST_PORT, LAST_PORT);
-            try (ServerSocket free = new ServerSocket(port)) {
-                return "127.0.0.1:" + free.getLocalPort();
-            } catch (BindException e) {
-                // Somebody else's; the next one may be free.
-            }
-        }
-        throw new IOException("no free port between " + FIRST_PORT + " and " + LAST_PORT);
-    }
-
-    /** The settings file of one of the two controllers. */
-    static String settings(int i, String[] listen, String[] back, String state, String cloud) {
-        return """
+    private static final String SETTINGS =
+            """
             node_name = "node-%d"
             site = "a"
             listen = "%s"
@@ -177,11 +103,90 @@
             cpu = 1.0
             ram_mb = 256.0
             max_connections = 500
-            """
-                .formatted(i, listen[i], back[i], 1 - i, back[1 - i], cloud, state);
+            """;
+
+    @Option(names = "--seconds", defaultValue = "20", description = "Give up after so long (default ${DEFAULT-VALUE}).")
+    int seconds;
+
+    @Option(
+            names = "--features",
+            paramLabel = "FILE",
+            description = "What is switched on, in FILE (TOML); without it nothing is.")
+    Path features;
+
+    private final List<ControllerNode> nodes = new ArrayList<>();
+    private EventLoopGroup loop;
+    private HttpClient http;
+
+    @Override
+    public Integer call() throws Exception {
+        Features enabledFeatures = features == null ? Features.NONE : FeaturesFile.read(features);
+        loop = new NioEventLoopGroup(1);
+        http = new HttpClient(loop, 2, 500);
+        Path dir = Files.createTempDirectory("garnetscale");
+        try {
+            String[] listen = {freePort(), freePort()};
+            String[] back = {freePort(), freePort()};
+            EmulatedServices services =
+                    new EmulatedServices(loop, Map.of("node-0", listen[0], "node-1", listen[1]), 300);
+            String state = services.startState("127.0.0.1:0");
+            String cloud = services.startCloud("127.0.0.1:0");
+            services.startWorker("m-000001", 3000);
+            services.startWorker("m-000002", 3000);
+            for (int index = 0; index < 2; index++) {
+                Path file = dir.resolve("node-" + index + ".toml");
+                Files.writeString(file, settings(index, listen, back, state, cloud));
+                ControllerNode node = new ControllerNode(Settings.read(file, enabledFeatures));
+                nodes.add(node);
+                node.start();
+            }
+            return playJobs(listen) && answersOperator(back[0]) ? 0 : 1;
+        } finally {
+            // The controllers first: while they run, they log that the emulated services don't answer any more.
+            nodes.forEach(node -> node.stop().awaitUninterruptibly());
+            loop.shutdownGracefully(0, 0, TimeUnit.SECONDS);
+            try (var files = Files.list(dir)) {
+                for (Path file : files.toList()) {
+                    Files.delete(file);
+                }
+            }
+            Files.delete(dir);
+        }
+    }
+
+    /** Whether a controller names the leader when an operator asks for its status. */
+    private static boolean answersOperator(String address) throws IOException {
+        PeerMessage.OperatorResponse answer = new OperatorClient(address, INSPECTION_MS)
+                .ask(new PeerMessage.OperatorRequest(PeerMessage.OperatorRequest.Kind.STATUS, ""));
+        return answer.outcome() == PeerMessage.OperatorResponse.Outcome.DONE
+                && answer.json().contains("\"leader\":\"node-");
+    }
+
+    /**
+     * Finds a port outside the range that systems assign by themselves. From within it, the emulated services and the
+     * controllers' own connections could take the port before the controller that is to listen on it does, and a build
+     * failed.
+     *
+     * @throws IOException if every port that was tried is in use
+     */
+    static String freePort() throws IOException {
+        for (int index = 0; index < PORT_TRIES; index++) {
+            int port = ThreadLocalRandom.current().nextInt(FIRST_PORT, LAST_PORT);
+            try (ServerSocket free = new ServerSocket(port)) {
+                return "127.0.0.1:" + free.getLocalPort();
+            } catch (BindException e) {
+                // Somebody else's; the next one may be free.
+            }
+        }
+        throw new IOException("no free port between " + FIRST_PORT + " and " + LAST_PORT);
+    }
+
+    /** The settings file of one of the two controllers. */
+    static String settings(int index, String[] listen, String[] back, String state, String cloud) {
+        return SETTINGS.formatted(index, listen[index], back[index], 1 - index, back[1 - index], cloud, state);
     }
 
-    private boolean play(String[] listen)
+    private boolean playJobs(String[] listen)
             throws InterruptedException, ExecutionException, TimeoutException, IOException {
         long end = System.nanoTime() + seconds * 1_000_000_000L;
         boolean accepted = false;
@@ -194,8 +199,10 @@
                 call(listen[0], HttpMethod.GET, "/ready", null);
                 cancelled = cancelled
                         || post(listen[0], "/v2/runs/wk-000002/cancel", null).status() == 200;
-                HttpResult r = call(listen[1], HttpMethod.GET, "/v2/runs/wk-000001", null);
-                if (r.status() == 200 && "done".equals(Cbor.readMap(r.body()).get("mood")) && cancelled) {
+                HttpResult result = call(listen[1], HttpMethod.GET, "/v2/runs/wk-000001", null);
+                if (result.status() == 200
+                        && "done".equals(Cbor.readMap(result.body()).get("mood"))
+                        && cancelled) {
                     System.out.println("rehearsal: a job is done, another is cancelled");
                     return true;
                 }
@@ -206,9 +213,9 @@
         return false;
     }
 
-    /** A repeat of a submission that was taken is answered with 200. */
-    private static boolean accepted(HttpResult r) {
-        return r.status() == 201 || r.status() == 200;
+    /** A repeated submission of an accepted job is answered with 200. */
+    private static boolean accepted(HttpResult result) {
+        return result.status() == 201 || result.status() == 200;
     }
 
     private HttpResult post(String host, String path, byte[] body)
@@ -225,27 +232,27 @@
 
     /** A submission as its user sends it. */
     static Map<String, Object> job(String id, int tasks, double seconds) {
-        Map<String, Object> m = new LinkedHashMap<>();
-        m.put("id", id);
-        m.put("herd", "try");
-        m.put("crew", "us");
-        m.put("shape", "array");
-        m.put("rank", "high");
-        m.put("chores", tasks);
-        m.put("cpus", 1.0);
-        m.put("gpus", 0.0);
-        m.put("ram_gb", 1.0);
-        m.put("seed", "image");
-        m.put("image_gb", 0.5);
-        m.put("breeds", List.of("small-4"));
-        m.put("field", null);
-        m.put("same_place", false);
-        m.put("apart", false);
-        m.put("windfall", true);
-        m.put("guess_s", seconds);
-        m.put("pin_s", 0.0);
-        m.put("stash_s", 0.0);
-        m.put("due_s", null);
-        return m;
+        Map<String, Object> body = new LinkedHashMap<>();
+        body.put("id", id);
+        body.put("herd", "try");
+        body.put("crew", "us");
+        body.put("shape", "array");
+        body.put("rank", "high");
+        body.put("chores", tasks);
+        body.put("cpus", 1.0);
+        body.put("gpus", 0.0);
+        body.put("ram_gb", 1.0);
+        body.put("seed", "image");
+        body.put("image_gb", 0.5);
+        body.put("breeds", List.of("small-4"));
+        body.put("field", null);
+        body.put("same_place", false);
+        body.put("apart", false);
+        body.put("windfall", true);
+        body.put("guess_s", seconds);
+        body.put("pin_s", 0.0);
+        body.put("stash_s", 0.0);
+        body.put("due_s", null);
+        return body;
     }
 }
--- a/src/main/java/garnetscale/cli/Main.java
+++ b/src/main/java/garnetscale/cli/Main.java
@@ -14,7 +14,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** The command line. */
+/** The entry point: starts a controller, or runs one of the other commands. */
 @Command(
         name = "garnetscale",
         mixinStandardHelpOptions = true,
@@ -29,7 +29,7 @@
         })
 public final class Main implements Callable<Integer> {
 
-    private static final int GOOD = 0;
+    private static final int OK = 0;
     private static final int CANNOT_SERVE = 1;
     private static final int BAD_INPUT = 2;
 
@@ -42,6 +42,7 @@
             description = "What is switched on, in FILE (TOML); without it nothing is.")
     Path features;
 
+    /** Validates settings and features files without serving. */
     @Command(
             name = "check",
             mixinStandardHelpOptions = true,
@@ -60,9 +61,9 @@
                 System.err.println("garnetscale: --config FILE or --features FILE is missing; see --help");
                 return BAD_INPUT;
             }
-            boolean good = features == null || check(features, FeaturesFile::read);
-            good &= config == null || check(config, Settings::read);
-            return good ? GOOD : BAD_INPUT;
+            boolean valid = features == null || check(features, FeaturesFile::read);
+            valid &= config == null || check(config, Settings::read);
+            return valid ? OK : BAD_INPUT;
         }
 
         private interface Reader {
@@ -94,16 +95,16 @@
         return serve(config, features);
     }
 
-    /** Serves until the process is killed; {@code features} may be null. */
+    /** Serves until the process is killed; {@code features} is null where no feature is to be enabled. */
     private static int serve(Path config, Path features) throws InterruptedException {
-        Path reading = features;
+        Path currentFile = features;
         Settings settings;
         try {
-            Features switchedOn = features == null ? Features.NONE : FeaturesFile.read(features);
-            reading = config;
-            settings = Settings.read(config, switchedOn);
+            Features enabledFeatures = features == null ? Features.NONE : FeaturesFile.read(features);
+            currentFile = config;
+            settings = Settings.read(config, enabledFeatures);
         } catch (Settings.Faults e) {
-            print(reading, e);
+            print(currentFile, e);
             return BAD_INPUT;
         }
         try {
@@ -113,12 +114,12 @@
             return CANNOT_SERVE;
         }
         new CountDownLatch(1).await();
-        return GOOD;
+        return OK;
     }
 
     private static void setUpLogging() {
-        String wanted = System.getenv("LOG_LEVEL");
-        String level = wanted == null ? "info" : wanted.toLowerCase(Locale.ROOT);
+        String requested = System.getenv("LOG_LEVEL");
+        String level = requested == null ? "info" : requested.toLowerCase(Locale.ROOT);
         if (!List.of("error", "info", "debug").contains(level)) {
             System.err.println("garnetscale: LOG_LEVEL is not error, info or debug; taking info");
             level = "info";
@@ -135,6 +136,10 @@
         System.setProperty("org.slf4j.simpleLogger.showShortLogName", "true");
     }
 
+    /**
+     * Runs the command line; the process ends with the command's exit code: 0, 1 if it can't serve or a controller refuses,
+     * 2 for invalid arguments or files.
+     */
     public static void main(String[] args) throws InterruptedException {
         setUpLogging();
         // The platform's own call, at every restart: the class archive can't hold picocli, and parsing these few
--- a/src/main/java/garnetscale/cli/OperatorClient.java
+++ b/src/main/java/garnetscale/cli/OperatorClient.java
@@ -8,11 +8,11 @@
 import java.io.IOException;
 import java.net.Socket;
 
-/** Asks one controller one question over its address for controllers, and waits for the answer. */
+/** Sends one request to one controller over its address for controllers, and waits for the answer. */
 final class OperatorClient {
 
     /** Longer than any answer: a job of 100,000 placed tasks. */
-    private static final int MOST_BYTES = 64 << 20;
+    private static final int MAX_ANSWER_BYTES = 64 << 20;
 
     private final String address;
     private final int timeoutMs;
@@ -22,20 +22,24 @@
         this.timeoutMs = timeoutMs;
     }
 
-    /** The answer; an IOException when the controller is dead, silent or answers something else. */
-    PeerMessage.OperatorResponse ask(PeerMessage.OperatorRequest inquiry) throws IOException {
+    /**
+     * Sends the request.
+     *
+     * @throws IOException if the controller is down, doesn't answer in time or answers something else
+     */
+    PeerMessage.OperatorResponse ask(PeerMessage.OperatorRequest request) throws IOException {
         PeerCodec codec = new PeerCodec();
         try (Socket socket = new Socket()) {
             socket.connect(HttpClient.address(address), timeoutMs);
             socket.setSoTimeout(timeoutMs);
-            byte[] question = codec.encode(inquiry);
+            byte[] requestBytes = codec.encode(request);
             DataOutputStream out = new DataOutputStream(socket.getOutputStream());
-            out.writeInt(question.length);
-            out.write(question);
+            out.writeInt(requestBytes.length);
+            out.write(requestBytes);
             out.flush();
             DataInputStream in = new DataInputStream(socket.getInputStream());
             int length = in.readInt();
-            if (length < 0 || length > MOST_BYTES) {
+            if (length < 0 || length > MAX_ANSWER_BYTES) {
                 throw new IOException("an answer of " + length + " bytes");
             }
             if (codec.decode(in.readNBytes(length)) instanceof PeerMessage.OperatorResponse answer) {
--- a/src/main/java/garnetscale/cli/OperatorCommand.java
+++ b/src/main/java/garnetscale/cli/OperatorCommand.java
@@ -18,7 +18,7 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** What the operators' commands have in common: whom they ask, for how long, and how the answer is printed. */
+/** What all operators' commands share: which controller they ask, for how long, and how the answer is printed. */
 @Command(mixinStandardHelpOptions = true)
 abstract class OperatorCommand implements Callable<Integer> {
 
@@ -43,18 +43,18 @@
             description = "Give up after so long (default ${DEFAULT-VALUE}).")
     int timeoutS;
 
-    /** What is asked. */
-    abstract PeerMessage.OperatorRequest inquiry();
+    /** The request that the command sends. */
+    abstract PeerMessage.OperatorRequest request();
 
     @Override
     public Integer call() throws InterruptedException {
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(timeoutS);
         OperatorClient client = new OperatorClient(address, Math.max(1, timeoutS) * 1000);
         try {
-            PeerMessage.OperatorResponse answer = client.ask(inquiry());
+            PeerMessage.OperatorResponse answer = client.ask(request());
             while (answer.outcome() == Outcome.UNDER_WAY && System.nanoTime() < end) {
                 TimeUnit.MILLISECONDS.sleep(ASK_AGAIN_MS);
-                answer = client.ask(inquiry());
+                answer = client.ask(request());
             }
             return print(answer);
         } catch (IOException e) {
@@ -65,9 +65,9 @@
 
     private int print(PeerMessage.OperatorResponse answer) throws IOException {
         PrintWriter out = spec.commandLine().getOut();
-        Object tree = read(answer.json());
+        Object fields = read(answer.json());
         if (answer.outcome() == Outcome.REFUSED) {
-            spec.commandLine().getErr().println("garnetscale: refused: " + ((Map<?, ?>) tree).get("reason"));
+            spec.commandLine().getErr().println("garnetscale: refused: " + ((Map<?, ?>) fields).get("reason"));
             return FAILED;
         }
         if (answer.outcome() == Outcome.UNDER_WAY) {
@@ -77,7 +77,7 @@
         if (json) {
             out.println(answer.json());
         } else {
-            print(out, "", (Map<?, ?>) tree);
+            print(out, "", (Map<?, ?>) fields);
         }
         out.flush();
         return DONE;
@@ -89,8 +89,8 @@
         }
     }
 
-    private static void print(PrintWriter out, String indent, Map<?, ?> tree) {
-        tree.forEach((key, value) -> {
+    private static void print(PrintWriter out, String indent, Map<?, ?> fields) {
+        fields.forEach((key, value) -> {
             if (value instanceof Map<?, ?> map) {
                 out.println(indent + key + ":");
                 print(out, indent + "  ", map);
@@ -118,7 +118,7 @@
     static final class Status extends OperatorCommand {
 
         @Override
-        PeerMessage.OperatorRequest inquiry() {
+        PeerMessage.OperatorRequest request() {
             return new PeerMessage.OperatorRequest(PeerMessage.OperatorRequest.Kind.STATUS, "");
         }
     }
@@ -131,7 +131,7 @@
         String id;
 
         @Override
-        PeerMessage.OperatorRequest inquiry() {
+        PeerMessage.OperatorRequest request() {
             return new PeerMessage.OperatorRequest(PeerMessage.OperatorRequest.Kind.JOB, id);
         }
     }
@@ -142,7 +142,7 @@
         abstract UpgradeStep step();
 
         @Override
-        PeerMessage.OperatorRequest inquiry() {
+        PeerMessage.OperatorRequest request() {
             return new PeerMessage.OperatorRequest(PeerMessage.OperatorRequest.Kind.UPGRADE, step().name());
         }
     }
