--- /dev/null
+++ b/src/main/java/garnetscale/core/state/ChangeReader.java
@@ -0,0 +1,144 @@
+package garnetscale.core.state;
+
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.TreeMap;
+
+/**
+ * Decodes the keys that a listing or a watch brings and routes them to the part of the replica that each belongs to. The
+ * first record that can't be decoded closes the {@link VersionGate}, and nothing after it is read.
+ */
+final class ChangeReader {
+
+    private final VersionGate gate;
+    private final ClusterState cluster;
+    private final JobViews jobs;
+    private final LogReplica log;
+    private final Map<String, Long> modRevisions = new HashMap<>();
+
+    ChangeReader(VersionGate gate, ClusterState cluster, JobViews jobs, LogReplica log) {
+        this.gate = gate;
+        this.cluster = cluster;
+        this.jobs = jobs;
+        this.log = log;
+    }
+
+    void clear() {
+        modRevisions.clear();
+    }
+
+    /** The revision at which a key last changed, 0 when it doesn't exist. */
+    long modRevision(String key) {
+        return modRevisions.getOrDefault(key, 0L);
+    }
+
+    /** Loads a whole listing; false when it can't be read. */
+    boolean load(List<KeyChange> listing) {
+        TreeMap<Long, WorkLog.Entry> entries = new TreeMap<>();
+        SnapshotListing snapshots = new SnapshotListing();
+        if (!gate.admits(listing) || !readListing(listing, entries, snapshots)) {
+            return false;
+        }
+        log.load(snapshots, entries);
+        return true;
+    }
+
+    @SuppressWarnings("IllegalCatch") // a malformed record fails to decode in many ways, and all of them close the gate
+    private boolean readListing(
+            List<KeyChange> listing, TreeMap<Long, WorkLog.Entry> entries, SnapshotListing snapshots) {
+        for (KeyChange listed : listing) {
+            modRevisions.put(listed.key(), listed.modRevision());
+            try {
+                readListed(listed, entries, snapshots);
+            } catch (RuntimeException e) {
+                gate.close(listed, e.getMessage());
+                return false;
+            }
+        }
+        return true;
+    }
+
+    private void readListed(KeyChange listed, TreeMap<Long, WorkLog.Entry> entries, SnapshotListing snapshots) {
+        if (listed.key().startsWith(Keys.LOG)) {
+            log.noteEntry(listed, entries);
+        } else if (listed.key().startsWith(Keys.SNAPSHOT)) {
+            snapshots.add(listed.key(), listed.value());
+        } else {
+            applyPlain(listed);
+        }
+    }
+
+    /** Applies the changes that a watch brought after {@code revision}; false when they can't be read. */
+    boolean follow(List<KeyChange> changes, long revision) {
+        if (!gate.admits(changes)) {
+            return false;
+        }
+        TreeMap<Long, WorkLog.Entry> entries = new TreeMap<>();
+        List<String> removedJobs = new ArrayList<>();
+        if (!readChanges(changes, revision, entries, removedJobs)) {
+            return false;
+        }
+        log.advance(entries);
+        jobs.dropProgress(removedJobs);
+        return true;
+    }
+
+    @SuppressWarnings("IllegalCatch") // a malformed record fails to decode in many ways, and all of them close the gate
+    private boolean readChanges(
+            List<KeyChange> changes, long revision, TreeMap<Long, WorkLog.Entry> entries, List<String> removedJobs) {
+        for (KeyChange change : changes) {
+            try {
+                if (isNews(change, revision)) {
+                    readChange(change, entries, removedJobs);
+                } else {
+                    readOvertaken(change, revision, entries);
+                }
+            } catch (RuntimeException e) {
+                gate.close(change, e.getMessage());
+                return false;
+            }
+        }
+        return true;
+    }
+
+    /** A page of a listing may be newer than the revision that the watch goes on from. */
+    private boolean isNews(KeyChange change, long revision) {
+        return change.modRevision() > revision && change.modRevision() >= modRevision(change.key());
+    }
+
+    /** The key was listed with a newer entry, but the older one is still needed: entries are applied without a gap. */
+    private void readOvertaken(KeyChange change, long revision, TreeMap<Long, WorkLog.Entry> entries) {
+        if (change.key().startsWith(Keys.LOG) && change.value() != null && change.modRevision() > revision) {
+            LogReplica.addEntry(change, entries);
+        }
+    }
+
+    private void readChange(KeyChange change, TreeMap<Long, WorkLog.Entry> entries, List<String> removedJobs) {
+        String key = change.key();
+        if (change.value() == null) {
+            modRevisions.remove(key);
+        } else {
+            modRevisions.put(key, change.modRevision());
+        }
+        if (key.startsWith(Keys.LOG)) {
+            log.noteEntry(change, entries);
+        } else if (key.startsWith(Keys.SNAPSHOT)) {
+            log.noteSnapshot(change);
+        } else {
+            applyPlain(change);
+            if (change.value() == null && key.startsWith(Keys.JOB)) {
+                removedJobs.add(key.substring(Keys.JOB.length()));
+            }
+        }
+    }
+
+    private void applyPlain(KeyChange change) {
+        if (change.key().startsWith(Keys.JOB)) {
+            jobs.apply(change.key().substring(Keys.JOB.length()), change.value(), change.modRevision());
+        } else {
+            cluster.apply(change);
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/garnetscale/core/state/ClusterState.java
@@ -0,0 +1,118 @@
+package garnetscale.core.state;
+
+import garnetscale.core.machine.MachineType;
+import garnetscale.core.partition.ControllerInfo;
+import garnetscale.core.partition.LeaderInfo;
+import garnetscale.core.partition.PartitionLease;
+import garnetscale.core.upgrade.ClusterVersion;
+import java.util.Collection;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.TreeMap;
+
+/**
+ * The replica's copy of the plain keys, each of which holds one whole record: controllers, partition leases, the leader
+ * and its term, machine types, and the active version.
+ */
+final class ClusterState {
+
+    private final Map<String, PartitionLease> partitions = new HashMap<>();
+    private final Map<String, ControllerInfo> controllers = new TreeMap<>();
+    private List<MachineType> types = List.of();
+    private LeaderInfo leader;
+    private long termCounter;
+    private ClusterVersion version = ClusterVersion.FIRST;
+
+    void clear() {
+        partitions.clear();
+        controllers.clear();
+        types = List.of();
+        leader = null;
+        termCounter = 0;
+        version = ClusterVersion.FIRST;
+    }
+
+    /** Applies a put or a delete; a key that belongs to no record of the cluster is ignored. */
+    void apply(KeyChange change) {
+        String key = change.key();
+        Object value = change.value();
+        if (key.startsWith(Keys.PARTITION)) {
+            putOrRemove(
+                    partitions,
+                    key.substring(Keys.PARTITION.length()),
+                    value == null ? null : Records.partition(value));
+        } else if (key.startsWith(Keys.NODE)) {
+            String name = key.substring(Keys.NODE.length());
+            putOrRemove(controllers, name, value == null ? null : Records.node(name, value));
+        } else if (key.equals(Keys.LEADER)) {
+            leader = value == null ? null : Records.leader(value);
+        } else if (key.equals(Keys.TERM)) {
+            termCounter = value == null ? 0 : Records.term(value);
+        } else if (key.equals(Keys.VERSION)) {
+            version = value == null ? ClusterVersion.FIRST : Records.version(value);
+        } else if (key.equals(Keys.TYPES)) {
+            types = value == null ? List.of() : Records.types(value);
+        }
+    }
+
+    private static <T> void putOrRemove(Map<String, T> records, String key, T value) {
+        if (value == null) {
+            records.remove(key);
+        } else {
+            records.put(key, value);
+        }
+    }
+
+    /** The lease of a partition, or null. */
+    PartitionLease partition(String partition) {
+        return partitions.get(partition);
+    }
+
+    int partitionCount() {
+        return partitions.size();
+    }
+
+    /** A live controller, or null. */
+    ControllerInfo controller(String name) {
+        return controllers.get(name);
+    }
+
+    /** Live controllers, by name. */
+    Collection<ControllerInfo> controllers() {
+        return controllers.values();
+    }
+
+    /** The leader, or null while there is none. */
+    LeaderInfo leader() {
+        return leader;
+    }
+
+    /** The highest term that was ever given out. */
+    long termCounter() {
+        return termCounter;
+    }
+
+    List<MachineType> types() {
+        return types;
+    }
+
+    /** The machine type of this name, or null. */
+    MachineType type(String name) {
+        for (MachineType type : types) {
+            if (type.name().equals(name)) {
+                return type;
+            }
+        }
+        return null;
+    }
+
+    ClusterVersion version() {
+        return version;
+    }
+
+    /** Whether the work log has to be written in the first layout. */
+    boolean inFirstVersion() {
+        return version.active() == Layouts.FIRST;
+    }
+}
--- a/src/main/java/garnetscale/core/state/JobView.java
+++ b/src/main/java/garnetscale/core/state/JobView.java
@@ -13,7 +13,7 @@
      * Which tasks are finished and which are placed. They live apart from the job's record, since a listing that is
      * read in pages may bring them before it.
      */
-    static final class Marks {
+    static final class TaskProgress {
         private final BitSet finished = new BitSet();
         private final BitSet placed = new BitSet();
         /** Tasks that stand on more than one machine while a listing is only half caught up, and on how many more. */
@@ -52,12 +52,12 @@
 
     private final JobRecord job;
     private final long modRevision;
-    private final Marks marks;
+    private final TaskProgress progress;
 
-    JobView(JobRecord job, long modRevision, Marks marks) {
+    JobView(JobRecord job, long modRevision, TaskProgress progress) {
         this.job = job;
         this.modRevision = modRevision;
-        this.marks = marks;
+        this.progress = progress;
     }
 
     public JobSpec spec() {
@@ -77,41 +77,41 @@
     }
 
     public int finishedCount() {
-        return marks.finishedCount;
+        return progress.finishedCount;
     }
 
     public int placedCount() {
-        return marks.placedCount;
+        return progress.placedCount;
     }
 
     /** Tasks that are neither finished nor placed. */
     public int unstarted() {
-        return job.spec().tasks() - marks.finishedCount - marks.placedCount;
+        return job.spec().tasks() - progress.finishedCount - progress.placedCount;
     }
 
     public boolean isFinished(int task) {
-        return marks.finished.get(task);
+        return progress.finished.get(task);
     }
 
     public boolean isPlaced(int task) {
-        return marks.placed.get(task);
+        return progress.placed.get(task);
     }
 
     /** A copy, for the transaction that adds to it. */
     public BitSet finishedSet() {
-        return (BitSet) marks.finished.clone();
+        return (BitSet) progress.finished.clone();
     }
 
     /** The first unstarted task from {@code from} on, or -1. */
     public int nextUnstarted(int from) {
         int i = from;
         while (i < job.spec().tasks()) {
-            i = marks.finished.nextClearBit(i);
-            if (!marks.placed.get(i)) {
+            i = progress.finished.nextClearBit(i);
+            if (!progress.placed.get(i)) {
                 break;
             }
-            i = marks.placed.nextClearBit(i);
-            if (!marks.finished.get(i)) {
+            i = progress.placed.nextClearBit(i);
+            if (!progress.finished.get(i)) {
                 break;
             }
         }
--- a/src/main/java/garnetscale/core/state/LogWriter.java
+++ b/src/main/java/garnetscale/core/state/LogWriter.java
@@ -47,24 +47,30 @@
         this.replica = replica;
         int pageBytes = pageBytes(limits.valueBytes());
         int opLimit = Math.max(3, limits.ops() / COMPACTIONS_IN_OPERATIONS);
-        SnapshotIndex.Region due = replica.compactionDue();
+        SnapshotIndex.Region due = replica.log().compactionDue();
         boolean isSplit = replica.layout() >= Layouts.SPLIT_SNAPSHOT;
         if (limits.layout() < Layouts.SPLIT_SNAPSHOT && isSplit) {
             convert(due, pageBytes, opLimit);
-        } else if (limits.layout() >= Layouts.SPLIT_SNAPSHOT && limits.splitsAny() && !isSplit && !replica.logFull()) {
-            foldInParts(replica.snapshot().oldest(), pageBytes, opLimit, true);
-        } else if (due != null && limits.layout() >= Layouts.SPLIT_SNAPSHOT && (isSplit || !replica.logFull())) {
+        } else if (limits.layout() >= Layouts.SPLIT_SNAPSHOT
+                && limits.splitsAny()
+                && !isSplit
+                && !replica.log().isFull()) {
+            foldInParts(replica.log().snapshot().oldest(), pageBytes, opLimit, true);
+        } else if (due != null
+                && limits.layout() >= Layouts.SPLIT_SNAPSHOT
+                && (isSplit || !replica.log().isFull())) {
             foldInParts(due, pageBytes, opLimit, false);
         } else if (due != null) {
             foldWhole(due.bucket(), pageBytes);
         }
-        replica.ringBufferKeysToDelete().stream().limit(opLimit).forEach(deletes::add);
+        replica.log().keysToDelete().stream().limit(opLimit).forEach(deletes::add);
         this.splitsFirst = replica.layout() < Layouts.SPLIT_SNAPSHOT
                 && puts.keySet().stream()
                         .anyMatch(key -> !SnapshotIndex.bucketOf(key).isRoot());
         // The first split needs an entry, and so a log that isn't full. A shard that has grown beyond the ordinary
         // leaves less for the entry, or nothing at all this time.
-        this.left = replica.logFull() ? 0 : Math.min(pageBytes, TRANSACTION_BYTES - ASIDE - puts.size() * pageBytes);
+        this.left =
+                replica.log().isFull() ? 0 : Math.min(pageBytes, TRANSACTION_BYTES - ASIDE - puts.size() * pageBytes);
     }
 
     /** What a page of a base may take, by the largest value that is allowed. */
@@ -78,10 +84,10 @@
      * it is, so that the ring doesn't run full meanwhile.
      */
     private void convert(SnapshotIndex.Region due, int pageBytes, int opLimit) {
-        SnapshotIndex snapshot = replica.snapshot();
+        SnapshotIndex snapshot = replica.log().snapshot();
         int shard = due != null ? due.bucket().shard() : snapshot.firstSplitShard();
         Bucket root = Bucket.root(shard);
-        List<WorkLog.Contents> pages = WorkLog.pages(replica.contents(root), pageBytes);
+        List<WorkLog.Contents> pages = WorkLog.pages(replica.log().contents(root), pageBytes);
         List<Bucket> stored = snapshot.storedIn(shard);
         boolean isWhole = stored.stream().allMatch(Bucket::isRoot);
         if (isWhole || pages.size() <= pageLimit(pageBytes) && stored.size() <= opLimit) {
@@ -94,7 +100,7 @@
 
     /** Writes two halves of a bucket as one where they fit into a page; false when there are none in the shard. */
     private boolean join(int shard, int pageBytes) {
-        List<SnapshotIndex.Region> regions = replica.snapshot().regionsOf(shard);
+        List<SnapshotIndex.Region> regions = replica.log().snapshot().regionsOf(shard);
         for (SnapshotIndex.Region region : regions) {
             Bucket bucket = region.bucket();
             if (bucket.isRoot() || !bucket.equals(region.stored())) {
@@ -102,7 +108,7 @@
             }
             Bucket sibling = bucket.sibling();
             boolean isStored = regions.stream().anyMatch(r -> r.bucket().equals(sibling) && sibling.equals(r.stored()));
-            WorkLog.Contents joined = replica.contents(bucket.parent());
+            WorkLog.Contents joined = replica.log().contents(bucket.parent());
             if (isStored && WorkLog.pages(joined, pageBytes).size() == 1) {
                 puts.put(bucket.parent().key(), WorkLog.pageValue(joined, 1));
                 deletePages(bucket, 0);
@@ -119,7 +125,7 @@
 
     /** Layout 1: a shard is written anew with all of its pages at once. */
     private void foldWhole(Bucket root, int pageBytes) {
-        List<WorkLog.Contents> pages = WorkLog.pages(replica.contents(root), pageBytes);
+        List<WorkLog.Contents> pages = WorkLog.pages(replica.log().contents(root), pageBytes);
         for (int page = 0; page < pages.size(); page++) {
             puts.put(WorkLog.baseKey(root.shard(), page), WorkLog.pageValue(pages.get(page), pages.size()));
         }
@@ -146,14 +152,14 @@
         }
         Bucket old = due.stored();
         boolean isWhole = puts.size() == buckets.size();
-        if (old != null && isWhole && replica.snapshot().regionsIn(old).size() <= 1) {
+        if (old != null && isWhole && replica.log().snapshot().regionsIn(old).size() <= 1) {
             deletePages(old, puts.containsKey(old.key()) ? 1 : 0);
         }
     }
 
     /** Adds the buckets, each of which fits into a page, that a bucket has to be written as. */
     private void split(Bucket bucket, int pageBytes, Map<Bucket, WorkLog.Contents> into) {
-        WorkLog.Contents contents = replica.contents(bucket);
+        WorkLog.Contents contents = replica.log().contents(bucket);
         boolean fits = WorkLog.pages(contents, pageBytes).size() == 1;
         if (fits || bucket.depth() >= Bucket.DEEPEST) {
             into.put(bucket, contents);
@@ -165,7 +171,7 @@
 
     /** Deletes the stored pages of a bucket from the given one on. */
     private void deletePages(Bucket bucket, int from) {
-        for (int page = from; page < replica.snapshot().pages(bucket); page++) {
+        for (int page = from; page < replica.log().snapshot().pages(bucket); page++) {
             deletes.add(bucket.isRoot() ? WorkLog.baseKey(bucket.shard(), page) : bucket.key());
         }
     }
@@ -210,14 +216,14 @@
 
     /** Adds the entry, if it holds anything, and the fold, if one is due. */
     public void write(Transaction transaction, Map<String, MachineRecord> machines, Map<String, BitSet> parts) {
-        String last = replica.lastEntryKey();
+        String last = replica.log().lastEntryKey();
         if (last != null) {
             transaction.guard(last, replica.modRevision(last));
         }
-        String key = replica.nextEntryKey();
+        String key = replica.log().nextEntryKey();
         transaction.guard(key, replica.modRevision(key));
         if (!machines.isEmpty() || splitsFirst) {
-            if (replica.logFull()) {
+            if (replica.log().isFull()) {
                 throw new IllegalStateException("entry over one that the base doesn't hold, under " + key);
             }
             transaction.put(key, WorkLog.value(entry(machines, parts)));
--- a/src/test/java/garnetscale/core/state/SplitSnapshotTest.java
+++ b/src/test/java/garnetscale/core/state/SplitSnapshotTest.java
@@ -183,8 +183,8 @@
         }
         assertTrue(listings >= 8, "only " + listings + " of 12 listings held together");
         assertTrue(
-                leader.snapshot().regionCount() > 4 * WorkLog.SHARDS,
-                leader.snapshot().regionCount() + " regions");
+                leader.log().snapshot().regionCount() > 4 * WorkLog.SHARDS,
+                leader.log().snapshot().regionCount() + " regions");
         assertEquals(List.of(), state.oversized());
     }
 
@@ -194,11 +194,11 @@
         fill();
         for (int i = 0; i < 3000; i++) {
             writeAny();
-            assertFalse(leader.logFull(), "after " + i);
+            assertFalse(leader.log().isFull(), "after " + i);
         }
         int entries = state.list(Keys.LOG, null, 100_000).size();
         assertTrue(entries > WorkLog.RING, "only " + entries + " entries");
-        assertTrue(entries <= WorkLog.capacity(leader.snapshot().regionCount()), entries + " entries");
+        assertTrue(entries <= WorkLog.capacity(leader.log().snapshot().regionCount()), entries + " entries");
     }
 
     /** Without the layout that allows it nothing is split: then the service refuses what has outgrown a transaction. */
@@ -236,7 +236,7 @@
             write(List.of(shard.get(i % shard.size())));
         }
         Bucket root = Bucket.root(Bucket.shardOf(Bucket.hashOfMachine(shard.get(0))));
-        assertTrue(leader.snapshot().pages(root) > 1, "one page only");
+        assertTrue(leader.log().snapshot().pages(root) > 1, "one page only");
         activate(Layouts.SPLIT_SNAPSHOT);
         for (int i = 0; i < 2 * WorkLog.RING; i++) {
             write(List.of(shard.get(i % shard.size())));
@@ -245,7 +245,7 @@
             assertTrue(fresh.loaded(), "entry " + i);
             assertEquals(seen(leader), seen(fresh), "entry " + i);
         }
-        assertEquals(0, leader.snapshot().pages(root));
+        assertEquals(0, leader.log().snapshot().pages(root));
         assertEquals(Layouts.SPLIT_SNAPSHOT, leader.layout());
     }
 
@@ -291,13 +291,13 @@
             few.add(machine(i));
         }
         assertTrue(
-                leader.snapshot().regionCount() > 4 * WorkLog.SHARDS,
-                leader.snapshot().regionCount() + " regions");
+                leader.log().snapshot().regionCount() > 4 * WorkLog.SHARDS,
+                leader.log().snapshot().regionCount() + " regions");
         for (int i = 0; i < few.size(); i += MACHINES_IN_ENTRY) {
             write(few.subList(i, i + MACHINES_IN_ENTRY));
         }
         // Round the ring, so that the keys that the first layout uses hold entries of any age.
-        for (int i = 4 * leader.snapshot().regionCount(); i > 0; i--) {
+        for (int i = 4 * leader.log().snapshot().regionCount(); i > 0; i--) {
             write(List.of(few.get(random.nextInt(few.size()))));
         }
         activate(Layouts.FIRST);
