--- a/src/main/java/garnetscale/core/state/Bucket.java
+++ b/src/main/java/garnetscale/core/state/Bucket.java
@@ -83,7 +83,7 @@
     }
 
     String key() {
-        return WorkLog.baseKey(shard, page());
+        return WorkLog.pageKey(shard, page());
     }
 
     @Override
--- a/src/main/java/garnetscale/core/state/JobView.java
+++ b/src/main/java/garnetscale/core/state/JobView.java
@@ -34,19 +34,19 @@
         }
 
         void finish(int part, BitSet tasks) {
-            int base = part * WorkLog.PART;
+            int base = part * WorkLog.TASKS_PER_PART;
             finishedCount += tasks.cardinality() - part(part).cardinality();
-            finished.clear(base, base + WorkLog.PART);
+            finished.clear(base, base + WorkLog.TASKS_PER_PART);
             tasks.stream().forEach(i -> finished.set(base + i));
         }
 
         /** Parts of the finished set, up to the last that has any. */
         int parts() {
-            return (finished.length() + WorkLog.PART - 1) / WorkLog.PART;
+            return (finished.length() + WorkLog.TASKS_PER_PART - 1) / WorkLog.TASKS_PER_PART;
         }
 
         BitSet part(int part) {
-            return finished.get(part * WorkLog.PART, (part + 1) * WorkLog.PART);
+            return finished.get(part * WorkLog.TASKS_PER_PART, (part + 1) * WorkLog.TASKS_PER_PART);
         }
     }
 
--- a/src/main/java/garnetscale/core/state/JobViews.java
+++ b/src/main/java/garnetscale/core/state/JobViews.java
@@ -86,7 +86,7 @@
         jobs.forEach((id, job) -> {
             for (int i = 0; i < progress.get(id).parts(); i++) {
                 String part = WorkLog.part(id, i);
-                bytesOfShard[Bucket.shardOf(Bucket.hashOfPart(part))] += WorkLog.size(part, WorkLog.PART);
+                bytesOfShard[Bucket.shardOf(Bucket.hashOfPart(part))] += LogSizes.part(part, WorkLog.TASKS_PER_PART);
             }
         });
     }
--- /dev/null
+++ b/src/main/java/garnetscale/core/state/LogCodec.java
@@ -0,0 +1,210 @@
+package garnetscale.core.state;
+
+import garnetscale.core.job.TaskId;
+import garnetscale.core.machine.Placement;
+import java.util.ArrayList;
+import java.util.Base64;
+import java.util.BitSet;
+import java.util.HashSet;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import java.util.TreeMap;
+
+/**
+ * The stored form of the work log: entries, pages of snapshots, and the machine records, deltas and finished sets in them.
+ * Field names are short since every byte is sent to every controller, and the order of fields is part of the form.
+ */
+final class LogCodec {
+
+    private static final Placement.Stop[] STOPS = Placement.Stop.values();
+
+    private static final String NUMBER = "n";
+    private static final String MACHINES = "m";
+    private static final String FINISHED = "f";
+    private static final String BEFORE = "b";
+    private static final String PAGES = "c";
+    private static final String ZONE = "z";
+    private static final String IMAGES = "i";
+    private static final String PLACEMENTS = "p";
+    private static final String FREED = "-";
+    private static final String PLACED = "+";
+    private static final String STOP_CHANGES = "s";
+
+    private LogCodec() {}
+
+    // ---- entries and snapshot pages
+
+    /** The value of an entry. The number of the entry before is left out when it is the preceding one. */
+    static Map<String, Object> encodeEntry(WorkLog.Entry entry) {
+        Map<String, Object> machines = new LinkedHashMap<>();
+        entry.machines().forEach((id, delta) -> machines.put(id, encodeDelta(delta)));
+        Map<String, Object> value = encode(entry.number(), machines, entry.parts());
+        if (entry.before() != entry.number() - 1) {
+            value.put(BEFORE, entry.before());
+        }
+        return value;
+    }
+
+    static WorkLog.Entry decodeEntry(Object value) {
+        Map<?, ?> fields = (Map<?, ?>) value;
+        Map<String, Delta> machines = new LinkedHashMap<>();
+        ((Map<?, ?>) fields.get(MACHINES))
+                .forEach((id, delta) -> machines.put((String) id, decodeDelta((Map<?, ?>) delta)));
+        long number = numberOf(fields);
+        long before = fields.get(BEFORE) instanceof Number stored ? stored.longValue() : number - 1;
+        return new WorkLog.Entry(number, before, machines, decodeParts(fields));
+    }
+
+    /**
+     * The value of a page of a snapshot.
+     *
+     * @param pages how many pages the bucket is stored in, since a listing may read them at different moments
+     */
+    static Map<String, Object> encodePage(WorkLog.Contents page, int pages) {
+        Map<String, Object> machines = new LinkedHashMap<>();
+        page.machines().forEach((id, machine) -> machines.put(id, encodeMachine(machine)));
+        Map<String, Object> value = encode(page.number(), machines, page.parts());
+        value.put(PAGES, pages);
+        return value;
+    }
+
+    static WorkLog.Contents decodePage(Object value) {
+        Map<?, ?> fields = (Map<?, ?>) value;
+        Map<String, MachineRecord> machines = new LinkedHashMap<>();
+        ((Map<?, ?>) fields.get(MACHINES))
+                .forEach((id, machine) -> machines.put((String) id, decodeMachine((Map<?, ?>) machine)));
+        return new WorkLog.Contents(numberOf(fields), machines, decodeParts(fields));
+    }
+
+    private static Map<String, Object> encode(
+            long number, Map<String, Object> machines, Map<String, BitSet> finishedParts) {
+        Map<String, Object> parts = new LinkedHashMap<>();
+        finishedParts.forEach((part, finished) -> parts.put(part, encodeFinished(finished)));
+        Map<String, Object> value = new TreeMap<>();
+        value.put(NUMBER, number);
+        value.put(MACHINES, machines);
+        value.put(FINISHED, parts);
+        return value;
+    }
+
+    private static Map<String, BitSet> decodeParts(Map<?, ?> fields) {
+        Map<String, BitSet> parts = new LinkedHashMap<>();
+        ((Map<?, ?>) fields.get(FINISHED))
+                .forEach((part, finished) -> parts.put((String) part, decodeFinished((String) finished)));
+        return parts;
+    }
+
+    /** The number of a stored entry, or the number of the last entry that a stored page contains. */
+    static long numberOf(Object value) {
+        return StoredFields.whole((Map<?, ?>) value, NUMBER);
+    }
+
+    /** How many pages the bucket is stored in that a page belongs to. */
+    static int pageCountOf(Object page) {
+        return ((Number) ((Map<?, ?>) page).get(PAGES)).intValue();
+    }
+
+    /** A part of a finished set, as a text since the protocol has no binary values. */
+    static String encodeFinished(BitSet part) {
+        return Base64.getEncoder().encodeToString(part.toByteArray());
+    }
+
+    static BitSet decodeFinished(String text) {
+        return BitSet.valueOf(Base64.getDecoder().decode(text));
+    }
+
+    // ---- machines
+
+    static Map<String, Object> encodeMachine(MachineRecord machine) {
+        return Map.of(ZONE, machine.zone(), PLACEMENTS, rows(machine.placements()), IMAGES, rows(machine.images()));
+    }
+
+    static MachineRecord decodeMachine(Map<?, ?> fields) {
+        return new MachineRecord(
+                StoredFields.text(fields, ZONE), placements((List<?>) fields.get(PLACEMENTS)), images((List<?>)
+                        fields.get(IMAGES)));
+    }
+
+    /** An empty map where the record is removed; what hasn't changed is left out. */
+    static Map<String, Object> encodeDelta(Delta delta) {
+        Map<String, Object> fields = new LinkedHashMap<>();
+        if (delta.zone() != null) {
+            fields.put(ZONE, delta.zone());
+        }
+        if (!delta.freed().isEmpty()) {
+            fields.put(FREED, List.copyOf(delta.freed()));
+        }
+        if (!delta.stops().isEmpty()) {
+            List<Object> rows = new ArrayList<>();
+            delta.stops().forEach((attempt, stop) -> rows.add(List.of(attempt, stop.ordinal())));
+            fields.put(STOP_CHANGES, rows);
+        }
+        if (!delta.placed().isEmpty()) {
+            fields.put(PLACED, rows(delta.placed()));
+        }
+        if (delta.images() != null) {
+            fields.put(IMAGES, rows(delta.images()));
+        }
+        return fields;
+    }
+
+    static Delta decodeDelta(Map<?, ?> fields) {
+        Set<Long> freed = new HashSet<>();
+        StoredFields.list(fields, FREED).forEach(attempt -> freed.add(((Number) attempt).longValue()));
+        Map<Long, Placement.Stop> stops = new LinkedHashMap<>();
+        for (Object row : StoredFields.list(fields, STOP_CHANGES)) {
+            stops.put(StoredFields.whole((List<?>) row, 0), stop((List<?>) row, 1));
+        }
+        return new Delta(
+                StoredFields.text(fields, ZONE),
+                freed,
+                stops,
+                placements(StoredFields.list(fields, PLACED)),
+                fields.get(IMAGES) instanceof List<?> rows ? images(rows) : null);
+    }
+
+    private static List<Object> rows(List<Placement> placements) {
+        List<Object> rows = new ArrayList<>(placements.size());
+        for (Placement placement : placements) {
+            rows.add(List.of(
+                    placement.task().toString(),
+                    placement.attempt(),
+                    placement.agentEpoch(),
+                    placement.stop().ordinal()));
+        }
+        return rows;
+    }
+
+    private static List<Placement> placements(List<?> rows) {
+        List<Placement> placements = new ArrayList<>(rows.size());
+        for (Object element : rows) {
+            List<?> row = (List<?>) element;
+            placements.add(new Placement(
+                    TaskId.parse((String) row.get(0)),
+                    StoredFields.whole(row, 1),
+                    StoredFields.whole(row, 2),
+                    stop(row, 3)));
+        }
+        return List.copyOf(placements);
+    }
+
+    private static Placement.Stop stop(List<?> row, int column) {
+        return STOPS[((Number) row.get(column)).intValue()];
+    }
+
+    private static List<Object> rows(Map<String, Double> images) {
+        List<Object> rows = new ArrayList<>(images.size());
+        images.forEach((name, sizeGb) -> rows.add(List.of(name, sizeGb)));
+        return rows;
+    }
+
+    private static Map<String, Double> images(List<?> rows) {
+        Map<String, Double> images = new LinkedHashMap<>();
+        for (Object row : rows) {
+            images.put((String) ((List<?>) row).get(0), StoredFields.number((List<?>) row, 1));
+        }
+        return images;
+    }
+}
--- a/src/main/java/garnetscale/core/state/LogReplica.java
+++ b/src/main/java/garnetscale/core/state/LogReplica.java
@@ -74,7 +74,7 @@
 
     /** Adds an entry to those that are to be applied; returns its number. */
     static long addEntry(KeyChange change, TreeMap<Long, WorkLog.Entry> entries) {
-        WorkLog.Entry entry = WorkLog.entry(change.value());
+        WorkLog.Entry entry = LogCodec.decodeEntry(change.value());
         entries.put(entry.number(), entry);
         return entry.number();
     }
@@ -82,7 +82,7 @@
     /** Takes note of a snapshot page. Its content has been applied already; its number matters for the next compaction. */
     void noteSnapshot(KeyChange change) {
         if (change.value() != null) {
-            snapshot.put(change.key(), WorkLog.numberOf(change.value()));
+            snapshot.put(change.key(), LogCodec.numberOf(change.value()));
         } else {
             snapshot.remove(change.key());
         }
--- a/src/main/java/garnetscale/core/state/LogRingBuffer.java
+++ b/src/main/java/garnetscale/core/state/LogRingBuffer.java
@@ -57,7 +57,7 @@
 
     /** The key that the first layout puts an entry under. */
     static String firstLayoutKey(long number) {
-        return Keys.LOG + Math.floorMod(number, (long) WorkLog.RING);
+        return Keys.LOG + Math.floorMod(number, (long) WorkLog.FIRST_CAPACITY);
     }
 
     /** Whether the key holds an entry behind the given one. */
@@ -92,7 +92,7 @@
     }
 
     private static boolean isBeyondFirstLayout(String key) {
-        return Integer.parseInt(key.substring(Keys.LOG.length())) >= WorkLog.RING;
+        return Integer.parseInt(key.substring(Keys.LOG.length())) >= WorkLog.FIRST_CAPACITY;
     }
 
     /** Whether the next entry would overwrite one that the base doesn't hold everywhere, being complete up to {@code number}. */
@@ -102,6 +102,6 @@
 
     /** While the ring has its first size, the keys are used in the order in which the first layout uses them. */
     private static String nameOf(int position) {
-        return position < WorkLog.RING ? firstLayoutKey(position + 1) : Keys.LOG + position;
+        return position < WorkLog.FIRST_CAPACITY ? firstLayoutKey(position + 1) : Keys.LOG + position;
     }
 }
--- a/src/main/java/garnetscale/core/state/LogWriter.java
+++ b/src/main/java/garnetscale/core/state/LogWriter.java
@@ -87,7 +87,7 @@
         SnapshotIndex snapshot = replica.log().snapshot();
         int shard = due != null ? due.bucket().shard() : snapshot.firstSplitShard();
         Bucket root = Bucket.root(shard);
-        List<WorkLog.Contents> pages = WorkLog.pages(replica.log().contents(root), pageBytes);
+        List<WorkLog.Contents> pages = LogSizes.pages(replica.log().contents(root), pageBytes);
         List<Bucket> stored = snapshot.storedIn(shard);
         boolean isWhole = stored.stream().allMatch(Bucket::isRoot);
         if (isWhole || pages.size() <= pageLimit(pageBytes) && stored.size() <= opLimit) {
@@ -109,8 +109,8 @@
             Bucket sibling = bucket.sibling();
             boolean isStored = regions.stream().anyMatch(r -> r.bucket().equals(sibling) && sibling.equals(r.stored()));
             WorkLog.Contents joined = replica.log().contents(bucket.parent());
-            if (isStored && WorkLog.pages(joined, pageBytes).size() == 1) {
-                puts.put(bucket.parent().key(), WorkLog.pageValue(joined, 1));
+            if (isStored && LogSizes.pages(joined, pageBytes).size() == 1) {
+                puts.put(bucket.parent().key(), LogCodec.encodePage(joined, 1));
                 deletePages(bucket, 0);
                 deletePages(sibling, 0);
                 return true;
@@ -125,9 +125,9 @@
 
     /** Layout 1: a shard is written anew with all of its pages at once. */
     private void foldWhole(Bucket root, int pageBytes) {
-        List<WorkLog.Contents> pages = WorkLog.pages(replica.log().contents(root), pageBytes);
+        List<WorkLog.Contents> pages = LogSizes.pages(replica.log().contents(root), pageBytes);
         for (int page = 0; page < pages.size(); page++) {
-            puts.put(WorkLog.baseKey(root.shard(), page), WorkLog.pageValue(pages.get(page), pages.size()));
+            puts.put(WorkLog.pageKey(root.shard(), page), LogCodec.encodePage(pages.get(page), pages.size()));
         }
         deletePages(root, pages.size());
     }
@@ -147,7 +147,7 @@
         int pageLimit = pageLimit(pageBytes);
         for (Map.Entry<Bucket, WorkLog.Contents> bucket : buckets.entrySet()) {
             if (puts.size() < Math.min(pageLimit, opLimit)) {
-                puts.put(bucket.getKey().key(), WorkLog.pageValue(bucket.getValue(), 1));
+                puts.put(bucket.getKey().key(), LogCodec.encodePage(bucket.getValue(), 1));
             }
         }
         Bucket old = due.stored();
@@ -160,7 +160,7 @@
     /** Adds the buckets, each of which fits into a page, that a bucket has to be written as. */
     private void split(Bucket bucket, int pageBytes, Map<Bucket, WorkLog.Contents> into) {
         WorkLog.Contents contents = replica.log().contents(bucket);
-        boolean fits = WorkLog.pages(contents, pageBytes).size() == 1;
+        boolean fits = LogSizes.pages(contents, pageBytes).size() == 1;
         if (fits || bucket.depth() >= Bucket.DEEPEST) {
             into.put(bucket, contents);
             return;
@@ -172,7 +172,7 @@
     /** Deletes the stored pages of a bucket from the given one on. */
     private void deletePages(Bucket bucket, int from) {
         for (int page = from; page < replica.log().snapshot().pages(bucket); page++) {
-            deletes.add(bucket.isRoot() ? WorkLog.baseKey(bucket.shard(), page) : bucket.key());
+            deletes.add(bucket.isRoot() ? WorkLog.pageKey(bucket.shard(), page) : bucket.key());
         }
     }
 
@@ -196,7 +196,7 @@
 
     /** What a change of a machine takes by itself. */
     public int sizeOfRow(String machine, String zone) {
-        return WorkLog.rowSize(machine, zone);
+        return LogSizes.emptyMachine(machine, zone);
     }
 
     public static int sizeOfAttempt() {
@@ -205,13 +205,12 @@
 
     /** A placement; with a new image all images of the machine are written. */
     public static int sizeOfPlacement(JobSpec job, Set<String> images) {
-        return job.id().length()
-                + WorkLog.ROW
-                + (images.contains(job.image()) ? 0 : WorkLog.imagesSize(images) + WorkLog.imageSize(job.image()));
+        return LogSizes.placement(job.id())
+                + (images.contains(job.image()) ? 0 : LogSizes.images(images) + LogSizes.image(job.image()));
     }
 
     public static int sizeOfPart(String part, int tasks) {
-        return WorkLog.size(part, tasks);
+        return LogSizes.part(part, tasks);
     }
 
     /** Adds the entry, if it holds anything, and the fold, if one is due. */
@@ -226,7 +225,7 @@
             if (replica.log().isFull()) {
                 throw new IllegalStateException("entry over one that the base doesn't hold, under " + key);
             }
-            transaction.put(key, WorkLog.value(entry(machines, parts)));
+            transaction.put(key, LogCodec.encodeEntry(entry(machines, parts)));
         }
         puts.forEach(transaction::put);
         deletes.forEach(transaction::delete);
--- a/src/main/java/garnetscale/core/state/MachineRecords.java
+++ b/src/main/java/garnetscale/core/state/MachineRecords.java
@@ -66,7 +66,7 @@
 
     /** Adds the bytes that records take at the most, for each shard. */
     void addBytes(long[] bytesOfShard) {
-        machines.forEach(
-                (id, machine) -> bytesOfShard[Bucket.shardOf(Bucket.hashOfMachine(id))] += WorkLog.size(id, machine));
+        machines.forEach((id, machine) ->
+                bytesOfShard[Bucket.shardOf(Bucket.hashOfMachine(id))] += LogSizes.machine(id, machine));
     }
 }
--- a/src/main/java/garnetscale/core/state/Records.java
+++ b/src/main/java/garnetscale/core/state/Records.java
@@ -4,314 +4,204 @@
 import garnetscale.core.job.JobSpec;
 import garnetscale.core.job.JobState;
 import garnetscale.core.job.Priority;
-import garnetscale.core.job.TaskId;
 import garnetscale.core.machine.MachineType;
-import garnetscale.core.machine.Placement;
 import garnetscale.core.partition.ControllerInfo;
 import garnetscale.core.partition.LeaderInfo;
 import garnetscale.core.partition.PartitionLease;
 import garnetscale.core.upgrade.ClusterVersion;
 import garnetscale.core.upgrade.VersionRange;
 import java.util.ArrayList;
-import java.util.Base64;
-import java.util.BitSet;
-import java.util.HashSet;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.Set;
 
-/** How the values of the state service look: maps with short keys, since every byte of them is sent again and again. */
+/**
+ * The stored form of jobs and of the cluster's plain records: maps with short field names, since every byte is sent to every
+ * controller. A value that can't be decoded raises a runtime exception, see {@link StoredFields}.
+ *
+ * @see LogCodec the stored form of the work log
+ */
 public final class Records {
 
-    private static final Placement.Stop[] STOPS = Placement.Stop.values();
-
     private Records() {}
 
-    public static Map<String, Object> job(JobRecord r) {
-        JobSpec s = r.spec();
-        Map<String, Object> m = new LinkedHashMap<>();
-        m.put("s", r.state().name());
-        m.put("at", r.submittedMs());
-        m.put("class", s.jobClass());
-        m.put("team", s.team());
-        m.put("pri", s.priority().name());
-        m.put("n", s.tasks());
-        m.put("cpus", s.cpus());
-        m.put("gpus", s.gpus());
-        m.put("mem", s.memoryGb());
-        m.put("types", s.types());
-        m.put("zone", s.zone());
-        m.put("one", s.zoneAffinity());
-        m.put("spread", s.zoneAntiAffinity());
-        m.put("spot", s.spot());
-        m.put("img", s.image());
-        m.put("gb", s.imageGb());
-        m.put("est", s.estimateS());
-        m.put("ckpt", s.checkpointS());
-        m.put("save", s.checkpointWriteS());
-        m.put("due", s.deadlineS());
-        m.values().removeIf(v -> v == null);
-        return m;
-    }
-
+    /** The value of a job; fields that are null are left out. */
+    public static Map<String, Object> job(JobRecord job) {
+        JobSpec spec = job.spec();
+        Map<String, Object> fields = new LinkedHashMap<>();
+        fields.put("s", job.state().name());
+        fields.put("at", job.submittedMs());
+        fields.put("class", spec.jobClass());
+        fields.put("team", spec.team());
+        fields.put("pri", spec.priority().name());
+        fields.put("n", spec.tasks());
+        fields.put("cpus", spec.cpus());
+        fields.put("gpus", spec.gpus());
+        fields.put("mem", spec.memoryGb());
+        fields.put("types", spec.types());
+        fields.put("zone", spec.zone());
+        fields.put("one", spec.zoneAffinity());
+        fields.put("spread", spec.zoneAntiAffinity());
+        fields.put("spot", spec.spot());
+        fields.put("img", spec.image());
+        fields.put("gb", spec.imageGb());
+        fields.put("est", spec.estimateS());
+        fields.put("ckpt", spec.checkpointS());
+        fields.put("save", spec.checkpointWriteS());
+        fields.put("due", spec.deadlineS());
+        fields.values().removeIf(value -> value == null);
+        return fields;
+    }
+
+    /** The job of a stored value. */
     public static JobRecord job(String id, Object value) {
-        Map<?, ?> m = (Map<?, ?>) value;
-        List<String> types = m.get("types") instanceof List<?> l
-                ? l.stream().map(String::valueOf).toList()
-                : null;
+        Map<?, ?> fields = (Map<?, ?>) value;
+        List<String> types = fields.get("types") instanceof List<?> list ? StoredFields.texts(list) : null;
         JobSpec spec = new JobSpec(
                 id,
-                text(m, "class"),
-                text(m, "team"),
-                Priority.valueOf(text(m, "pri")),
-                (int) whole(m, "n"),
-                number(m, "cpus"),
-                number(m, "gpus"),
-                number(m, "mem"),
+                StoredFields.text(fields, "class"),
+                StoredFields.text(fields, "team"),
+                Priority.valueOf(StoredFields.text(fields, "pri")),
+                (int) StoredFields.whole(fields, "n"),
+                StoredFields.number(fields, "cpus"),
+                StoredFields.number(fields, "gpus"),
+                StoredFields.number(fields, "mem"),
                 types,
-                text(m, "zone"),
-                flag(m, "one"),
-                flag(m, "spread"),
-                flag(m, "spot"),
-                text(m, "img"),
-                number(m, "gb"),
-                number(m, "est"),
-                number(m, "ckpt"),
-                number(m, "save"),
-                m.get("due") instanceof Number n ? (Double) n.doubleValue() : null);
-        return new JobRecord(spec, JobState.valueOf(text(m, "s")), whole(m, "at"));
-    }
-
-    /** What stays of a job that is over. */
+                StoredFields.text(fields, "zone"),
+                StoredFields.flag(fields, "one"),
+                StoredFields.flag(fields, "spread"),
+                StoredFields.flag(fields, "spot"),
+                StoredFields.text(fields, "img"),
+                StoredFields.number(fields, "gb"),
+                StoredFields.number(fields, "est"),
+                StoredFields.number(fields, "ckpt"),
+                StoredFields.number(fields, "save"),
+                fields.get("due") instanceof Number deadlineS ? (Double) deadlineS.doubleValue() : null);
+        return new JobRecord(spec, JobState.valueOf(StoredFields.text(fields, "s")), StoredFields.whole(fields, "at"));
+    }
+
+    /**
+     * What is kept of a terminal job for good.
+     *
+     * @param tasks    how many tasks it had
+     * @param finished how many of them finished
+     */
     public record TerminalJob(JobState state, int tasks, int finished, String team) {}
 
-    public static Map<String, Object> terminalJob(TerminalJob a) {
-        return Map.of("s", a.state().name(), "n", a.tasks(), "f", a.finished(), "team", a.team());
+    /** The value of a terminal job. */
+    public static Map<String, Object> terminalJob(TerminalJob terminal) {
+        return Map.of(
+                "s", terminal.state().name(), "n", terminal.tasks(), "f", terminal.finished(), "team", terminal.team());
     }
 
+    /** The terminal job of a stored value. */
     public static TerminalJob terminalJob(Object value) {
-        Map<?, ?> m = (Map<?, ?>) value;
+        Map<?, ?> fields = (Map<?, ?>) value;
         return new TerminalJob(
-                JobState.valueOf(text(m, "s")), (int) whole(m, "n"), (int) whole(m, "f"), text(m, "team"));
-    }
-
-    /** A part of a finished set, as text since the protocol knows no binary. */
-    static String bits(BitSet part) {
-        return Base64.getEncoder().encodeToString(part.toByteArray());
-    }
-
-    static BitSet bits(String text) {
-        return BitSet.valueOf(Base64.getDecoder().decode(text));
-    }
-
-    static Map<String, Object> machine(MachineRecord m) {
-        return Map.of("z", m.zone(), "p", rows(m.placements()), "i", rows(m.images()));
-    }
-
-    static MachineRecord machine(Map<?, ?> value) {
-        return new MachineRecord(
-                text(value, "z"), placements((List<?>) value.get("p")), images((List<?>) value.get("i")));
-    }
-
-    /** An empty map where the record is removed; what hasn't changed is left out. */
-    static Map<String, Object> delta(Delta d) {
-        Map<String, Object> m = new LinkedHashMap<>();
-        if (d.zone() != null) {
-            m.put("z", d.zone());
-        }
-        if (!d.freed().isEmpty()) {
-            m.put("-", List.copyOf(d.freed()));
-        }
-        if (!d.stops().isEmpty()) {
-            List<Object> rows = new ArrayList<>();
-            d.stops().forEach((attempt, stop) -> rows.add(List.of(attempt, stop.ordinal())));
-            m.put("s", rows);
-        }
-        if (!d.placed().isEmpty()) {
-            m.put("+", rows(d.placed()));
-        }
-        if (d.images() != null) {
-            m.put("i", rows(d.images()));
-        }
-        return m;
-    }
-
-    static Delta delta(Map<?, ?> value) {
-        Set<Long> freed = new HashSet<>();
-        list(value, "-").forEach(o -> freed.add(((Number) o).longValue()));
-        Map<Long, Placement.Stop> stops = new LinkedHashMap<>();
-        list(value, "s")
-                .forEach(o -> stops.put(
-                        ((Number) ((List<?>) o).get(0)).longValue(),
-                        STOPS[((Number) ((List<?>) o).get(1)).intValue()]));
-        return new Delta(
-                text(value, "z"),
-                freed,
-                stops,
-                placements(list(value, "+")),
-                value.get("i") instanceof List<?> l ? images(l) : null);
-    }
-
-    private static List<?> list(Map<?, ?> m, String key) {
-        return m.get(key) instanceof List<?> l ? l : List.of();
+                JobState.valueOf(StoredFields.text(fields, "s")),
+                (int) StoredFields.whole(fields, "n"),
+                (int) StoredFields.whole(fields, "f"),
+                StoredFields.text(fields, "team"));
     }
 
-    private static List<Object> rows(List<Placement> placements) {
-        List<Object> rows = new ArrayList<>(placements.size());
-        for (Placement p : placements) {
-            rows.add(List.of(
-                    p.task().toString(), p.attempt(), p.agentEpoch(), p.stop().ordinal()));
-        }
-        return rows;
-    }
-
-    private static List<Object> rows(Map<String, Double> images) {
-        List<Object> rows = new ArrayList<>(images.size());
-        images.forEach((name, gb) -> rows.add(List.of(name, gb)));
-        return rows;
-    }
-
-    private static List<Placement> placements(List<?> rows) {
-        List<Placement> list = new ArrayList<>(rows.size());
-        for (Object o : rows) {
-            List<?> row = (List<?>) o;
-            list.add(new Placement(
-                    TaskId.parse((String) row.get(0)),
-                    ((Number) row.get(1)).longValue(),
-                    ((Number) row.get(2)).longValue(),
-                    STOPS[((Number) row.get(3)).intValue()]));
-        }
-        return List.copyOf(list);
-    }
-
-    private static Map<String, Double> images(List<?> rows) {
-        Map<String, Double> images = new LinkedHashMap<>();
-        for (Object o : rows) {
-            images.put((String) ((List<?>) o).get(0), num((List<?>) o, 1));
-        }
-        return images;
-    }
-
-    /** Bytes that a text takes as the protocol counts them, in JSON. */
-    static int textSize(String s) {
-        int bytes = 2;
-        for (int i = 0; i < s.length(); i++) {
-            char c = s.charAt(i);
-            bytes += c < ' ' ? 6 : c == '"' || c == '\\' ? 2 : c < 0x80 ? 1 : 3;
-        }
-        return bytes;
-    }
-
-    public static Map<String, Object> partition(PartitionLease b) {
-        return Map.of("h", b.owner(), "i", b.incarnation(), "t", b.term());
+    /** The value of a partition's lease. */
+    public static Map<String, Object> partition(PartitionLease lease) {
+        return Map.of("h", lease.owner(), "i", lease.incarnation(), "t", lease.term());
     }
 
     static PartitionLease partition(Object value) {
-        Map<?, ?> m = (Map<?, ?>) value;
-        return new PartitionLease(text(m, "h"), whole(m, "i"), whole(m, "t"));
+        Map<?, ?> fields = (Map<?, ?>) value;
+        return new PartitionLease(
+                StoredFields.text(fields, "h"), StoredFields.whole(fields, "i"), StoredFields.whole(fields, "t"));
     }
 
-    public static Map<String, Object> node(ControllerInfo n) {
+    /** The value of a live controller; its name is in the key. */
+    public static Map<String, Object> node(ControllerInfo controller) {
         return Map.of(
                 "i",
-                n.incarnation(),
+                controller.incarnation(),
                 "z",
-                n.zone(),
+                controller.zone(),
                 "o",
-                n.layouts().oldest(),
+                controller.layouts().oldest(),
                 "l",
-                n.layouts().latest());
+                controller.layouts().latest());
     }
 
     static ControllerInfo node(String name, Object value) {
-        Map<?, ?> m = (Map<?, ?>) value;
+        Map<?, ?> fields = (Map<?, ?>) value;
         // A controller from before there were versions publishes none.
-        VersionRange layouts =
-                m.containsKey("l") ? new VersionRange((int) whole(m, "o"), (int) whole(m, "l")) : VersionRange.FIRST;
-        return new ControllerInfo(name, whole(m, "i"), text(m, "z"), layouts);
+        VersionRange layouts = fields.containsKey("l")
+                ? new VersionRange((int) StoredFields.whole(fields, "o"), (int) StoredFields.whole(fields, "l"))
+                : VersionRange.FIRST;
+        return new ControllerInfo(name, StoredFields.whole(fields, "i"), StoredFields.text(fields, "z"), layouts);
     }
 
-    public static Map<String, Object> leader(LeaderInfo l) {
-        return Map.of("h", l.node(), "i", l.incarnation(), "t", l.term());
+    /** The value of the leader's key. */
+    public static Map<String, Object> leader(LeaderInfo leader) {
+        return Map.of("h", leader.node(), "i", leader.incarnation(), "t", leader.term());
     }
 
     static LeaderInfo leader(Object value) {
-        Map<?, ?> m = (Map<?, ?>) value;
-        return new LeaderInfo(text(m, "h"), whole(m, "i"), whole(m, "t"));
+        Map<?, ?> fields = (Map<?, ?>) value;
+        return new LeaderInfo(
+                StoredFields.text(fields, "h"), StoredFields.whole(fields, "i"), StoredFields.whole(fields, "t"));
     }
 
-    public static Map<String, Object> version(ClusterVersion v) {
-        return Map.of("v", v.active(), "f", v.floor());
+    /** The value of the active version's key. */
+    public static Map<String, Object> version(ClusterVersion version) {
+        return Map.of("v", version.active(), "f", version.floor());
     }
 
     static ClusterVersion version(Object value) {
-        Map<?, ?> m = (Map<?, ?>) value;
-        return new ClusterVersion((int) whole(m, "v"), (int) whole(m, "f"));
+        Map<?, ?> fields = (Map<?, ?>) value;
+        return new ClusterVersion((int) StoredFields.whole(fields, "v"), (int) StoredFields.whole(fields, "f"));
     }
 
+    /** The value of the term counter's key. */
     public static Map<String, Object> term(long term) {
         return Map.of("t", term);
     }
 
     static long term(Object value) {
-        return whole((Map<?, ?>) value, "t");
+        return StoredFields.whole((Map<?, ?>) value, "t");
     }
 
+    /** The value of the machine types' key. */
     public static Map<String, Object> types(List<MachineType> types) {
         List<Object> rows = new ArrayList<>();
-        for (MachineType t : types) {
+        for (MachineType type : types) {
             rows.add(List.of(
-                    t.name(),
-                    t.cpus(),
-                    t.gpus(),
-                    t.memoryGb(),
-                    t.cacheGb(),
-                    t.fetchGbPerS(),
-                    t.price(),
-                    t.spotPrice(),
-                    t.bootS(),
-                    t.zones()));
+                    type.name(),
+                    type.cpus(),
+                    type.gpus(),
+                    type.memoryGb(),
+                    type.cacheGb(),
+                    type.fetchGbPerS(),
+                    type.price(),
+                    type.spotPrice(),
+                    type.bootS(),
+                    type.zones()));
         }
         return Map.of("types", rows);
     }
 
     static List<MachineType> types(Object value) {
-        List<MachineType> list = new ArrayList<>();
-        for (Object o : (List<?>) ((Map<?, ?>) value).get("types")) {
-            List<?> r = (List<?>) o;
-            list.add(new MachineType(
-                    (String) r.get(0),
-                    num(r, 1),
-                    num(r, 2),
-                    num(r, 3),
-                    num(r, 4),
-                    num(r, 5),
-                    num(r, 6),
-                    num(r, 7),
-                    num(r, 8),
-                    ((List<?>) r.get(9)).stream().map(String::valueOf).toList()));
+        List<MachineType> types = new ArrayList<>();
+        for (Object element : (List<?>) ((Map<?, ?>) value).get("types")) {
+            List<?> row = (List<?>) element;
+            types.add(new MachineType(
+                    (String) row.get(0),
+                    StoredFields.number(row, 1),
+                    StoredFields.number(row, 2),
+                    StoredFields.number(row, 3),
+                    StoredFields.number(row, 4),
+                    StoredFields.number(row, 5),
+                    StoredFields.number(row, 6),
+                    StoredFields.number(row, 7),
+                    StoredFields.number(row, 8),
+                    StoredFields.texts((List<?>) row.get(9))));
         }
-        return List.copyOf(list);
-    }
-
-    private static double num(List<?> row, int i) {
-        return ((Number) row.get(i)).doubleValue();
-    }
-
-    private static String text(Map<?, ?> m, String key) {
-        return (String) m.get(key);
-    }
-
-    private static long whole(Map<?, ?> m, String key) {
-        return ((Number) m.get(key)).longValue();
-    }
-
-    private static double number(Map<?, ?> m, String key) {
-        return ((Number) m.get(key)).doubleValue();
-    }
-
-    private static boolean flag(Map<?, ?> m, String key) {
-        return Boolean.TRUE.equals(m.get(key));
+        return List.copyOf(types);
     }
 }
--- a/src/main/java/garnetscale/core/state/SnapshotListing.java
+++ b/src/main/java/garnetscale/core/state/SnapshotListing.java
@@ -29,14 +29,14 @@
     private boolean ofSeveralMoments;
 
     void add(String key, Object value) {
-        WorkLog.Contents contents = WorkLog.contents(value);
+        WorkLog.Contents contents = LogCodec.decodePage(value);
         Bucket bucket = SnapshotIndex.bucketOf(key);
         pages.add(new Page(bucket, contents));
         index.put(key, contents.number());
         if (bucket.isRoot()) {
             RootPages root = roots.computeIfAbsent(bucket, k -> new RootPages(contents.number()));
             ofSeveralMoments |= root.number != contents.number();
-            root.expected = WorkLog.pageCountOf(value);
+            root.expected = LogCodec.pageCountOf(value);
             root.found++;
         }
     }
--- a/src/test/java/garnetscale/core/state/LogRingBufferTest.java
+++ b/src/test/java/garnetscale/core/state/LogRingBufferTest.java
@@ -22,8 +22,8 @@
 
     @Test
     void aRingOfTheFirstSizeUsesTheKeysOfTheFirstLayout() {
-        for (long number = 1; number <= 3 * WorkLog.RING; number++) {
-            String key = ringBuffer.next(WorkLog.RING);
+        for (long number = 1; number <= 3 * WorkLog.FIRST_CAPACITY; number++) {
+            String key = ringBuffer.next(WorkLog.FIRST_CAPACITY);
             assertEquals(LogRingBuffer.firstLayoutKey(number), key);
             ringBuffer.put(key, number);
         }
@@ -31,18 +31,18 @@
 
     @Test
     void anEntryIsOverwrittenOnceTheBaseHoldsIt() {
-        fill(WorkLog.RING);
-        assertTrue(ringBuffer.isFull(WorkLog.RING, 0));
-        assertFalse(ringBuffer.isFull(WorkLog.RING, 1), "the first entry is in the base");
-        assertFalse(ringBuffer.isFull(WorkLog.RING + 1, 0), "there is room for one more");
-        String next = LogRingBuffer.firstLayoutKey(WorkLog.RING + 1);
+        fill(WorkLog.FIRST_CAPACITY);
+        assertTrue(ringBuffer.isFull(WorkLog.FIRST_CAPACITY, 0));
+        assertFalse(ringBuffer.isFull(WorkLog.FIRST_CAPACITY, 1), "the first entry is in the base");
+        assertFalse(ringBuffer.isFull(WorkLog.FIRST_CAPACITY + 1, 0), "there is room for one more");
+        String next = LogRingBuffer.firstLayoutKey(WorkLog.FIRST_CAPACITY + 1);
         assertTrue(ringBuffer.holdsNewerThan(0, next));
         assertFalse(ringBuffer.holdsNewerThan(1, next));
     }
 
     @Test
     void aRingGrowsByKeysThatAreNotInUse() {
-        int entries = 2 * WorkLog.RING;
+        int entries = 2 * WorkLog.FIRST_CAPACITY;
         Set<String> keys = new HashSet<>();
         for (long number = 1; number <= entries; number++) {
             String key = ringBuffer.next(entries);
@@ -50,7 +50,7 @@
             ringBuffer.put(key, number);
         }
         assertEquals(entries, ringBuffer.newestBeyondFirstLayout());
-        assertEquals(List.of("g/l/96", "g/l/97"), ringBuffer.beyondFirstLayout(WorkLog.RING + 2));
+        assertEquals(List.of("g/l/96", "g/l/97"), ringBuffer.beyondFirstLayout(WorkLog.FIRST_CAPACITY + 2));
         // One in the middle is deleted, as on the way back to the first layout, and then the way back is given up.
         ringBuffer.remove("g/l/97");
         assertFalse(keys.contains(ringBuffer.next(entries + 1)), "it would overwrite a live entry");
--- a/src/test/java/garnetscale/core/state/SnapshotListingTest.java
+++ b/src/test/java/garnetscale/core/state/SnapshotListingTest.java
@@ -26,7 +26,7 @@
         for (String machine : machines) {
             records.put(machine, new MachineRecord("a", List.of(), Map.of()));
         }
-        return WorkLog.pageValue(new WorkLog.Contents(number, records, Map.of("wk-1/0", new BitSet())), 1);
+        return LogCodec.encodePage(new WorkLog.Contents(number, records, Map.of("wk-1/0", new BitSet())), 1);
     }
 
     private Set<String> machines() {
@@ -56,9 +56,9 @@
 
     @Test
     void aRootOfSeveralPagesMustBeOfOneMoment() {
-        listing.add(WorkLog.baseKey(0, 0), Map.of("n", 10, "m", Map.of(), "f", Map.of(), "c", 2));
+        listing.add(WorkLog.pageKey(0, 0), Map.of("n", 10, "m", Map.of(), "f", Map.of(), "c", 2));
         assertTrue(listing.isInconsistent(), "a page is missing");
-        listing.add(WorkLog.baseKey(0, 1), Map.of("n", 11, "m", Map.of(), "f", Map.of(), "c", 2));
+        listing.add(WorkLog.pageKey(0, 1), Map.of("n", 11, "m", Map.of(), "f", Map.of(), "c", 2));
         assertTrue(listing.isInconsistent(), "the pages are of different moments");
     }
 }
--- a/src/test/java/garnetscale/core/state/SplitSnapshotTest.java
+++ b/src/test/java/garnetscale/core/state/SplitSnapshotTest.java
@@ -197,7 +197,7 @@
             assertFalse(leader.log().isFull(), "after " + i);
         }
         int entries = state.list(Keys.LOG, null, 100_000).size();
-        assertTrue(entries > WorkLog.RING, "only " + entries + " entries");
+        assertTrue(entries > WorkLog.FIRST_CAPACITY, "only " + entries + " entries");
         assertTrue(entries <= WorkLog.capacity(leader.log().snapshot().regionCount()), entries + " entries");
     }
 
@@ -232,13 +232,13 @@
         for (int i = 0; i < 40; i++) {
             shard.add(machine(i * WorkLog.SHARDS));
         }
-        for (int i = 0; i < 2 * WorkLog.RING; i++) {
+        for (int i = 0; i < 2 * WorkLog.FIRST_CAPACITY; i++) {
             write(List.of(shard.get(i % shard.size())));
         }
         Bucket root = Bucket.root(Bucket.shardOf(Bucket.hashOfMachine(shard.get(0))));
         assertTrue(leader.log().snapshot().pages(root) > 1, "one page only");
         activate(Layouts.SPLIT_SNAPSHOT);
-        for (int i = 0; i < 2 * WorkLog.RING; i++) {
+        for (int i = 0; i < 2 * WorkLog.FIRST_CAPACITY; i++) {
             write(List.of(shard.get(i % shard.size())));
             StateReplica fresh = new StateReplica();
             fresh.reset(state.list(Keys.MIRRORED, null, 100_000), state.revision());
@@ -270,7 +270,7 @@
             int slash = page.key().lastIndexOf('/');
             String shard = page.key().substring(0, slash);
             found.merge(shard, Integer.parseInt(page.key().substring(slash + 1)) + 1, Math::max);
-            expected.put(shard, WorkLog.pageCountOf(page.value()));
+            expected.put(shard, LogCodec.pageCountOf(page.value()));
         }
         assertFalse(found.equals(expected), "layout 1 would take it for whole");
     }
@@ -311,13 +311,13 @@
             }
             assertTrue(steps < 5000, "not converted");
         }
-        for (int i = 0; i < 3 * WorkLog.RING; i++) {
+        for (int i = 0; i < 3 * WorkLog.FIRST_CAPACITY; i++) {
             write(List.of(few.get(random.nextInt(few.size()))));
         }
         assertReadAlike("converted");
         assertTrue(full > 0, "the log was never full");
         for (KeyChange entry : state.list(Keys.LOG, null, 100_000)) {
-            assertEquals(LogRingBuffer.firstLayoutKey(WorkLog.numberOf(entry.value())), entry.key());
+            assertEquals(LogRingBuffer.firstLayoutKey(LogCodec.numberOf(entry.value())), entry.key());
         }
         for (KeyChange page : state.list(Keys.SNAPSHOT, null, 100_000)) {
             assertTrue(SnapshotIndex.bucketOf(page.key()).isRoot(), page.key());
@@ -372,7 +372,7 @@
         taken.commit(everything);
         StateReplica follower = new StateReplica();
         follower.reset(taken.list(Keys.MIRRORED, null, 100_000), taken.revision());
-        for (int i = 0; i < 3 * WorkLog.RING; i++) {
+        for (int i = 0; i < 3 * WorkLog.FIRST_CAPACITY; i++) {
             LogWriter log =
                     new LogWriter(follower, new LogWriter.Limits(VALUE_BYTES, OPS, Layouts.SPLIT_SNAPSHOT, false));
             Transaction transaction = new Transaction();
--- a/src/test/java/garnetscale/core/state/StoredFormsTest.java
+++ b/src/test/java/garnetscale/core/state/StoredFormsTest.java
@@ -157,30 +157,31 @@
     @Test
     void machine() {
         MachineRecord machine = new MachineRecord("a", placements(), images());
-        EXPECTED.checkTree("machine", Records.machine(machine));
-        assertEquals(machine, Records.machine(Records.machine(machine)));
-        EXPECTED.checkTree("machine empty", Records.machine(new MachineRecord("a", List.of(), Map.of())));
+        EXPECTED.checkTree("machine", LogCodec.encodeMachine(machine));
+        assertEquals(machine, LogCodec.decodeMachine(LogCodec.encodeMachine(machine)));
+        EXPECTED.checkTree("machine empty", LogCodec.encodeMachine(new MachineRecord("a", List.of(), Map.of())));
     }
 
     @Test
     void machineChange() {
         Delta change = new Delta("a", Set.of(ATTEMPT), Map.of(ATTEMPT + 1, Placement.Stop.NOW), placements(), images());
-        EXPECTED.checkTree("change full", Records.delta(change));
-        assertEquals(change, Records.delta(Records.delta(change)));
+        EXPECTED.checkTree("change full", LogCodec.encodeDelta(change));
+        assertEquals(change, LogCodec.decodeDelta(LogCodec.encodeDelta(change)));
         EXPECTED.checkTree(
-                "change of the zone alone", Records.delta(new Delta("a", Set.of(), Map.of(), List.of(), null)));
+                "change of the zone alone", LogCodec.encodeDelta(new Delta("a", Set.of(), Map.of(), List.of(), null)));
         EXPECTED.checkTree(
                 "change that removes the images",
-                Records.delta(new Delta("a", Set.of(), Map.of(), List.of(), Map.of())));
+                LogCodec.encodeDelta(new Delta("a", Set.of(), Map.of(), List.of(), Map.of())));
         EXPECTED.checkTree(
-                "change that removes the record", Records.delta(new Delta(null, Set.of(), Map.of(), List.of(), null)));
+                "change that removes the record",
+                LogCodec.encodeDelta(new Delta(null, Set.of(), Map.of(), List.of(), null)));
     }
 
     @Test
     void finishedSet() {
-        EXPECTED.check("finished set", Records.bits(bits(0, 9, 2047)));
-        EXPECTED.check("finished set empty", Records.bits(bits()));
-        assertEquals(bits(0, 9, 2047), Records.bits(Records.bits(bits(0, 9, 2047))));
+        EXPECTED.check("finished set", LogCodec.encodeFinished(bits(0, 9, 2047)));
+        EXPECTED.check("finished set empty", LogCodec.encodeFinished(bits()));
+        assertEquals(bits(0, 9, 2047), LogCodec.decodeFinished(LogCodec.encodeFinished(bits(0, 9, 2047))));
     }
 
     @Test
@@ -230,18 +231,18 @@
                 "m-2",
                 Delta.between(new MachineRecord("a", placements(), images()), MachineRecord.NONE));
         Map<String, BitSet> parts = Map.of(WorkLog.partOf(JOB, 2050), bits(2));
-        EXPECTED.checkTree("log entry", WorkLog.value(new WorkLog.Entry(5, 4, changes, parts)));
+        EXPECTED.checkTree("log entry", LogCodec.encodeEntry(new WorkLog.Entry(5, 4, changes, parts)));
         WorkLog.Entry afterGap = new WorkLog.Entry(6, 4, changes, parts);
-        EXPECTED.checkTree("log entry after a gap", WorkLog.value(afterGap));
-        assertEquals(afterGap, WorkLog.entry(WorkLog.value(afterGap)));
+        EXPECTED.checkTree("log entry after a gap", LogCodec.encodeEntry(afterGap));
+        assertEquals(afterGap, LogCodec.decodeEntry(LogCodec.encodeEntry(afterGap)));
     }
 
     @Test
     void basePage() {
         WorkLog.Contents page = new WorkLog.Contents(
                 5, Map.of("m-1", new MachineRecord("a", placements(), images())), Map.of(JOB + "/1", bits(2)));
-        EXPECTED.checkTree("base page", WorkLog.pageValue(page, 3));
-        assertEquals(page, WorkLog.contents(WorkLog.pageValue(page, 3)));
+        EXPECTED.checkTree("base page", LogCodec.encodePage(page, 3));
+        assertEquals(page, LogCodec.decodePage(LogCodec.encodePage(page, 3)));
     }
 
     @Test
@@ -251,7 +252,7 @@
                 "bucket keys",
                 List.of(
                         root.key(),
-                        WorkLog.baseKey(31, 2),
+                        WorkLog.pageKey(31, 2),
                         root.child(0).key(),
                         root.child(1).key(),
                         root.child(1).child(0).key(),
--- a/src/test/java/garnetscale/core/state/StoredLogTest.java
+++ b/src/test/java/garnetscale/core/state/StoredLogTest.java
@@ -28,9 +28,9 @@
     private static final String JOB = "wk-1";
     private static final int TASKS = 10_000;
     /** Enough for the ring of entries to be overwritten and for every shard to be folded. */
-    private static final int ENTRIES = WorkLog.RING + WorkLog.SHARDS;
+    private static final int ENTRIES = WorkLog.FIRST_CAPACITY + WorkLog.SHARDS;
     /** The first entry with which a fold is due, counted from 0. */
-    private static final int FIRST_FOLD = WorkLog.RING / 2;
+    private static final int FIRST_FOLD = WorkLog.FIRST_CAPACITY / 2;
 
     private final StateModel state = new StateModel();
     private final StateReplica replica = new StateReplica();
--- a/src/test/java/garnetscale/core/state/WorkLogTest.java
+++ b/src/test/java/garnetscale/core/state/WorkLogTest.java
@@ -127,8 +127,8 @@
             assertEquals(seen(leader), seen(lister), "lister in round " + round);
             follow(follower);
         }
-        assertTrue(leader.sequence() > 4 * WorkLog.RING, "only " + leader.sequence() + " entries");
-        assertTrue(state.list(Keys.LOG, null, 1000).size() <= WorkLog.RING);
+        assertTrue(leader.sequence() > 4 * WorkLog.FIRST_CAPACITY, "only " + leader.sequence() + " entries");
+        assertTrue(state.list(Keys.LOG, null, 1000).size() <= WorkLog.FIRST_CAPACITY);
     }
 
     /** A follower that the answer brings only a slot's newest entry has to notice that it lost the others. */
@@ -163,14 +163,14 @@
                             new MachineRecord("istanbul-kiralik", placed, Map.of("img-07", 3.4812345)));
         }
         BitSet full = new BitSet();
-        full.set(0, WorkLog.PART);
+        full.set(0, WorkLog.TASKS_PER_PART);
         for (int i = 0; i < 49; i++) {
             shard.parts().put("wk-000412/" + i, full);
         }
-        List<WorkLog.Contents> pages = WorkLog.pages(shard, VALUE_BYTES * 15 / 16);
+        List<WorkLog.Contents> pages = LogSizes.pages(shard, VALUE_BYTES * 15 / 16);
         assertTrue(pages.size() > 2);
         for (WorkLog.Contents page : pages) {
-            int bytes = json(WorkLog.pageValue(page, pages.size()));
+            int bytes = json(LogCodec.encodePage(page, pages.size()));
             assertTrue(bytes <= VALUE_BYTES, bytes + " bytes");
         }
     }
@@ -187,7 +187,7 @@
             return 2 + l.stream().mapToInt(v -> json(v) + 1).sum();
         }
         return value instanceof String s
-                ? Records.textSize(s)
+                ? LogSizes.text(s)
                 : String.valueOf(value).length();
     }
 }
