--- a/src/main/java/garnetscale/core/state/Delta.java
+++ b/src/main/java/garnetscale/core/state/Delta.java
@@ -10,13 +10,14 @@
 import java.util.Set;
 
 /**
- * What an entry of the work log says of a machine: not its new record but the change, since a finish concerns one of
- * many tasks. Entries are applied in order and each once, so that a change is enough.
+ * What an entry of the work log says of a machine: not its new record but the change, since an exit concerns one of many
+ * tasks. Entries are applied in order and each once, so that a change is enough.
  *
  * @param zone   null when the record is removed
- * @param freed  attempts that are placed there no more
+ * @param freed  attempts that are no longer placed on the machine
  * @param stops  attempts that are to be stopped from now on, and how
- * @param images the machine's images if other ones than before, else null
+ * @param placed attempts that are placed on the machine from now on
+ * @param images the machine's images with their sizes in GB if they are other ones than before, else null
  */
 record Delta(
         String zone,
@@ -25,40 +26,42 @@
         List<Placement> placed,
         Map<String, Double> images) {
 
+    /** The change that leads from one record to another; {@link MachineRecord#NONE} removes the record. */
     static Delta between(MachineRecord before, MachineRecord after) {
         if (after.zone() == null) {
             return new Delta(null, Set.of(), Map.of(), List.of(), null);
         }
         Map<Long, Placement> old = new HashMap<>();
-        before.placements().forEach(p -> old.put(p.attempt(), p));
+        before.placements().forEach(placement -> old.put(placement.attempt(), placement));
         Set<Long> freed = new HashSet<>(old.keySet());
         Map<Long, Placement.Stop> stops = new LinkedHashMap<>();
         List<Placement> placed = new ArrayList<>();
-        for (Placement p : after.placements()) {
-            Placement was = old.get(p.attempt());
-            freed.remove(p.attempt());
-            if (was == null) {
-                placed.add(p);
-            } else if (was.stop() != p.stop()) {
-                stops.put(p.attempt(), p.stop());
+        for (Placement placement : after.placements()) {
+            Placement previous = old.get(placement.attempt());
+            freed.remove(placement.attempt());
+            if (previous == null) {
+                placed.add(placement);
+            } else if (previous.stop() != placement.stop()) {
+                stops.put(placement.attempt(), placement.stop());
             }
         }
-        boolean same = before.images().keySet().equals(after.images().keySet());
-        return new Delta(after.zone(), freed, stops, placed, same ? null : after.images());
+        boolean sameImages = before.images().keySet().equals(after.images().keySet());
+        return new Delta(after.zone(), freed, stops, placed, sameImages ? null : after.images());
     }
 
+    /** The record after this change. */
     MachineRecord applyTo(MachineRecord before) {
         if (zone == null) {
             return MachineRecord.NONE;
         }
-        List<Placement> list = new ArrayList<>();
-        for (Placement p : before.placements()) {
-            if (!freed.contains(p.attempt())) {
-                Placement.Stop stop = stops.get(p.attempt());
-                list.add(stop == null ? p : p.withStop(stop));
+        List<Placement> placements = new ArrayList<>();
+        for (Placement placement : before.placements()) {
+            if (!freed.contains(placement.attempt())) {
+                Placement.Stop stop = stops.get(placement.attempt());
+                placements.add(stop == null ? placement : placement.withStop(stop));
             }
         }
-        list.addAll(placed);
-        return new MachineRecord(zone, List.copyOf(list), images == null ? before.images() : images);
+        placements.addAll(placed);
+        return new MachineRecord(zone, List.copyOf(placements), images == null ? before.images() : images);
     }
 }
--- a/src/main/java/garnetscale/core/state/FreeCapacityCache.java
+++ b/src/main/java/garnetscale/core/state/FreeCapacityCache.java
@@ -9,51 +9,52 @@
 import java.util.Set;
 
 /**
- * What placements leave free on each machine, counted anew only when a machine's record has changed: with a thousand
- * machines most of a turn's work would go into counting what it counted the turn before.
+ * What placements leave free on each machine, computed anew only when a machine's record has changed: with a thousand
+ * machines most of a scheduling cycle would go into computing what the cycle before has computed.
  */
 public final class FreeCapacityCache {
 
-    private record Counted(List<Placement> placements, MachineType type, FreeCapacity room) {}
+    private record Cached(List<Placement> placements, MachineType type, FreeCapacity capacity) {}
 
     private final StateReplica replica;
-    private final Map<String, Counted> counted = new HashMap<>();
+    private final Map<String, Cached> cache = new HashMap<>();
 
+    /** An empty cache of what the placements in a replica leave free. */
     public FreeCapacityCache(StateReplica replica) {
         this.replica = replica;
     }
 
-    /** The room of a machine by the replica; shared, and so not to be altered. */
+    /** The free capacity of a machine by the replica; shared, and so not to be altered. */
     public FreeCapacity of(String machine, MachineType type) {
         List<Placement> placements = replica.placements(machine);
-        Counted c = counted.get(machine);
-        if (c != null && c.placements() == placements && c.type() == type) {
-            return c.room();
+        Cached cached = cache.get(machine);
+        if (cached != null && cached.placements() == placements && cached.type() == type) {
+            return cached.capacity();
         }
-        FreeCapacity room = new FreeCapacity(type);
-        boolean whole = take(room, placements);
-        if (whole) {
-            counted.put(machine, new Counted(placements, type, room));
+        FreeCapacity capacity = new FreeCapacity(type);
+        boolean complete = take(capacity, placements);
+        if (complete) {
+            cache.put(machine, new Cached(placements, type, capacity));
         }
-        return room;
+        return capacity;
     }
 
     /** Takes what the placements use; false when one is of a job that the replica doesn't hold. */
-    public boolean take(FreeCapacity room, List<Placement> placements) {
-        boolean whole = true;
-        for (Placement p : placements) {
-            JobView job = replica.job(p.task().job());
+    public boolean take(FreeCapacity capacity, List<Placement> placements) {
+        boolean complete = true;
+        for (Placement placement : placements) {
+            JobView job = replica.job(placement.task().job());
             if (job != null) {
-                room.take(job.spec());
+                capacity.take(job.spec());
             } else {
-                whole = false;
+                complete = false;
             }
         }
-        return whole;
+        return complete;
     }
 
-    /** Forgets machines that aren't there any more. */
+    /** Drops all other machines from the cache. */
     public void retain(Set<String> machines) {
-        counted.keySet().retainAll(machines);
+        cache.keySet().retainAll(machines);
     }
 }
--- a/src/main/java/garnetscale/core/state/Keys.java
+++ b/src/main/java/garnetscale/core/state/Keys.java
@@ -1,20 +1,24 @@
 package garnetscale.core.state;
 
 /**
- * Names of the keys. Everything that a node replicas lies under one prefix, so that one watch brings it all;
- * jobs that are over lie outside it, so that a cold start reads only what is alive.
+ * The names of stored keys. Everything that a controller replicates is under one prefix, so that one watch brings it all;
+ * terminal jobs are outside it, so that a cold start reads only live state.
  */
 public final class Keys {
 
+    /** The prefix of all keys that controllers replicate. */
     public static final String MIRRORED = "g/";
+    /** The leader; attached to its lease. */
     public static final String LEADER = "g/leader";
+    /** The highest term that was given out. */
     public static final String TERM = "g/term";
+    /** The machine types that the cloud offers. */
     public static final String TYPES = "g/types";
-    /** The version of what is stored that is active for the whole cluster; absent in the first. */
+    /** The active version of the stored state; absent in the first version. */
     public static final String VERSION = "g/version";
 
     static final String JOB = "g/j/";
-    /** Entries of the work log. They come before the bases in key order, and so in a listing: see {@link WorkLog}. */
+    /** Entries of the work log. They come before the snapshot in key order, and so in a listing: see {@link WorkLog}. */
     static final String LOG = "g/l/";
 
     static final String SNAPSHOT = "g/s/";
@@ -24,24 +28,27 @@
 
     private Keys() {}
 
+    /** The key of a job that isn't archived yet. */
     public static String job(String id) {
         return JOB + id;
     }
 
-    /** Where a job that is over is kept for good. */
+    /** The key under which a terminal job is kept for good. */
     public static String terminalJob(String id) {
         return TERMINAL_JOB + id;
     }
 
-    /** The job whose end a key keeps, or null. */
+    /** The terminal job that a key belongs to, or null when it is another kind of key. */
     public static String terminalJobOfKey(String key) {
         return key.startsWith(TERMINAL_JOB) ? key.substring(TERMINAL_JOB.length()) : null;
     }
 
+    /** The key of a partition's lease. */
     public static String partition(String partition) {
         return PARTITION + partition;
     }
 
+    /** The key of a live controller; attached to its lease. */
     public static String node(String name) {
         return NODE + name;
     }
