--- a/src/main/java/garnetscale/core/job/JobState.java
+++ b/src/main/java/garnetscale/core/job/JobState.java
@@ -1,11 +1,12 @@
 package garnetscale.core.job;
 
-/** What a job's record says of it. The two terminal states exclude each other: both are written over LIVE only. */
+/** The state of a job. The two terminal states exclude each other: either is only written over LIVE. */
 public enum JobState {
     LIVE,
     DONE,
     CANCELLED;
 
+    /** Whether the state is final. */
     public boolean isTerminal() {
         return this != LIVE;
     }
--- a/src/main/java/garnetscale/core/job/Priority.java
+++ b/src/main/java/garnetscale/core/job/Priority.java
@@ -1,6 +1,6 @@
 package garnetscale.core.job;
 
-/** How urgent a job is; the order of the constants is the order in a line, most urgent first. */
+/** How urgent a job is; the order of the constants is the order in the queue, most urgent first. */
 public enum Priority {
     CRITICAL,
     HIGH,
--- a/src/main/java/garnetscale/core/job/TaskId.java
+++ b/src/main/java/garnetscale/core/job/TaskId.java
@@ -1,21 +1,28 @@
 package garnetscale.core.job;
 
-/** A task: the job it belongs to and its number there. */
+/**
+ * A task of a job array.
+ *
+ * @param index its number in the job, from 0
+ */
 public record TaskId(String job, int index) {
 
-    /** Reads the form {@code wk-000412/3}; null for anything else, since reports come from outside. */
+    /** The most characters that the slash and the number may have together; seven digits cannot overflow. */
+    private static final int MAX_SUFFIX = 8;
+
+    /** Reads the form {@code wk-000412/3}; null for anything else, since heartbeats come from outside. */
     public static TaskId parse(String text) {
         int slash = text.lastIndexOf('/');
-        if (slash <= 0 || slash == text.length() - 1 || text.length() - slash > 8) {
+        if (slash <= 0 || slash == text.length() - 1 || text.length() - slash > MAX_SUFFIX) {
             return null;
         }
         int index = 0;
         for (int i = slash + 1; i < text.length(); i++) {
-            char c = text.charAt(i);
-            if (c < '0' || c > '9') {
+            char digit = text.charAt(i);
+            if (digit < '0' || digit > '9') {
                 return null;
             }
-            index = index * 10 + (c - '0');
+            index = index * 10 + (digit - '0');
         }
         return new TaskId(text.substring(0, slash), index);
     }
@@ -25,10 +32,10 @@
         return job + "/" + index;
     }
 
-    /** Explicit because it is on the hot path; see the package documentation of {@code garnetscale.core}. */
+    /** Explicit because it is on the hot path: see {@link garnetscale.core}. */
     @Override
-    public boolean equals(Object o) {
-        return o instanceof TaskId other && job.equals(other.job) && index == other.index;
+    public boolean equals(Object object) {
+        return object instanceof TaskId other && job.equals(other.job) && index == other.index;
     }
 
     @Override
--- a/src/main/java/garnetscale/core/state/LogRingBuffer.java
+++ b/src/main/java/garnetscale/core/state/LogRingBuffer.java
@@ -6,33 +6,34 @@
 import java.util.TreeMap;
 
 /**
- * The keys that the entries of the work log lie in. Each entry is written over the oldest one, whose content is in the
- * base by then. The larger the base, the longer it takes until each part of it has been rewritten, and the more keys there are.
+ * The keys under which the entries of the work log are stored. Each entry is written over the oldest one, which the snapshot
+ * contains by then. The larger the snapshot, the longer it takes until every region is compacted, and the more keys there are.
  */
 final class LogRingBuffer {
 
-    private final TreeMap<Long, String> keys = new TreeMap<>();
-    private final Map<String, Long> numbers = new HashMap<>();
+    private final TreeMap<Long, String> keyOfNumber = new TreeMap<>();
+    private final Map<String, Long> numberOfKey = new HashMap<>();
     /** How many keys the first layout doesn't use. */
     private int beyondFirstLayout;
 
     /** An entry was stored under a key. */
     void put(String key, long number) {
-        Long before = numbers.put(key, number);
+        Long before = numberOfKey.put(key, number);
         if (before != null) {
-            keys.remove(before);
+            keyOfNumber.remove(before);
         } else if (isBeyondFirstLayout(key)) {
             beyondFirstLayout++;
         }
-        keys.put(number, key);
+        keyOfNumber.put(number, key);
     }
 
+    /** The entry under a key was deleted. */
     void remove(String key) {
-        Long before = numbers.remove(key);
+        Long before = numberOfKey.remove(key);
         if (before == null) {
             return;
         }
-        keys.remove(before);
+        keyOfNumber.remove(before);
         if (isBeyondFirstLayout(key)) {
             beyondFirstLayout--;
         }
@@ -40,19 +41,19 @@
 
     /** The key of the entry with this number, or null. */
     String keyOf(long number) {
-        return keys.get(number);
+        return keyOfNumber.get(number);
     }
 
-    /** The key that the next entry is to be written under, in a ring of so many keys. */
+    /** The key that the next entry is to be written under, in a ring buffer of that capacity. */
     String next(int capacity) {
-        if (keys.size() >= capacity) {
-            return keys.firstEntry().getValue();
+        if (keyOfNumber.size() >= capacity) {
+            return keyOfNumber.firstEntry().getValue();
         }
-        int position = keys.size();
-        while (numbers.containsKey(nameOf(position))) {
+        int position = keyOfNumber.size();
+        while (numberOfKey.containsKey(keyAt(position))) {
             position++;
         }
-        return nameOf(position);
+        return keyAt(position);
     }
 
     /** The key that the first layout puts an entry under. */
@@ -60,9 +61,9 @@
         return Keys.LOG + Math.floorMod(number, (long) WorkLog.FIRST_CAPACITY);
     }
 
-    /** Whether the key holds an entry behind the given one. */
+    /** Whether the key holds an entry that comes after the given one. */
     boolean holdsNewerThan(long number, String key) {
-        return numbers.getOrDefault(key, 0L) > number;
+        return numberOfKey.getOrDefault(key, 0L) > number;
     }
 
     /** The newest entry under a key that the first layout doesn't use, or 0. */
@@ -71,7 +72,7 @@
             return 0;
         }
         long newest = 0;
-        for (Map.Entry<String, Long> entry : numbers.entrySet()) {
+        for (Map.Entry<String, Long> entry : numberOfKey.entrySet()) {
             if (isBeyondFirstLayout(entry.getKey())) {
                 newest = Math.max(newest, entry.getValue());
             }
@@ -84,7 +85,7 @@
         if (beyondFirstLayout == 0) {
             return List.of();
         }
-        return numbers.entrySet().stream()
+        return numberOfKey.entrySet().stream()
                 .filter(entry -> entry.getValue() <= number && isBeyondFirstLayout(entry.getKey()))
                 .map(Map.Entry::getKey)
                 .sorted()
@@ -95,13 +96,13 @@
         return Integer.parseInt(key.substring(Keys.LOG.length())) >= WorkLog.FIRST_CAPACITY;
     }
 
-    /** Whether the next entry would overwrite one that the base doesn't hold everywhere, being complete up to {@code number}. */
+    /** Whether the next entry would overwrite one that the snapshot, complete up to {@code number}, may not contain. */
     boolean isFull(int capacity, long number) {
-        return keys.size() >= capacity && keys.firstKey() > number;
+        return keyOfNumber.size() >= capacity && keyOfNumber.firstKey() > number;
     }
 
-    /** While the ring has its first size, the keys are used in the order in which the first layout uses them. */
-    private static String nameOf(int position) {
+    /** While the ring buffer has its first size, the keys are used in the order in which the first layout uses them. */
+    private static String keyAt(int position) {
         return position < WorkLog.FIRST_CAPACITY ? firstLayoutKey(position + 1) : Keys.LOG + position;
     }
 }
--- a/src/main/java/garnetscale/core/state/MachineRecord.java
+++ b/src/main/java/garnetscale/core/state/MachineRecord.java
@@ -5,9 +5,12 @@
 import java.util.Map;
 
 /**
- * What is kept of a machine: its zone, so that whoever takes over a block finds machines in it that no longer report;
- * its placements; and its images with their sizes, the latest used last, so that no restart has to learn anew where
- * they are.
+ * What is stored of a machine.
+ *
+ * @param zone       its zone, by which a new owner of its partition finds it even if it no longer sends heartbeats; null for
+ *                   {@link #NONE}
+ * @param placements attempts that may run on it
+ * @param images     images in its cache with their sizes in GB, the latest used last, so that no failover loses them
  */
 public record MachineRecord(String zone, List<Placement> placements, Map<String, Double> images) {
 
--- a/src/main/java/garnetscale/core/state/SnapshotIndex.java
+++ b/src/main/java/garnetscale/core/state/SnapshotIndex.java
@@ -5,24 +5,29 @@
 import java.util.TreeMap;
 
 /**
- * Which buckets of the base are stored and how far each goes. A bucket may have been split and only some of its parts
- * written so far, since all of them need not fit into one transaction; the rest is still read from where it was. So the
- * base is seen as regions, each of which is stored in a bucket that is the region itself or contains it.
+ * Which buckets of the snapshot are stored, and the last entry that each contains. A bucket may have been split and only some
+ * of its parts written so far, since all of them need not fit into one transaction; the rest is still read from the larger
+ * bucket. So the snapshot is seen as regions, each of which is stored in a bucket that is the region itself or contains it.
  */
 final class SnapshotIndex {
 
     /**
-     * A part of the base that is rewritten as a whole.
+     * A part of the snapshot that is compacted as a whole.
      *
-     * @param stored the bucket that holds it, or null when nothing is stored of it yet
-     * @param number the entry of the work log that it goes up to
+     * @param stored the bucket that holds it, or null when nothing of it is stored yet
+     * @param number the last entry of the work log that it contains, 0 when nothing is stored
      */
     record Region(Bucket bucket, Bucket stored, long number) {}
 
-    /** A stored bucket: how far it goes, and its pages, more than one only for a root in layout 1. */
-    private record Stored(long number, int pages) {}
+    /**
+     * A stored bucket.
+     *
+     * @param number the last entry that it contains
+     * @param pages  how many pages it has, more than one only for a root in layout 1
+     */
+    private record StoredBucket(long number, int pages) {}
 
-    private final List<TreeMap<Bucket, Stored>> stored = new ArrayList<>();
+    private final List<TreeMap<Bucket, StoredBucket>> stored = new ArrayList<>();
     private final List<List<Region>> regions = new ArrayList<>();
     private int regionCount = WorkLog.SHARDS;
     private Region oldest;
@@ -45,47 +50,47 @@
         return copy;
     }
 
-    /** The bucket that a key of the base belongs to. */
+    /** The bucket that a key of the snapshot belongs to. */
     static Bucket bucketOf(String key) {
         return Bucket.ofPage(shardOf(key), pageOf(key));
     }
 
-    /** A page of the base was stored. */
+    /** A page of the snapshot was stored. */
     void put(String key, long number) {
         Bucket bucket = bucketOf(key);
         int pages = bucket.isRoot() ? pageOf(key) + 1 : 1;
         stored.get(bucket.shard())
                 .merge(
                         bucket,
-                        new Stored(number, pages),
-                        (old, added) -> new Stored(
+                        new StoredBucket(number, pages),
+                        (old, added) -> new StoredBucket(
                                 Math.max(old.number(), added.number()), Math.max(old.pages(), added.pages())));
-        derive(bucket.shard());
+        deriveRegions(bucket.shard());
     }
 
-    /** A page of the base was removed. */
+    /** A page of the snapshot was deleted. */
     void remove(String key) {
         Bucket bucket = bucketOf(key);
-        TreeMap<Bucket, Stored> shard = stored.get(bucket.shard());
-        Stored old = shard.get(bucket);
+        TreeMap<Bucket, StoredBucket> shard = stored.get(bucket.shard());
+        StoredBucket old = shard.get(bucket);
         int left = bucket.isRoot() ? pageOf(key) : 0;
         if (old != null && left == 0) {
             shard.remove(bucket);
         } else if (old != null) {
-            shard.put(bucket, new Stored(old.number(), Math.min(old.pages(), left)));
+            shard.put(bucket, new StoredBucket(old.number(), Math.min(old.pages(), left)));
         }
-        derive(bucket.shard());
+        deriveRegions(bucket.shard());
     }
 
     /** How many pages the stored bucket has. */
     int pages(Bucket bucket) {
-        Stored s = stored.get(bucket.shard()).get(bucket);
-        return s == null ? 0 : s.pages();
+        StoredBucket here = stored.get(bucket.shard()).get(bucket);
+        return here == null ? 0 : here.pages();
     }
 
-    /** Whether some shard was split: what only layout 2 knows. */
+    /** Whether some shard is split, as only layout 2 allows. */
     boolean isSplit() {
-        for (TreeMap<Bucket, Stored> shard : stored) {
+        for (TreeMap<Bucket, StoredBucket> shard : stored) {
             if (!shard.isEmpty() && !shard.lastKey().isRoot()) {
                 return true;
             }
@@ -128,7 +133,7 @@
         return regionCount;
     }
 
-    /** The region that goes least far; kept until something changes, since every draft asks for it. */
+    /** The region that is furthest behind; kept until something changes, since every transaction's draft asks for it. */
     Region oldest() {
         if (oldest == null) {
             oldest = findOldest();
@@ -137,18 +142,18 @@
     }
 
     private Region findOldest() {
-        Region oldest = null;
+        Region first = null;
         for (List<Region> shard : regions) {
             for (Region region : shard) {
-                if (oldest == null || region.number() < oldest.number()) {
-                    oldest = region;
+                if (first == null || region.number() < first.number()) {
+                    first = region;
                 }
             }
         }
-        return oldest;
+        return first;
     }
 
-    /** The entry that the furthest region goes up to. */
+    /** The last entry that any region contains. */
     long newest() {
         long newest = 0;
         for (List<Region> shard : regions) {
@@ -159,6 +164,7 @@
         return newest;
     }
 
+    /** The region of a machine or a part of a finished set, by its hash. */
     Region regionOf(int hash) {
         for (Region region : regions.get(Bucket.shardOf(hash))) {
             if (region.bucket().contains(hash)) {
@@ -175,29 +181,34 @@
                 .toList();
     }
 
-    private void derive(int shard) {
+    private void deriveRegions(int shard) {
         List<Region> list = new ArrayList<>();
-        cover(Bucket.root(shard), null, 0, list);
+        addRegions(Bucket.root(shard), null, 0, list);
         regionCount += list.size() - regions.get(shard).size();
         regions.set(shard, List.copyOf(list));
         oldest = null;
     }
 
-    /** Adds the regions of a bucket: it is one itself unless a part of it is stored apart. */
-    private void cover(Bucket bucket, Bucket from, long number, List<Region> into) {
-        TreeMap<Bucket, Stored> shard = stored.get(bucket.shard());
-        Stored here = shard.get(bucket);
-        Bucket owner = here == null ? from : bucket;
+    /**
+     * Adds the regions of a bucket: it is one itself unless a part of it is stored separately.
+     *
+     * @param from   the nearest larger bucket that is stored, or null
+     * @param number the last entry which that one contains
+     */
+    private void addRegions(Bucket bucket, Bucket from, long number, List<Region> into) {
+        TreeMap<Bucket, StoredBucket> shard = stored.get(bucket.shard());
+        StoredBucket here = shard.get(bucket);
+        Bucket holder = here == null ? from : bucket;
         long upTo = here == null ? number : here.number();
         if (!hasStoredWithin(bucket, shard)) {
-            into.add(new Region(bucket, owner, upTo));
+            into.add(new Region(bucket, holder, upTo));
             return;
         }
-        cover(bucket.child(0), owner, upTo, into);
-        cover(bucket.child(1), owner, upTo, into);
+        addRegions(bucket.child(0), holder, upTo, into);
+        addRegions(bucket.child(1), holder, upTo, into);
     }
 
-    private static boolean hasStoredWithin(Bucket bucket, TreeMap<Bucket, Stored> shard) {
+    private static boolean hasStoredWithin(Bucket bucket, TreeMap<Bucket, StoredBucket> shard) {
         if (shard.isEmpty() || shard.lastKey().isRoot()) {
             return false;
         }
--- a/src/main/java/garnetscale/core/state/SnapshotListing.java
+++ b/src/main/java/garnetscale/core/state/SnapshotListing.java
@@ -7,12 +7,12 @@
 import java.util.Map;
 import java.util.function.BiConsumer;
 
-/** The base of the work log as a listing brings it, page by page, each of its own moment. */
+/** The snapshot of the work log as a listing brings it, page by page, each as of its own moment. */
 final class SnapshotListing {
 
     private record Page(Bucket bucket, WorkLog.Contents contents) {}
 
-    /** What the pages of a root in layout 1 say of themselves. */
+    /** What the pages of a root in layout 1 say of themselves: all must contain the same entries, and none be missing. */
     private static final class RootPages {
         private final long number;
         private int expected;
@@ -28,26 +28,28 @@
     private final Map<Bucket, RootPages> roots = new HashMap<>();
     private boolean ofSeveralMoments;
 
+    /** Adds a page of the snapshot. */
     void add(String key, Object value) {
         WorkLog.Contents contents = LogCodec.decodePage(value);
         Bucket bucket = SnapshotIndex.bucketOf(key);
         pages.add(new Page(bucket, contents));
         index.put(key, contents.number());
         if (bucket.isRoot()) {
-            RootPages root = roots.computeIfAbsent(bucket, k -> new RootPages(contents.number()));
+            RootPages root = roots.computeIfAbsent(bucket, absent -> new RootPages(contents.number()));
             ofSeveralMoments |= root.number != contents.number();
             root.expected = LogCodec.pageCountOf(value);
             root.found++;
         }
     }
 
+    /** Which buckets were listed. */
     SnapshotIndex index() {
         return index;
     }
 
     /**
-     * Whether the listing doesn't hold together: the pages of a root are of different moments, so that a machine may have
-     * moved between them and be on neither, or a bucket was split while it was read.
+     * Whether the listing is inconsistent: the pages of a root are of different moments, so that a machine may have moved
+     * between them and be on neither, or a bucket was split while it was read.
      */
     boolean isInconsistent() {
         return ofSeveralMoments
@@ -55,6 +57,7 @@
                 || roots.values().stream().anyMatch(root -> root.expected != root.found);
     }
 
+    /** Gives every machine record that is listed, by machine. */
     void forEachMachine(BiConsumer<String, MachineRecord> receiver) {
         for (Page page : pages) {
             page.contents().machines().forEach((id, machine) -> {
@@ -65,6 +68,7 @@
         }
     }
 
+    /** Gives every part of a finished set that is listed, by its name. */
     void forEachPart(BiConsumer<String, BitSet> receiver) {
         for (Page page : pages) {
             page.contents().parts().forEach((part, finished) -> {
@@ -75,7 +79,7 @@
         }
     }
 
-    /** Of a bucket that is split in part, what was written apart is newer there. */
+    /** Of a bucket that is partly split, the parts that are stored separately are newer there. */
     private boolean isReadFrom(Page page, int hash) {
         return page.bucket().equals(index.regionOf(hash).stored());
     }
