--- /dev/null
+++ b/src/main/java/garnetscale/controller/SessionLease.java
@@ -0,0 +1,162 @@
+package garnetscale.controller;
+
+import garnetscale.core.SchedulerConfig;
+import garnetscale.core.partition.ControllerInfo;
+import garnetscale.core.state.Keys;
+import garnetscale.core.state.Records;
+import garnetscale.core.state.StateReplica;
+import garnetscale.core.state.Transaction;
+import garnetscale.core.state.TransactionOutcome;
+import garnetscale.net.HttpResult;
+import garnetscale.wire.StateCodec;
+import io.netty.handler.codec.http.HttpMethod;
+import java.io.IOException;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * Keeps this process's lease alive, and its record among the live controllers that is attached to it. The lease counts as
+ * granted once the replica shows that record; its number is the process's incarnation.
+ */
+final class SessionLease {
+
+    private static final Logger LOG = LoggerFactory.getLogger(SessionLease.class);
+    private static final long RETRY_MS = 400;
+    private static final long NO_LEASE = -1;
+
+    private final SchedulerConfig config;
+    private final StateConnection connection;
+    private final StateReplica replica;
+    private final StateTransactions transactions;
+    private final ReplicaWatch watch;
+    private final StateLink.Listener listener;
+    private long lease = NO_LEASE;
+    private long announcedLease = NO_LEASE;
+    private boolean registering;
+
+    SessionLease(
+            SchedulerConfig config,
+            StateConnection connection,
+            StateReplica replica,
+            StateTransactions transactions,
+            ReplicaWatch watch,
+            StateLink.Listener listener) {
+        this.config = config;
+        this.connection = connection;
+        this.replica = replica;
+        this.transactions = transactions;
+        this.watch = watch;
+        this.listener = listener;
+    }
+
+    /** Asks for a lease until one is granted, and registers this process with it. */
+    void acquire() {
+        connection.call(
+                HttpMethod.POST,
+                StateCodec.LEASES_PATH,
+                StateCodec.lease(config.controllerLeaseMs()),
+                StateConnection.TIMEOUT_MS,
+                this::onAcquired);
+    }
+
+    private void onAcquired(HttpResult result) {
+        if (!result.is(200)) {
+            connection.onFailed("lease", result);
+            connection.retryAfter(RETRY_MS, this::acquire);
+            return;
+        }
+        try {
+            lease = StateCodec.lease(result.body());
+            connection.onAnswered();
+            register();
+        } catch (IOException e) {
+            connection.retryAfter(RETRY_MS, this::acquire);
+        }
+    }
+
+    /** Puts this process among the live controllers; a late record of an earlier process is overwritten. */
+    private void register() {
+        if (lease < 0 || registering || !replica.loaded() || isRegistered()) {
+            return;
+        }
+        registering = true;
+        long registered = lease;
+        String key = Keys.node(config.self());
+        ControllerInfo info = new ControllerInfo(
+                config.self(),
+                registered,
+                config.zoneOfNode(config.self()),
+                config.features().layouts());
+        transactions.send(
+                new Transaction().guard(key, replica.modRevision(key)).put(key, Records.node(info), registered),
+                (outcome, revision) -> onRegistered(outcome, registered));
+    }
+
+    private void onRegistered(TransactionOutcome outcome, long registered) {
+        registering = false;
+        if (outcome == TransactionOutcome.NO_LEASE && lease == registered) {
+            onExpired();
+        } else if (outcome == TransactionOutcome.OK) {
+            LOG.info("controller is registered, node={} incarnation={}", config.self(), registered);
+        }
+        watch.sync(complete -> register());
+    }
+
+    private boolean isRegistered() {
+        ControllerInfo registered = replica.node(config.self());
+        return registered != null && registered.incarnation() == lease;
+    }
+
+    private void onExpired() {
+        LOG.info("lease has expired and a new one is acquired, lease={}", lease);
+        lease = NO_LEASE;
+        listener.leased(NO_LEASE);
+        acquire();
+    }
+
+    /** Sends a keep-alive. */
+    void renew() {
+        // A controller that can't read what is stored decides nothing; others get its partitions once its lease
+        // expires.
+        if (lease < 0 || replica.unreadable() != null) {
+            return;
+        }
+        long renewed = lease;
+        connection.call(
+                HttpMethod.POST,
+                StateCodec.keepAlivePath(renewed),
+                null,
+                config.controllerLeaseMs() / 2,
+                result -> onRenewed(result, renewed));
+    }
+
+    private void onRenewed(HttpResult result, long renewed) {
+        if (renewed != lease) {
+            return;
+        }
+        if (result.is(404)) {
+            onExpired();
+        } else if (result.is(200)) {
+            connection.onAnswered();
+        } else {
+            connection.onFailed("keep-alive", result);
+        }
+    }
+
+    /** Whether the lease that was last announced is the present one; not so from its expiry until the next one is announced. */
+    boolean isAnnounced() {
+        return announcedLease == lease;
+    }
+
+    /** Tells the listener of the lease once the replica shows it, or registers again. */
+    void onReplicaAdvanced() {
+        boolean registered = lease >= 0 && isRegistered();
+        if (registered && announcedLease != lease) {
+            announcedLease = lease;
+            listener.leased(lease);
+        }
+        if (!registered) {
+            register();
+        }
+    }
+}
--- a/src/main/java/garnetscale/controller/WriteRateAllocator.java
+++ b/src/main/java/garnetscale/controller/WriteRateAllocator.java
@@ -1,57 +1,66 @@
 package garnetscale.controller;
 
 /**
- * How the state service's changes are shared between the leader and submissions. The leader makes room: what it writes
- * less often goes into larger transactions, while a submission that is refused comes a second late. It knows how many are
- * wanted from its replica, which shows every job that a node has accepted.
+ * Shares the state service's limit on changes between the leader and submissions. The leader makes room: what it writes less
+ * often goes into larger transactions, while a submission that is refused comes a second late. It knows how many submissions
+ * there are from its replica, which shows every job that any controller has accepted.
  */
 final class WriteRateAllocator {
 
-    /** The part of the limit that is used at all. */
-    private static final double USED = 0.9;
-    /** The parts that submissions and leader may have; together more than all, since they seldom want it at once. */
-    private static final double SUBMISSIONS = 0.55;
+    /** The share of the limit that is used at all. */
+    private static final double USED_SHARE = 0.9;
+    /** What submissions and the leader may have of it; together more than all, since both seldom need it at once. */
+    private static final double SUBMISSION_SHARE = 0.55;
 
-    private static final double LEADER_LEAST = 0.45;
-    private static final double LEADER_MOST = 0.75;
-    /** What a node may take of its part of the submissions: users keep their connections and don't come evenly. */
-    private static final double UNEVEN = 1.5;
-    /** What the leader leaves, in multiples of what came lately. */
-    private static final double AHEAD = 1.25;
-    /** Submissions are counted over this time. */
-    private static final long COUNTED_MS = 500;
+    private static final double LEADER_MIN_SHARE = 0.45;
+    private static final double LEADER_MAX_SHARE = 0.75;
+    /** How much more than its even part a controller may submit: users keep their connections and don't come evenly. */
+    private static final double UNEVENNESS = 1.5;
+    /** What the leader leaves to submissions, in multiples of their recent rate. */
+    private static final double RESERVED_MULTIPLE = 1.25;
+    /** The rate of submissions is measured over this time. */
+    private static final long MEASURED_MS = 500;
+    /** Weight of the newest measurement in the average. */
+    private static final double SMOOTHING = 0.4;
 
-    private static final double GAIN = 0.4;
+    private static final double MS_PER_S = 1000.0;
 
-    private final double all;
-    private long countedAt;
-    private long counted;
-    private double submitted;
-    private double last;
+    private final double usablePerS;
+    private long measuredAt;
+    private long measuredJobs;
+    private double averagePerS;
+    private double lastPerS;
 
+    /**
+     * Shares out a limit.
+     *
+     * @param writesPerS the service's limit on changes in a second
+     */
     WriteRateAllocator(double writesPerS) {
-        all = writesPerS * USED;
+        usablePerS = writesPerS * USED_SHARE;
     }
 
-    /** Takes note of how many jobs have been accepted so far; true when the shares may have changed. */
+    /** Takes note of how many jobs have been accepted so far; true when the rates may have changed. */
     boolean observe(long now, long jobs) {
-        long passed = now - countedAt;
-        if (passed < COUNTED_MS) {
+        long passedMs = now - measuredAt;
+        if (passedMs < MEASURED_MS) {
             return false;
         }
-        last = 1000.0 * (jobs - counted) / passed;
-        counted = jobs;
-        countedAt = now;
-        submitted += GAIN * (last - submitted);
+        lastPerS = MS_PER_S * (jobs - measuredJobs) / passedMs;
+        measuredJobs = jobs;
+        measuredAt = now;
+        averagePerS += SMOOTHING * (lastPerS - averagePerS);
         return true;
     }
 
+    /** How many changes the leader may make in a second. */
     double leaderPerS() {
-        return Math.min(LEADER_MOST * all, Math.max(LEADER_LEAST * all, all - AHEAD * Math.max(last, submitted)));
+        double left = usablePerS - RESERVED_MULTIPLE * Math.max(lastPerS, averagePerS);
+        return Math.min(LEADER_MAX_SHARE * usablePerS, Math.max(LEADER_MIN_SHARE * usablePerS, left));
     }
 
-    /** What a node may use for submissions, when so many are up: users come to those that are left. */
-    double submissionsPerS(int nodes) {
-        return all * SUBMISSIONS * UNEVEN / Math.max(1, nodes) + 1;
+    /** How many changes a controller may make in a second for submissions, when so many of them are live. */
+    double submissionsPerS(int controllers) {
+        return usablePerS * SUBMISSION_SHARE * UNEVENNESS / Math.max(1, controllers) + 1;
     }
 }
