--- /dev/null
+++ b/src/test/java/garnetscale/core/state/LogFixture.java
@@ -0,0 +1,86 @@
+package garnetscale.core.state;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import garnetscale.core.job.JobRecord;
+import garnetscale.core.job.JobSpec;
+import garnetscale.core.job.JobState;
+import garnetscale.core.upgrade.ClusterVersion;
+import garnetscale.emulator.StateModel;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Random;
+
+/** A store whose work log a leader writes by its replica, and which other replicas follow or list. */
+final class LogFixture {
+
+    /** More keys than any test stores. */
+    private static final int ALL_KEYS = 100_000;
+
+    final StateModel state;
+    final Random random;
+    final StateReplica leader = new StateReplica();
+
+    LogFixture(StateModel state, long seed, JobSpec... jobs) {
+        this.state = state;
+        this.random = new Random(seed);
+        for (JobSpec job : jobs) {
+            state.commit(new Transaction().put(Keys.job(job.id()), Records.job(new JobRecord(job, JobState.LIVE, 0))));
+        }
+        leader.reset(list(Keys.MIRRORED), state.revision());
+    }
+
+    /** Every key under a prefix, as of one moment. */
+    List<KeyChange> list(String prefix) {
+        return state.list(prefix, null, ALL_KEYS);
+    }
+
+    /** Commits a transaction of the leader, which then sees it. */
+    void commit(Transaction transaction) {
+        assertEquals(200, state.commit(transaction), () -> state.oversized().toString());
+        follow(leader);
+    }
+
+    void activate(int version) {
+        commit(new Transaction().put(Keys.VERSION, Records.version(new ClusterVersion(version, Layouts.FIRST))));
+    }
+
+    /** Brings a replica up to date by a watch. */
+    void follow(StateReplica replica) {
+        replica.advance(state.changes(Keys.MIRRORED, replica.revision()), state.revision());
+    }
+
+    /** A new replica that lists everything as of one moment. */
+    StateReplica listAtOnce() {
+        StateReplica replica = new StateReplica();
+        replica.reset(list(Keys.MIRRORED), state.revision());
+        return replica;
+    }
+
+    /**
+     * A new replica that lists in pages, up to date by a watch afterwards; null when its listing was inconsistent.
+     *
+     * @param write what is written between two pages, none to two times
+     */
+    StateReplica listInPages(int pageKeys, Runnable write) {
+        List<KeyChange> listed = new ArrayList<>();
+        long first = state.revision();
+        String since = null;
+        List<KeyChange> page;
+        do {
+            page = state.list(Keys.MIRRORED, since, pageKeys);
+            listed.addAll(page);
+            since = page.isEmpty() ? null : page.get(page.size() - 1).key();
+            for (int i = random.nextInt(3); i > 0; i--) {
+                write.run();
+            }
+        } while (page.size() == pageKeys);
+        StateReplica replica = new StateReplica();
+        replica.reset(listed, first);
+        if (!replica.loaded()) {
+            return null;
+        }
+        follow(replica);
+        return replica;
+    }
+}
--- a/src/test/java/garnetscale/core/state/LogRingBufferTest.java
+++ b/src/test/java/garnetscale/core/state/LogRingBufferTest.java
@@ -9,7 +9,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Which key the next entry goes under, and when it must not: what it overwrites has to be in the base. */
+/** Which key the next entry goes under, and when it must not: what it overwrites has to be in the snapshot. */
 class LogRingBufferTest {
 
     private final LogRingBuffer ringBuffer = new LogRingBuffer();
@@ -21,7 +21,7 @@
     }
 
     @Test
-    void aRingOfTheFirstSizeUsesTheKeysOfTheFirstLayout() {
+    void aRingBufferOfTheFirstSizeUsesTheKeysOfTheFirstLayout() {
         for (long number = 1; number <= 3 * WorkLog.FIRST_CAPACITY; number++) {
             String key = ringBuffer.next(WorkLog.FIRST_CAPACITY);
             assertEquals(LogRingBuffer.firstLayoutKey(number), key);
@@ -30,10 +30,10 @@
     }
 
     @Test
-    void anEntryIsOverwrittenOnceTheBaseHoldsIt() {
+    void anEntryIsOverwrittenOnceTheSnapshotContainsIt() {
         fill(WorkLog.FIRST_CAPACITY);
         assertTrue(ringBuffer.isFull(WorkLog.FIRST_CAPACITY, 0));
-        assertFalse(ringBuffer.isFull(WorkLog.FIRST_CAPACITY, 1), "the first entry is in the base");
+        assertFalse(ringBuffer.isFull(WorkLog.FIRST_CAPACITY, 1), "the first entry is in the snapshot");
         assertFalse(ringBuffer.isFull(WorkLog.FIRST_CAPACITY + 1, 0), "there is room for one more");
         String next = LogRingBuffer.firstLayoutKey(WorkLog.FIRST_CAPACITY + 1);
         assertTrue(ringBuffer.holdsNewerThan(0, next));
@@ -41,7 +41,7 @@
     }
 
     @Test
-    void aRingGrowsByKeysThatAreNotInUse() {
+    void aRingBufferGrowsByKeysThatAreNotInUse() {
         int entries = 2 * WorkLog.FIRST_CAPACITY;
         Set<String> keys = new HashSet<>();
         for (long number = 1; number <= entries; number++) {
--- a/src/test/java/garnetscale/core/state/SnapshotListingTest.java
+++ b/src/test/java/garnetscale/core/state/SnapshotListingTest.java
@@ -12,7 +12,7 @@
 import java.util.TreeSet;
 import org.junit.jupiter.api.Test;
 
-/** Pages of different moments: of a part that was written anew the newer bucket counts, of the rest the older one. */
+/** Pages of different moments: a part that was written anew is read from the newer bucket, the rest from the older one. */
 class SnapshotListingTest {
 
     private static final Bucket ROOT = Bucket.root(0);
@@ -36,7 +36,7 @@
     }
 
     @Test
-    void aMachineThatIsGoneFromTheNewerBucketDoesNotComeBackFromTheOlder() {
+    void aMachineThatIsRemovedFromTheNewerBucketDoesNotComeBackFromTheOlder() {
         listing.add(ROOT.key(), page(10, MACHINES));
         listing.add(ROOT.child(0).key(), page(20, "m-0"));
         assertFalse(listing.isInconsistent());
--- a/src/test/java/garnetscale/core/state/StoredFormsTest.java
+++ b/src/test/java/garnetscale/core/state/StoredFormsTest.java
@@ -148,7 +148,7 @@
     }
 
     @Test
-    void terminalJobOfKey() {
+    void terminalJob() {
         Records.TerminalJob terminalJob = new Records.TerminalJob(JobState.CANCELLED, 16, 3, "red");
         EXPECTED.checkTree("archived job", Records.terminalJob(terminalJob));
         assertEquals(terminalJob, Records.terminalJob((Object) Records.terminalJob(terminalJob)));
@@ -185,7 +185,7 @@
     }
 
     @Test
-    void blockLease() {
+    void partitionLease() {
         PartitionLease lease = new PartitionLease("n-0", 7, 1_048_577);
         EXPECTED.checkTree("block lease", Records.partition(lease));
         assertEquals(lease, Records.partition((Object) Records.partition(lease)));
@@ -238,7 +238,7 @@
     }
 
     @Test
-    void basePage() {
+    void snapshotPage() {
         WorkLog.Contents page = new WorkLog.Contents(
                 5, Map.of("m-1", new MachineRecord("a", placements(), images())), Map.of(JOB + "/1", bits(2)));
         EXPECTED.checkTree("base page", LogCodec.encodePage(page, 3));
--- a/src/test/java/garnetscale/core/state/StoredLogTest.java
+++ b/src/test/java/garnetscale/core/state/StoredLogTest.java
@@ -1,14 +1,9 @@
 package garnetscale.core.state;
 
-import static org.junit.jupiter.api.Assertions.assertEquals;
-
 import garnetscale.ExpectedForms;
-import garnetscale.core.job.JobRecord;
-import garnetscale.core.job.JobState;
 import garnetscale.core.job.TaskId;
 import garnetscale.core.job.TestJob;
 import garnetscale.core.machine.Placement;
-import garnetscale.core.upgrade.ClusterVersion;
 import garnetscale.emulator.StateModel;
 import garnetscale.wire.StateCodec;
 import java.util.ArrayList;
@@ -27,37 +22,23 @@
     private static final int MACHINES = 40;
     private static final String JOB = "wk-1";
     private static final int TASKS = 10_000;
-    /** Enough for the ring of entries to be overwritten and for every shard to be folded. */
+    /** Enough for the whole ring buffer to be overwritten and for every shard to be compacted. */
     private static final int ENTRIES = WorkLog.FIRST_CAPACITY + WorkLog.SHARDS;
-    /** The first entry with which a fold is due, counted from 0. */
-    private static final int FIRST_FOLD = WorkLog.FIRST_CAPACITY / 2;
-
-    private final StateModel state = new StateModel();
-    private final StateReplica replica = new StateReplica();
-    private final List<Transaction> written = new ArrayList<>();
-
-    StoredLogTest() {
-        state.commit(new Transaction()
-                .put(
-                        Keys.job(JOB),
-                        Records.job(
-                                new JobRecord(TestJob.named(JOB).tasks(TASKS).build(), JobState.LIVE, 0))));
-        replica.reset(state.list(Keys.MIRRORED, null, 1000), state.revision());
-    }
+    /** The first entry with which a compaction is due, counted from 0. */
+    private static final int FIRST_COMPACTION = WorkLog.FIRST_CAPACITY / 2;
 
-    private void commit(Transaction transaction) {
-        assertEquals(200, state.commit(transaction));
-        replica.advance(state.changes(Keys.MIRRORED, replica.revision()), state.revision());
-    }
+    /** Nothing is drawn by lot here. */
+    private static final long ANY_SEED = 0;
 
-    private void activate(int version) {
-        commit(new Transaction().put(Keys.VERSION, Records.version(new ClusterVersion(version, Layouts.FIRST))));
-    }
+    private final LogFixture log = new LogFixture(
+            new StateModel(), ANY_SEED, TestJob.named(JOB).tasks(TASKS).build());
+    private final StateReplica replica = log.leader;
+    private final List<Transaction> written = new ArrayList<>();
 
     /** Places an attempt on one machine in place of what it had, and finishes a task. */
     private void write(LogWriter.Limits limits) {
         int number = written.size();
-        LogWriter log = new LogWriter(replica, limits);
+        LogWriter writer = new LogWriter(replica, limits);
         Placement placement = new Placement(new TaskId(JOB, number), number, 1, Placement.Stop.KEEP);
         MachineRecord machine = new MachineRecord("a", List.of(placement), Map.of("img", 1.0));
         int task = number * 37;
@@ -67,8 +48,8 @@
         Map<String, MachineRecord> machines = new LinkedHashMap<>();
         machines.put("m-" + number % MACHINES, machine);
         Transaction transaction = new Transaction();
-        log.write(transaction, machines, Map.of(part, WorkLog.bitsOf(finished, part)));
-        commit(transaction);
+        writer.write(transaction, machines, Map.of(part, WorkLog.bitsOf(finished, part)));
+        log.commit(transaction);
         written.add(transaction);
     }
 
@@ -98,28 +79,28 @@
         write(ENTRIES, Layouts.FIRST, false);
         check("layout 1 first entry", 0);
         check("layout 1 second entry", 1);
-        check("layout 1 first fold", FIRST_FOLD);
+        check("layout 1 first fold", FIRST_COMPACTION);
         check("layout 1 last entry", ENTRIES - 1);
         checkKeys("layout 1 keys", 0);
     }
 
     @Test
-    void splitBase() {
-        write(FIRST_FOLD, Layouts.FIRST, false);
-        activate(Layouts.SPLIT_SNAPSHOT);
+    void splitSnapshot() {
+        write(FIRST_COMPACTION, Layouts.FIRST, false);
+        log.activate(Layouts.SPLIT_SNAPSHOT);
         write(1, Layouts.SPLIT_SNAPSHOT, true);
-        check("layout 2 first split", FIRST_FOLD);
+        check("layout 2 first split", FIRST_COMPACTION);
         write(ENTRIES, Layouts.SPLIT_SNAPSHOT, true);
-        check("layout 2 entry after the split", FIRST_FOLD + 1);
+        check("layout 2 entry after the split", FIRST_COMPACTION + 1);
         check("layout 2 last entry", written.size() - 1);
-        checkKeys("layout 2 keys", FIRST_FOLD);
+        checkKeys("layout 2 keys", FIRST_COMPACTION);
     }
 
     @Test
     void backToTheFirstLayout() {
-        activate(Layouts.SPLIT_SNAPSHOT);
+        log.activate(Layouts.SPLIT_SNAPSHOT);
         write(ENTRIES, Layouts.SPLIT_SNAPSHOT, true);
-        activate(Layouts.FIRST);
+        log.activate(Layouts.FIRST);
         write(1, Layouts.FIRST, false);
         check("conversion to layout 1", ENTRIES);
         write(WorkLog.SHARDS, Layouts.FIRST, false);
--- a/src/test/java/garnetscale/core/state/WorkLogTest.java
+++ b/src/test/java/garnetscale/core/state/WorkLogTest.java
@@ -4,9 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import garnetscale.core.job.JobRecord;
 import garnetscale.core.job.JobSpec;
-import garnetscale.core.job.JobState;
 import garnetscale.core.job.TaskId;
 import garnetscale.core.job.TestJob;
 import garnetscale.core.machine.Placement;
@@ -24,126 +22,101 @@
 class WorkLogTest {
 
     private static final int VALUE_BYTES = 16 * 1024;
-    private static final int PAGE = 20;
+    private static final int PAGE_KEYS = 20;
+    private static final long SEED = 7;
+    private static final int MAX_LISTINGS = 20;
 
-    private final StateModel state = new StateModel();
-    private final Random random = new Random(7);
-    private final StateReplica leader = new StateReplica();
+    private final LogFixture log = new LogFixture(new StateModel(), SEED, job("wk-1"), job("wk-2"));
+    private final Random random = log.random;
+    private final StateReplica leader = log.leader;
     private long attempts;
 
-    private static JobSpec job(String id, int tasks) {
-        return TestJob.named(id).tasks(tasks).imageGb(1).build();
+    private static JobSpec job(String id) {
+        return TestJob.named(id).tasks(10_000).imageGb(1).build();
     }
 
     /** Replaces what is placed on a few machines and finishes a task here and there. */
     private void write() {
-        LogWriter log = new LogWriter(leader, VALUE_BYTES);
+        LogWriter writer = new LogWriter(leader, VALUE_BYTES);
         Map<String, MachineRecord> machines = new LinkedHashMap<>();
         for (int i = random.nextInt(4); i >= 0; i--) {
             String id = "m-" + random.nextInt(60);
-            List<Placement> placed = new ArrayList<>();
+            List<Placement> placements = new ArrayList<>();
             for (int n = random.nextInt(3); n > 0; n--) {
                 attempts++;
-                placed.add(new Placement(new TaskId("wk-1", (int) attempts), attempts, 1, Placement.Stop.KEEP));
+                placements.add(new Placement(new TaskId("wk-1", (int) attempts), attempts, 1, Placement.Stop.KEEP));
             }
             machines.put(
                     id,
-                    random.nextInt(9) == 0 ? MachineRecord.NONE : new MachineRecord("a", placed, Map.of("img", 1.0)));
+                    random.nextInt(9) == 0
+                            ? MachineRecord.NONE
+                            : new MachineRecord("a", placements, Map.of("img", 1.0)));
         }
         Map<String, BitSet> parts = new LinkedHashMap<>();
         if (random.nextInt(3) == 0) {
             int task = random.nextInt(9000);
-            BitSet all = leader.job("wk-2").finishedSet();
-            all.set(task);
+            BitSet finished = leader.job("wk-2").finishedSet();
+            finished.set(task);
             String part = WorkLog.partOf("wk-2", task);
-            parts.put(part, WorkLog.bitsOf(all, part));
+            parts.put(part, WorkLog.bitsOf(finished, part));
         }
         Transaction transaction = new Transaction();
-        log.write(transaction, machines, parts);
-        assertEquals(200, state.commit(transaction));
-        follow(leader);
-    }
-
-    private void follow(StateReplica m) {
-        m.advance(state.changes(Keys.MIRRORED, m.revision()), state.revision());
+        writer.write(transaction, machines, parts);
+        log.commit(transaction);
     }
 
-    /** Lists in pages, with the store going on between them, as long as it takes to get a listing that holds together. */
+    /** Lists in pages, with the store going on between them, as long as it takes to get a consistent listing. */
     private StateReplica list() {
-        for (int tries = 0; tries < 20; tries++) {
-            List<KeyChange> all = new ArrayList<>();
-            long first = state.revision();
-            String since = null;
-            List<KeyChange> page;
-            do {
-                page = state.list(Keys.MIRRORED, since, PAGE);
-                all.addAll(page);
-                since = page.isEmpty() ? null : page.get(page.size() - 1).key();
-                for (int i = random.nextInt(3); i > 0; i--) {
-                    write();
-                }
-            } while (page.size() == PAGE);
-            StateReplica m = new StateReplica();
-            m.reset(all, first);
-            if (m.loaded()) {
-                follow(m);
-                assertFalse(m.inconsistent());
-                return m;
+        for (int tries = 0; tries < MAX_LISTINGS; tries++) {
+            StateReplica replica = log.listInPages(PAGE_KEYS, this::write);
+            if (replica != null) {
+                assertFalse(replica.inconsistent());
+                return replica;
             }
         }
-        throw new AssertionError("no listing held together");
+        throw new AssertionError("no listing was consistent");
     }
 
-    private static Map<String, Object> seen(StateReplica m) {
+    private static Map<String, Object> seen(StateReplica replica) {
         Map<String, Object> all = new TreeMap<>();
-        m.placedMachines().forEach(id -> all.put(id, m.placements(id)));
-        all.put("placed", m.job("wk-1").placedCount());
-        all.put("finished", m.job("wk-2").finishedSet());
-        all.put("count", m.job("wk-2").finishedCount());
+        replica.placedMachines().forEach(id -> all.put(id, replica.placements(id)));
+        all.put("placed", replica.job("wk-1").placedCount());
+        all.put("finished", replica.job("wk-2").finishedSet());
+        all.put("count", replica.job("wk-2").finishedCount());
         return all;
     }
 
     /**
-     * The follower takes many entries at once, with folds among them: a fold's number once hid the entries that came in
-     * the same answer and before it, and a whole fleet's placements were lost on one node.
+     * The follower takes many entries at once, with compactions among them: the number of one once hid the entries that came
+     * in the same answer and before it, and the placements of all machines were lost on one controller.
      */
     @Test
     void followersAndListersSeeTheSame() {
-        for (int i = 1; i <= 2; i++) {
-            String id = "wk-" + i;
-            state.commit(
-                    new Transaction().put(Keys.job(id), Records.job(new JobRecord(job(id, 10_000), JobState.LIVE, 0))));
-        }
-        leader.reset(state.list(Keys.MIRRORED, null, 1000), state.revision());
         StateReplica follower = list();
         for (int round = 0; round < 40; round++) {
             for (int i = random.nextInt(40); i >= 0; i--) {
                 write();
             }
-            follow(follower);
+            log.follow(follower);
             assertFalse(follower.inconsistent());
             assertEquals(seen(leader), seen(follower), "follower in round " + round);
             StateReplica lister = list();
             assertEquals(seen(leader), seen(lister), "lister in round " + round);
-            follow(follower);
+            log.follow(follower);
         }
         assertTrue(leader.sequence() > 4 * WorkLog.FIRST_CAPACITY, "only " + leader.sequence() + " entries");
-        assertTrue(state.list(Keys.LOG, null, 1000).size() <= WorkLog.FIRST_CAPACITY);
+        assertTrue(log.list(Keys.LOG).size() <= WorkLog.FIRST_CAPACITY);
     }
 
-    /** A follower that the answer brings only a slot's newest entry has to notice that it lost the others. */
+    /** A follower that is told only the newest entry under a key has to notice that it lost the others. */
     @Test
     void lostEntriesAreNoticed() {
-        state.commit(new Transaction()
-                .put(Keys.job("wk-1"), Records.job(new JobRecord(job("wk-1", 10_000), JobState.LIVE, 0)))
-                .put(Keys.job("wk-2"), Records.job(new JobRecord(job("wk-2", 10_000), JobState.LIVE, 0))));
-        leader.reset(state.list(Keys.MIRRORED, null, 1000), state.revision());
         StateReplica follower = list();
         long from = follower.revision();
         write();
         write();
-        List<KeyChange> log = state.changes(Keys.MIRRORED, from);
-        follower.advance(log.subList(log.size() - 1, log.size()), state.revision());
+        List<KeyChange> changes = log.state.changes(Keys.MIRRORED, from);
+        follower.advance(changes.subList(changes.size() - 1, changes.size()), log.state.revision());
         assertTrue(follower.inconsistent());
     }
 
@@ -151,7 +124,7 @@
     @Test
     void pagesStayBelowTheLimits() {
         WorkLog.Contents shard = new WorkLog.Contents(1, new LinkedHashMap<>(), new LinkedHashMap<>());
-        for (int m = 0; m < 40; m++) {
+        for (int machine = 0; machine < 40; machine++) {
             List<Placement> placed = new ArrayList<>();
             for (int i = 0; i < 16; i++) {
                 placed.add(
@@ -159,7 +132,7 @@
             }
             shard.machines()
                     .put(
-                            "m-" + (100_000 + m),
+                            "m-" + (100_000 + machine),
                             new MachineRecord("istanbul-kiralik", placed, Map.of("img-07", 3.4812345)));
         }
         BitSet full = new BitSet();
@@ -177,17 +150,17 @@
 
     /** Bytes of a value in JSON, as the protocol counts. */
     private static int json(Object value) {
-        if (value instanceof Map<?, ?> m) {
+        if (value instanceof Map<?, ?> map) {
             return 2
-                    + m.entrySet().stream()
-                            .mapToInt(e -> json(e.getKey()) + 2 + json(e.getValue()))
+                    + map.entrySet().stream()
+                            .mapToInt(field -> json(field.getKey()) + 2 + json(field.getValue()))
                             .sum();
         }
-        if (value instanceof List<?> l) {
-            return 2 + l.stream().mapToInt(v -> json(v) + 1).sum();
+        if (value instanceof List<?> list) {
+            return 2 + list.stream().mapToInt(element -> json(element) + 1).sum();
         }
-        return value instanceof String s
-                ? LogSizes.text(s)
+        return value instanceof String text
+                ? LogSizes.text(text)
                 : String.valueOf(value).length();
     }
 }
