--- a/src/main/java/garnetscale/controller/ReplicaListener.java
+++ b/src/main/java/garnetscale/controller/ReplicaListener.java
@@ -1,6 +1,6 @@
 package garnetscale.controller;
 
-/** What {@link ReplicaListing} and {@link ReplicaWatch} tell of the replica that they keep. */
+/** Callbacks of {@link ReplicaListing} and {@link ReplicaWatch}, which keep the replica. */
 interface ReplicaListener {
 
     /**
--- a/src/main/java/garnetscale/controller/ReplicaListing.java
+++ b/src/main/java/garnetscale/controller/ReplicaListing.java
@@ -45,7 +45,7 @@
         return running;
     }
 
-    /** Loads the replica anew. */
+    /** Starts to load the replica again from its first page. */
     void start() {
         running = true;
         listPage("", new ArrayList<>(), NO_REVISION);
--- a/src/main/java/garnetscale/controller/ReplicaWatch.java
+++ b/src/main/java/garnetscale/controller/ReplicaWatch.java
@@ -173,7 +173,7 @@
             listing.waitUntilReadable();
         }
         if (!listing.isRunning() && replica.inconsistent()) {
-            LOG.info("watch has lost entries and the replica is loaded anew, revision={}", replica.revision());
+            LOG.info("watch has lost entries and the replica is listed again, revision={}", replica.revision());
             listing.start();
         }
         if (!listing.isRunning()) {
--- a/src/main/java/garnetscale/controller/StateLink.java
+++ b/src/main/java/garnetscale/controller/StateLink.java
@@ -105,7 +105,7 @@
         return connection.now() - confirmedAt;
     }
 
-    // ---- what the replica's modules tell
+    // ---- callbacks of the replica's modules
 
     @Override
     public void onConfirmed(long sentAt) {
--- a/src/main/java/garnetscale/controller/WriteRateAllocator.java
+++ b/src/main/java/garnetscale/controller/WriteRateAllocator.java
@@ -18,7 +18,7 @@
     private static final double UNEVENNESS = 1.5;
     /** What the leader leaves to submissions, in multiples of their recent rate. */
     private static final double RESERVED_MULTIPLE = 1.25;
-    /** The rate of submissions is measured over this time. */
+    /** The rate of submissions is measured in intervals of this length. */
     private static final long MEASURED_MS = 500;
     /** Weight of the newest measurement in the average. */
     private static final double SMOOTHING = 0.4;
--- a/src/main/java/garnetscale/core/state/Compaction.java
+++ b/src/main/java/garnetscale/core/state/Compaction.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 
 /**
- * The puts and deletes by which one transaction writes a region of the snapshot anew: because it is furthest behind, because
+ * The puts and deletes by which one transaction rewrites a region of the snapshot: because it is furthest behind, because
  * it has outgrown a value, or because the first layout is active again.
  */
 final class Compaction {
@@ -113,7 +113,7 @@
         return Math.max(1, (LogWriter.TRANSACTION_BYTES - LogWriter.RESERVED_BYTES) / pageBytes - 1);
     }
 
-    /** Layout 1: a shard is written anew with all of its pages at once. */
+    /** Layout 1: a shard is rewritten with all of its pages at once. */
     private void compactWhole(Bucket root) {
         List<WorkLog.Contents> pages = LogSizes.pages(log.contents(root), pageBytes);
         for (int page = 0; page < pages.size(); page++) {
--- a/src/main/java/garnetscale/core/state/FreeCapacityCache.java
+++ b/src/main/java/garnetscale/core/state/FreeCapacityCache.java
@@ -9,7 +9,7 @@
 import java.util.Set;
 
 /**
- * What placements leave free on each machine, computed anew only when a machine's record has changed: with a thousand
+ * What placements leave free on each machine, computed again only when a machine's record has changed: with a thousand
  * machines most of a scheduling cycle would go into computing what the cycle before has computed.
  */
 public final class FreeCapacityCache {
--- a/src/main/java/garnetscale/core/state/LogReplica.java
+++ b/src/main/java/garnetscale/core/state/LogReplica.java
@@ -39,7 +39,7 @@
         inconsistent = false;
     }
 
-    /** Takes over the snapshots of a listing and the entries that follow them. */
+    /** Takes the snapshots of a listing and the entries that follow them. */
     void load(SnapshotListing listing, TreeMap<Long, WorkLog.Entry> entries) {
         snapshot = listing.index();
         inconsistent = listing.isInconsistent();
@@ -127,7 +127,7 @@
         return snapshot;
     }
 
-    /** The region of the snapshot that the next transaction should write anew, or null. */
+    /** The region of the snapshot that the next transaction should compact, or null. */
     SnapshotIndex.Region compactionDue() {
         SnapshotIndex.Region oldest = snapshot.oldest();
         boolean due = WorkLog.isDue(oldest.number(), sequence, snapshot.regionCount())
--- a/src/main/java/garnetscale/core/state/LogWriter.java
+++ b/src/main/java/garnetscale/core/state/LogWriter.java
@@ -129,7 +129,7 @@
 
     /**
      * The next entry. With the first split a number is left out: a controller that follows the log by layout 1 misses the
-     * entry of that number, reads the store anew, and finds it inconsistent by what it knows.
+     * entry of that number, lists the store again, and finds it inconsistent by what it knows.
      */
     private WorkLog.Entry entry(Map<String, MachineRecord> machines, Map<String, BitSet> parts) {
         long before = log.sequence();
--- a/src/main/java/garnetscale/core/state/SnapshotIndex.java
+++ b/src/main/java/garnetscale/core/state/SnapshotIndex.java
@@ -198,14 +198,14 @@
     private void addRegions(Bucket bucket, Bucket from, long number, List<Region> into) {
         TreeMap<Bucket, StoredBucket> shard = stored.get(bucket.shard());
         StoredBucket here = shard.get(bucket);
-        Bucket holder = here == null ? from : bucket;
+        Bucket source = here == null ? from : bucket;
         long upTo = here == null ? number : here.number();
         if (!hasStoredWithin(bucket, shard)) {
-            into.add(new Region(bucket, holder, upTo));
+            into.add(new Region(bucket, source, upTo));
             return;
         }
-        addRegions(bucket.child(0), holder, upTo, into);
-        addRegions(bucket.child(1), holder, upTo, into);
+        addRegions(bucket.child(0), source, upTo, into);
+        addRegions(bucket.child(1), source, upTo, into);
     }
 
     private static boolean hasStoredWithin(Bucket bucket, TreeMap<Bucket, StoredBucket> shard) {
--- a/src/main/java/garnetscale/core/state/StateReplica.java
+++ b/src/main/java/garnetscale/core/state/StateReplica.java
@@ -201,7 +201,7 @@
     // ---- listings and watches
 
     /**
-     * Starts anew from a full listing, at first and when a watch has lost changes. Afterwards the replica isn't loaded, and
+     * Loads a full listing in place of what it holds, at first and when a watch has lost changes. Afterwards the replica isn't loaded, and
      * is inconsistent, when the pages of a snapshot are of different moments: a machine may have moved between them and be
      * on neither. It isn't loaded either when a record can't be read.
      *
--- a/src/main/java/garnetscale/core/state/Transaction.java
+++ b/src/main/java/garnetscale/core/state/Transaction.java
@@ -58,7 +58,7 @@
 
     @Override
     public String toString() {
-        StringBuilder text = new StringBuilder("txn if ").append(guards).append(" then");
+        StringBuilder text = new StringBuilder("transaction if ").append(guards).append(" then");
         for (Op op : ops) {
             text.append(op.value() == null ? " -" : " +").append(op.key());
         }
--- a/src/main/java/garnetscale/core/state/VersionGate.java
+++ b/src/main/java/garnetscale/core/state/VersionGate.java
@@ -16,7 +16,7 @@
         this.supported = supported;
     }
 
-    /** Starts anew, for a new listing. */
+    /** Forgets the unreadable record, for a new listing. */
     void open() {
         unreadable = null;
     }
--- a/src/main/java/garnetscale/core/state/WorkLog.java
+++ b/src/main/java/garnetscale/core/state/WorkLog.java
@@ -11,7 +11,7 @@
  *
  * <p>Entries are stored in a ring buffer of keys, each written over an entry that the snapshot contains by then: machines
  * and finished sets are spread over shards by hash, and every now and then a transaction compacts the region of the
- * snapshot that is furthest behind, which means that it writes the region anew. Reading the store means reading the
+ * snapshot that is furthest behind, which means that it rewrites the region. Reading the store means reading the
  * snapshot and then, for each region, the entries after the region's number.
  *
  * @see Bucket how a shard is split further
--- a/src/test/java/garnetscale/controller/ManualIo.java
+++ b/src/test/java/garnetscale/controller/ManualIo.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.function.Consumer;
 
-/** Keeps what a {@link StateLink} asks until the test answers it, and its timers until the test runs them. */
+/** Keeps the requests of a {@link StateLink} until the test answers them, and its timers until the test runs them. */
 final class ManualIo implements StateLink.Io {
 
     private static final long LONG_ENOUGH_MS = 10_000;
@@ -33,18 +33,19 @@
         calls.add(new Call(path, body, done));
     }
 
-    /** The first request whose path begins so; there must be one. */
+    /** Removes and returns the first pending request whose path begins so; there must be one. */
     Call take(String start) {
         Call first = calls.stream()
-                .filter(c -> c.path().startsWith(start))
+                .filter(call -> call.path().startsWith(start))
                 .findFirst()
-                .orElseThrow(() -> new AssertionError("nothing asked for " + start + ": " + calls));
+                .orElseThrow(() -> new AssertionError("no request for " + start + ": " + calls));
         calls.remove(first);
         return first;
     }
 
+    /** Whether a request whose path begins so is pending. */
     boolean isAsked(String start) {
-        return calls.stream().anyMatch(c -> c.path().startsWith(start));
+        return calls.stream().anyMatch(call -> call.path().startsWith(start));
     }
 
     /** Has every timer that was set fire once. */
--- a/src/test/java/garnetscale/controller/StateLinkRelistTest.java
+++ b/src/test/java/garnetscale/controller/StateLinkRelistTest.java
@@ -16,15 +16,15 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A replica that is being listed anew, since a watch was too old, is not complete: an older watch that is answered meanwhile
- * must neither confirm it nor change it. Had it done so, a holder would have gone on answering workers from a replica that
+ * A replica that is being listed again, since a watch was too old, is not complete: an older watch that is answered meanwhile
+ * must neither confirm it nor change it. Had it done so, an owner would have gone on answering workers from a replica that
  * lacks a cancellation, for as long as its grace.
  */
 class StateLinkRelistTest {
 
-    private static final int TERMINATED = 410;
+    private static final int GONE = 410;
     private static final long LISTED = 10;
-    private static final long LISTED_ANEW = 900;
+    private static final long LISTED_AGAIN = 900;
 
     private static final class Confirmations implements StateLink.Listener {
         private final List<Long> sentAt = new ArrayList<>();
@@ -70,13 +70,13 @@
     void anAnswerThatIsTooLongIsReplacedByAListing() {
         started();
         io.take("/follow").done().accept(HttpResult.TOO_LONG);
-        list(LISTED_ANEW);
-        assertEquals(LISTED_ANEW, replica.revision());
+        list(LISTED_AGAIN);
+        assertEquals(LISTED_AGAIN, replica.revision());
         assertTrue(io.isAsked("/follow"), "the replica is followed again");
     }
 
     @Test
-    void anOlderWatchDoesNotConfirmAReplicaThatIsListedAnew() {
+    void anOlderWatchDoesNotConfirmAReplicaThatIsListedAgain() {
         StateLink link = started();
         ManualIo.Call watch = io.take("/follow");
         assertEquals(List.of(1_000_000L), confirmations.sentAt, "by the listing");
@@ -84,7 +84,7 @@
         io.now += 100;
         List<Boolean> synced = new ArrayList<>();
         link.sync(synced::add);
-        io.take("/follow").done().accept(HttpResult.answered(TERMINATED, new byte[0]));
+        io.take("/follow").done().accept(HttpResult.answered(GONE, new byte[0]));
         assertEquals(List.of(false), synced);
 
         io.now += 100;
@@ -93,8 +93,8 @@
         assertEquals(LISTED, replica.revision());
         assertFalse(io.isAsked("/follow"), "nothing is watched from a revision that is about to be replaced");
 
-        list(LISTED_ANEW);
+        list(LISTED_AGAIN);
         assertEquals(List.of(1_000_000L, 1_000_100L), confirmations.sentAt, "as of the sending of the new listing");
-        assertEquals(LISTED_ANEW, replica.revision());
+        assertEquals(LISTED_AGAIN, replica.revision());
     }
 }
--- a/src/test/java/garnetscale/controller/StateLinkTest.java
+++ b/src/test/java/garnetscale/controller/StateLinkTest.java
@@ -13,9 +13,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * What a holder's grace runs from. A replica may only be called complete as of the sending of a request whose answer made it so:
- * had a lease's renewal, a watch that hung open through a refusal, or a page of a listing said so, a cancellation that another
- * node confirmed meanwhile would be missed for longer than it has.
+ * What an owner's grace runs from. A replica may only be called complete as of the sending of a request whose answer made it
+ * so: had a keep-alive, a watch that hung open through a refusal, or a page of a listing said so, a cancellation that another
+ * controller confirmed meanwhile would be missed for longer than the grace.
  */
 class StateLinkTest {
 
@@ -23,31 +23,31 @@
 
     /** So many jobs that a listing takes several pages, and changes while it is read, with quiet seconds in which watches hang. */
     private static ScriptedCluster day(long seed) {
-        ScriptedCluster t = new ScriptedCluster(seed);
+        ScriptedCluster cluster = new ScriptedCluster(seed);
         List<String> jobs = new ArrayList<>();
         for (int i = 0; i < 1300; i++) {
             String key = Keys.job("wk-" + (1000 + i));
             jobs.add(key);
-            change(t, key);
+            change(cluster, key);
         }
         for (int i = 0; i < 4000; i++) {
-            t.at(i * 10L, () -> {
-                if (t.now >= t.failingUntil && t.now % 9000 > 1200) {
-                    change(t, jobs.get(t.random.nextInt(jobs.size())));
+            cluster.at(i * 10L, () -> {
+                if (cluster.now >= cluster.failingUntil && cluster.now % 9000 > 1200) {
+                    change(cluster, jobs.get(cluster.random.nextInt(jobs.size())));
                 }
             });
         }
-        return t;
+        return cluster;
     }
 
     /** A job that is there is removed, and one that isn't comes. */
-    private static void change(ScriptedCluster t, String key) {
-        StateModel.Entry e = t.state.get(key);
-        Transaction transaction = new Transaction().guard(key, e == null ? 0 : e.modRevision());
+    private static void change(ScriptedCluster cluster, String key) {
+        StateModel.Entry entry = cluster.state.get(key);
+        Transaction transaction = new Transaction().guard(key, entry == null ? 0 : entry.modRevision());
         assertEquals(
                 200,
-                t.state.commit(
-                        e == null
+                cluster.state.commit(
+                        entry == null
                                 ? transaction.put(
                                         key,
                                         ScriptedCluster.record(
@@ -59,16 +59,17 @@
     void aViewIsCompleteAsOfTheSendingOfWhatConfirmsIt() {
         Map<String, Integer> met = new TreeMap<>();
         for (long seed = 1; seed <= SEEDS; seed++) {
-            ScriptedCluster t = day(seed);
-            ScriptedCluster.Desk leader = t.desks.get(0);
-            t.at(9400 + t.random.nextInt(400), () -> leader.refuse(5000));
-            t.at(18_400 + t.random.nextInt(400), () -> leader.refuse(4000));
-            t.at(20_000, () -> t.failingUntil = t.now + 6000);
-            t.at(27_500, () -> t.desks.get(1).refuse(2000));
-            t.run(40_000);
-            assertEquals(List.of(), t.broken, "seed " + seed);
-            t.desks.forEach(d -> assertTrue(t.now - d.confirmedAt < 2000, "confirmed again once all is well"));
-            t.met.forEach((what, times) -> met.merge(what, times, Integer::sum));
+            ScriptedCluster cluster = day(seed);
+            ScriptedCluster.Desk leader = cluster.desks.get(0);
+            cluster.at(9400 + cluster.random.nextInt(400), () -> leader.refuse(5000));
+            cluster.at(18_400 + cluster.random.nextInt(400), () -> leader.refuse(4000));
+            cluster.at(20_000, () -> cluster.failingUntil = cluster.now + 6000);
+            cluster.at(27_500, () -> cluster.desks.get(1).refuse(2000));
+            cluster.run(40_000);
+            assertEquals(List.of(), cluster.broken, "seed " + seed);
+            cluster.desks.forEach(
+                    desk -> assertTrue(cluster.now - desk.confirmedAt < 2000, "confirmed again once all is well"));
+            cluster.met.forEach((what, times) -> met.merge(what, times, Integer::sum));
         }
         for (String what : List.of("a watch hung open through a refusal", "listed in several pages", "lease lost")) {
             assertTrue(met.getOrDefault(what, 0) >= SEEDS, what + ": " + met);
--- a/src/test/java/garnetscale/controller/StateLinkVersionTest.java
+++ b/src/test/java/garnetscale/controller/StateLinkVersionTest.java
@@ -24,10 +24,10 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** Every change is guarded by the active version; a controller that doesn't support it stands aside until it is back. */
+/** Every change is guarded by the active version; a controller that doesn't support it decides nothing until it does. */
 class StateLinkVersionTest {
 
-    private static final long STAMP = 7;
+    private static final long MOD_REVISION = 7;
 
     private static final class Silent implements StateLink.Listener {
         @Override
@@ -65,7 +65,7 @@
     private void list(ClusterVersion version) {
         List<Map<String, ?>> pairs = version == null
                 ? List.of()
-                : List.of(Map.of("key", Keys.VERSION, "v", Records.version(version), "stamp", STAMP));
+                : List.of(Map.of("key", Keys.VERSION, "v", Records.version(version), "stamp", MOD_REVISION));
         io.take("/keys?").done().accept(ok(Map.of("pairs", pairs, "has_next", false, "ledger", 10)));
     }
 
@@ -82,19 +82,19 @@
         link.start();
         list(new ClusterVersion(1, 1));
         link.send(new Transaction().put("a/b", Map.of()), (result, revision) -> {});
-        assertEquals(STAMP, guards(io.take("/multi")).get(Keys.VERSION));
+        assertEquals(MOD_REVISION, guards(io.take("/multi")).get(Keys.VERSION));
         link.submit(new Transaction().put("a/b", Map.of()), (result, revision) -> {});
-        assertEquals(STAMP, guards(io.take("/multi")).get(Keys.VERSION));
+        assertEquals(MOD_REVISION, guards(io.take("/multi")).get(Keys.VERSION));
         link.lead(new Transaction().put("a/b", Map.of()), (result, revision) -> {});
-        assertEquals(STAMP, guards(io.take("/multi")).get(Keys.VERSION));
+        assertEquals(MOD_REVISION, guards(io.take("/multi")).get(Keys.VERSION));
     }
 
     @Test
-    void aControllerThatCannotReadTheVersionStandsAsideUntilItCan() {
+    void aControllerThatCannotReadTheVersionDoesNothingUntilItCan() {
         link.start();
         io.take("/holds").done().accept(ok(Map.of("tenure", 5)));
         list(null);
-        assertTrue(io.isAsked("/multi"), "it enters itself among the live ones");
+        assertTrue(io.isAsked("/multi"), "it registers itself");
         io.take("/multi").done().accept(ok(Map.of("ledger", 11)));
         io.runTimers();
         io.take("/holds/5/touch").done().accept(ok(Map.of()));
@@ -110,7 +110,7 @@
         assertFalse(io.isAsked("/multi"), "it writes nothing");
 
         io.runTimers();
-        assertFalse(io.isAsked("/holds"), "its lease isn't renewed, so that others get its blocks");
+        assertFalse(io.isAsked("/holds"), "its lease isn't renewed, so that others get its partitions");
         list(new ClusterVersion(2, 1));
         assertFalse(replica.loaded());
         io.runTimers();
--- a/src/test/java/garnetscale/controller/WriteRateAllocatorTest.java
+++ b/src/test/java/garnetscale/controller/WriteRateAllocatorTest.java
@@ -10,33 +10,33 @@
 
     private static final double LIMIT = 40;
 
-    private final WriteRateAllocator shares = new WriteRateAllocator(LIMIT);
+    private final WriteRateAllocator rates = new WriteRateAllocator(LIMIT);
 
-    /** With 22% of the limit over all nodes, up or not, half of such submissions were refused. */
+    /** With 22% of the limit for all controllers, live or not, half of such submissions were refused. */
     @Test
-    void aSwarmFindsRoomAtTheNodesThatAreUp() {
-        assertTrue(3 * shares.submissionsPerS(3) > 1.3 * 15);
-        assertTrue(2 * shares.submissionsPerS(2) > 1.3 * 15, "one has crashed");
+    void manySubmissionsFindRoomAtTheLiveControllers() {
+        assertTrue(3 * rates.submissionsPerS(3) > 1.3 * 15);
+        assertTrue(2 * rates.submissionsPerS(2) > 1.3 * 15, "one has crashed");
     }
 
     @Test
     void theLeaderMakesRoomForItAndTakesItBack() {
-        shares.observe(0, 0);
-        assertEquals(0.75 * 0.9 * LIMIT, shares.leaderPerS(), 1e-9);
+        rates.observe(0, 0);
+        assertEquals(0.75 * 0.9 * LIMIT, rates.leaderPerS(), 1e-9);
         for (int i = 1; i <= 4; i++) {
-            shares.observe(500 * i, 8 * i);
+            rates.observe(500 * i, 8 * i);
         }
-        assertTrue(shares.leaderPerS() + 16 <= 0.9 * LIMIT, "both together stay below the limit");
+        assertTrue(rates.leaderPerS() + 16 <= 0.9 * LIMIT, "both together stay below the limit");
         for (int i = 5; i <= 25; i++) {
-            shares.observe(500 * i, 32);
+            rates.observe(500 * i, 32);
         }
-        assertEquals(0.75 * 0.9 * LIMIT, shares.leaderPerS(), 0.1);
+        assertEquals(0.75 * 0.9 * LIMIT, rates.leaderPerS(), 0.1);
     }
 
     /** However many come, what ends and starts has to be written too. */
     @Test
-    void theLeaderKeepsItsLeast() {
-        shares.observe(500, 1000);
-        assertEquals(0.45 * 0.9 * LIMIT, shares.leaderPerS(), 1e-9);
+    void theLeaderKeepsItsMinimum() {
+        rates.observe(500, 1000);
+        assertEquals(0.45 * 0.9 * LIMIT, rates.leaderPerS(), 1e-9);
     }
 }
--- a/src/test/java/garnetscale/core/state/LayoutChangeTest.java
+++ b/src/test/java/garnetscale/core/state/LayoutChangeTest.java
@@ -20,7 +20,7 @@
     private final LargeClusterFixture cluster = new LargeClusterFixture();
     private final StateReplica leader = cluster.leader;
 
-    /** What was stored in several pages before is taken over, whichever of its parts is written first. */
+    /** What was stored in several pages before is converted, whichever of its parts is written first. */
     @Test
     void shardsOfSeveralPagesAreTakenOver() {
         cluster.activate(Layouts.FIRST);
@@ -47,7 +47,7 @@
 
     /**
      * A controller of layout 1 follows entries by consecutive numbers and counts the pages of a shard. The first split is
-     * made to fail both, so that such a controller reads the store anew for ever and never decides anything.
+     * made to fail both, so that such a controller lists the store for ever and never decides anything.
      */
     @Test
     void theFirstLayoutFindsASplitStoreInconsistent() {
@@ -78,6 +78,33 @@
     @Test
     void theFirstLayoutIsRestoredWhenItIsActiveAgain() {
         cluster.fill();
+        List<String> few = shrinkToFewMachines();
+
+        cluster.activate(Layouts.FIRST);
+        convert(few);
+        for (int i = 0; i < 3 * WorkLog.FIRST_CAPACITY; i++) {
+            writeOneOf(few);
+        }
+
+        cluster.assertReadAlike("converted");
+        assertTrue(cluster.fullCount() > 0, "the log was never full");
+        for (KeyChange entry : cluster.list(Keys.LOG)) {
+            assertEquals(LogRingBuffer.firstLayoutKey(LogCodec.numberOf(entry.value())), entry.key());
+        }
+        for (KeyChange page : cluster.list(Keys.SNAPSHOT)) {
+            assertTrue(SnapshotIndex.bucketOf(page.key()).isRoot(), page.key());
+        }
+
+        cluster.activate(Layouts.SPLIT_SNAPSHOT);
+        cluster.fill();
+
+        cluster.assertReadAlike("on again");
+        assertEquals(Layouts.SPLIT_SNAPSHOT, leader.layout());
+        assertEquals(List.of(), cluster.state.oversized());
+    }
+
+    /** Removes all machines and writes 300 of them again, while the snapshot stays split as it was. */
+    private List<String> shrinkToFewMachines() {
         List<String> all = List.copyOf(leader.placedMachines());
         for (int i = 0; i < all.size(); i += MACHINES_IN_ENTRY) {
             cluster.remove(all.subList(i, Math.min(all.size(), i + MACHINES_IN_ENTRY)));
@@ -94,34 +121,30 @@
         }
         // Once round the ring buffer, so that the keys that the first layout uses hold entries of any age.
         for (int i = 4 * leader.log().snapshot().regionCount(); i > 0; i--) {
-            cluster.write(List.of(few.get(cluster.random.nextInt(few.size()))));
+            writeOneOf(few);
         }
-        cluster.activate(Layouts.FIRST);
+        return few;
+    }
+
+    /** Writes until everything is in the first layout, and compares on the way. */
+    private void convert(List<String> few) {
         int steps = 0;
         while (!leader.isConverted()) {
             // Half of the time there is work meanwhile, half of the time the conversion goes on by itself.
-            cluster.write(steps % 2 == 0 ? List.of(few.get(cluster.random.nextInt(few.size()))) : List.of());
+            if (steps % 2 == 0) {
+                writeOneOf(few);
+            } else {
+                cluster.write(List.of());
+            }
             // At first entries are in keys that the first layout would use for others, and are still needed.
             if (++steps < 40 || steps % 25 == 0) {
                 cluster.assertReadAlike("step " + steps);
             }
             assertTrue(steps < 5000, "not converted");
         }
-        for (int i = 0; i < 3 * WorkLog.FIRST_CAPACITY; i++) {
-            cluster.write(List.of(few.get(cluster.random.nextInt(few.size()))));
-        }
-        cluster.assertReadAlike("converted");
-        assertTrue(cluster.fullCount() > 0, "the log was never full");
-        for (KeyChange entry : cluster.list(Keys.LOG)) {
-            assertEquals(LogRingBuffer.firstLayoutKey(LogCodec.numberOf(entry.value())), entry.key());
-        }
-        for (KeyChange page : cluster.list(Keys.SNAPSHOT)) {
-            assertTrue(SnapshotIndex.bucketOf(page.key()).isRoot(), page.key());
-        }
-        cluster.activate(Layouts.SPLIT_SNAPSHOT);
-        cluster.fill();
-        cluster.assertReadAlike("on again");
-        assertEquals(Layouts.SPLIT_SNAPSHOT, leader.layout());
-        assertEquals(List.of(), cluster.state.oversized());
+    }
+
+    private void writeOneOf(List<String> machines) {
+        cluster.write(List.of(machines.get(cluster.random.nextInt(machines.size()))));
     }
 }
--- a/src/test/java/garnetscale/core/state/SnapshotListingTest.java
+++ b/src/test/java/garnetscale/core/state/SnapshotListingTest.java
@@ -12,7 +12,7 @@
 import java.util.TreeSet;
 import org.junit.jupiter.api.Test;
 
-/** Pages of different moments: a part that was written anew is read from the newer bucket, the rest from the older one. */
+/** Pages of different moments: a part that was rewritten is read from the newer bucket, the rest from the older one. */
 class SnapshotListingTest {
 
     private static final Bucket ROOT = Bucket.root(0);
--- a/src/test/java/garnetscale/core/state/SplitSnapshotTest.java
+++ b/src/test/java/garnetscale/core/state/SplitSnapshotTest.java
@@ -34,7 +34,7 @@
         StateReplica follower = cluster.listAtOnce();
         for (int i = 0; i < MACHINES; i += MACHINES_IN_ENTRY) {
             cluster.write(machinesOfEntry(i));
-            // A record that is removed must not come back from a bucket of which only a part was written anew.
+            // A record that is removed must not come back from a bucket of which only a part was rewritten.
             cluster.remove(List.of(machine(cluster.random.nextInt(i + 1))));
             // Between these sizes shards outgrow what one transaction compacts, and are partly split for a while.
             if (i > MACHINES / 5 && i < MACHINES / 2 || i % (10 * MACHINES_IN_ENTRY) == 0) {
