--- a/src/test/java/garnetscale/controller/StateLinkTest.java
+++ b/src/test/java/garnetscale/controller/StateLinkTest.java
@@ -60,15 +60,15 @@
         Map<String, Integer> met = new TreeMap<>();
         for (long seed = 1; seed <= SEEDS; seed++) {
             ScriptedCluster cluster = day(seed);
-            ScriptedCluster.Desk leader = cluster.desks.get(0);
+            ScriptedController leader = cluster.controllers.get(0);
             cluster.at(9400 + cluster.random.nextInt(400), () -> leader.refuse(5000));
             cluster.at(18_400 + cluster.random.nextInt(400), () -> leader.refuse(4000));
             cluster.at(20_000, () -> cluster.failingUntil = cluster.now + 6000);
-            cluster.at(27_500, () -> cluster.desks.get(1).refuse(2000));
+            cluster.at(27_500, () -> cluster.controllers.get(1).refuse(2000));
             cluster.run(40_000);
-            assertEquals(List.of(), cluster.broken, "seed " + seed);
-            cluster.desks.forEach(
-                    desk -> assertTrue(cluster.now - desk.confirmedAt < 2000, "confirmed again once all is well"));
+            assertEquals(List.of(), cluster.violations, "seed " + seed);
+            cluster.controllers.forEach(controller ->
+                    assertTrue(cluster.now - controller.confirmedAt < 2000, "confirmed again once all is well"));
             cluster.met.forEach((what, times) -> met.merge(what, times, Integer::sum));
         }
         for (String what : List.of("a watch hung open through a refusal", "listed in several pages", "lease lost")) {
