--- a/src/main/java/garnetscale/controller/ReplicaListing.java
+++ b/src/main/java/garnetscale/controller/ReplicaListing.java
@@ -3,6 +3,7 @@
 import garnetscale.core.state.KeyChange;
 import garnetscale.core.state.Keys;
 import garnetscale.core.state.StateReplica;
+import garnetscale.net.HttpStatus;
 import garnetscale.wire.StateCodec;
 import io.netty.handler.codec.http.HttpMethod;
 import java.io.IOException;
@@ -62,7 +63,7 @@
         String path = StateCodec.listingPath(Keys.MIRRORED, PAGE_KEYS, since);
         long sentAt = connection.now();
         connection.call(HttpMethod.GET, path, null, PAGE_TIMEOUT_MS, result -> {
-            if (!result.is(200)) {
+            if (!result.is(HttpStatus.OK)) {
                 connection.onFailed("listing", result);
                 connection.retryAfter(RETRY_MS, () -> listPage(since, listed, revision));
                 return;
--- a/src/main/java/garnetscale/controller/ReplicaWatch.java
+++ b/src/main/java/garnetscale/controller/ReplicaWatch.java
@@ -3,6 +3,7 @@
 import garnetscale.core.state.Keys;
 import garnetscale.core.state.StateReplica;
 import garnetscale.net.HttpResult;
+import garnetscale.net.HttpStatus;
 import garnetscale.net.TokenBucket;
 import garnetscale.wire.StateCodec;
 import io.netty.handler.codec.http.HttpMethod;
@@ -27,6 +28,8 @@
     private static final long WATCH_TIMEOUT_MS = WATCH_MS + StateConnection.TIMEOUT_MS;
     private static final long WATCH_RETRY_MS = 300;
     private static final long SYNC_TIMEOUT_MS = 1500;
+    /** The service no longer has the changes since the revision that was asked for. */
+    private static final int GONE = 410;
 
     private final StateConnection connection;
     private final StateReplica replica;
@@ -142,14 +145,14 @@
         String path = StateCodec.watchPath(Keys.MIRRORED, replica.revision(), waitMs);
         connection.call(HttpMethod.GET, path, null, timeoutMs, result -> {
             // Too old, or more than this process takes at once: a listing comes in pages.
-            if (result.is(410) || result.outcome() == HttpResult.Outcome.TOO_LONG) {
+            if (result.is(GONE) || result.outcome() == HttpResult.Outcome.TOO_LONG) {
                 if (!listing.isRunning()) {
                     listing.start();
                 }
                 done.accept(false);
                 return;
             }
-            if (!result.is(200)) {
+            if (!result.is(HttpStatus.OK)) {
                 connection.onFailed("watch", result);
                 done.accept(false);
                 return;
--- a/src/main/java/garnetscale/controller/SessionLease.java
+++ b/src/main/java/garnetscale/controller/SessionLease.java
@@ -8,6 +8,7 @@
 import garnetscale.core.state.Transaction;
 import garnetscale.core.state.TransactionOutcome;
 import garnetscale.net.HttpResult;
+import garnetscale.net.HttpStatus;
 import garnetscale.wire.StateCodec;
 import io.netty.handler.codec.http.HttpMethod;
 import java.io.IOException;
@@ -60,7 +61,7 @@
     }
 
     private void onAcquired(HttpResult result) {
-        if (!result.is(200)) {
+        if (!result.is(HttpStatus.OK)) {
             connection.onFailed("lease", result);
             connection.retryAfter(RETRY_MS, this::acquire);
             return;
@@ -134,9 +135,9 @@
         if (renewed != lease) {
             return;
         }
-        if (result.is(404)) {
+        if (result.is(HttpStatus.NOT_FOUND)) {
             onExpired();
-        } else if (result.is(200)) {
+        } else if (result.is(HttpStatus.OK)) {
             connection.onAnswered();
         } else {
             connection.onFailed("keep-alive", result);
--- a/src/main/java/garnetscale/controller/StateReads.java
+++ b/src/main/java/garnetscale/controller/StateReads.java
@@ -2,6 +2,7 @@
 
 import garnetscale.core.state.Transaction;
 import garnetscale.net.HttpResult;
+import garnetscale.net.HttpStatus;
 import garnetscale.net.TokenBucket;
 import garnetscale.wire.StateCodec;
 import io.netty.handler.codec.http.HttpMethod;
@@ -60,7 +61,10 @@
 
     private static void onPresence(HttpResult result, Consumer<Set<String>> done) {
         try {
-            done.accept(result.is(200) ? Set.of() : result.is(409) ? StateCodec.failed(result.body()) : null);
+            done.accept(
+                    result.is(HttpStatus.OK)
+                            ? Set.of()
+                            : result.is(HttpStatus.CONFLICT) ? StateCodec.failed(result.body()) : null);
         } catch (IOException e) {
             done.accept(null);
         }
@@ -75,10 +79,10 @@
 
     private static void onValue(HttpResult result, BiConsumer<Boolean, Object> done) {
         try {
-            if (result.is(200)) {
+            if (result.is(HttpStatus.OK)) {
                 done.accept(true, StateCodec.value(result.body()));
             } else {
-                done.accept(result.is(404), null);
+                done.accept(result.is(HttpStatus.NOT_FOUND), null);
             }
         } catch (IOException e) {
             done.accept(false, null);
--- a/src/main/java/garnetscale/controller/StateTransactions.java
+++ b/src/main/java/garnetscale/controller/StateTransactions.java
@@ -5,6 +5,7 @@
 import garnetscale.core.state.Transaction;
 import garnetscale.core.state.TransactionOutcome;
 import garnetscale.net.HttpResult;
+import garnetscale.net.HttpStatus;
 import garnetscale.net.TokenBucket;
 import garnetscale.wire.StateCodec;
 import io.netty.handler.codec.http.HttpMethod;
@@ -25,6 +26,8 @@
     private static final double LEADER_BURST_S = 0.8;
 
     private static final double SUBMISSIONS_BURST_S = 1.6;
+    /** The service refuses a request over its limit. */
+    private static final int TOO_MANY_REQUESTS = 429;
     /** Instead of a revision where there is none. */
     private static final long NO_REVISION = -1;
 
@@ -102,13 +105,13 @@
 
     private void onResult(Transaction transaction, HttpResult result, BiConsumer<TransactionOutcome, Long> done)
             throws IOException {
-        if (result.is(200)) {
+        if (result.is(HttpStatus.OK)) {
             connection.onAnswered();
             done.accept(TransactionOutcome.OK, StateCodec.revision(result.body()));
-        } else if (result.is(409)) {
+        } else if (result.is(HttpStatus.CONFLICT)) {
             connection.onAnswered();
             done.accept(TransactionOutcome.CONFLICT, StateCodec.revision(result.body()));
-        } else if (result.is(400)) {
+        } else if (result.is(HttpStatus.BAD_REQUEST)) {
             LOG.debug("transaction names a lease that has expired or is malformed, transaction={}", transaction);
             done.accept(TransactionOutcome.NO_LEASE, NO_REVISION);
         } else if (result.outcome() == HttpResult.Outcome.NO_ANSWER || result.maybe()) {
@@ -121,7 +124,7 @@
     }
 
     private void onRefused(HttpResult result) {
-        if (result.is(429)) {
+        if (result.is(TOO_MANY_REQUESTS)) {
             LOG.debug("state service refuses a transaction over its limit");
         } else {
             connection.onFailed("transaction", result);
