--- a/src/test/java/garnetscale/core/state/SplitSnapshotTest.java
+++ b/src/test/java/garnetscale/core/state/SplitSnapshotTest.java
@@ -11,6 +11,7 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import garnetscale.core.machine.Placement;
 import garnetscale.core.upgrade.ClusterVersion;
 import garnetscale.core.upgrade.VersionRange;
 import garnetscale.emulator.StateModel;
@@ -177,9 +178,19 @@
             placements.put(
                     machine,
                     replica.placements(machine).stream()
-                            .map(p -> p.task() + " " + p.attempt() + " " + p.agentEpoch() + " " + p.stop())
+                            .map(placement -> placement.task() + " " + placement.attempt() + " "
+                                    + placement.agentEpoch() + " " + keptWord(placement.stop()))
                             .toList());
         }
         return placements;
     }
+
+    /** The word for a stop in the kept file, which the program before wrote with the names of its own constants. */
+    private static String keptWord(Placement.Stop stop) {
+        return switch (stop) {
+            case KEEP -> "KEEP";
+            case CHECKPOINT -> "SAVE";
+            case NOW -> "NOW";
+        };
+    }
 }
