--- a/src/main/java/garnetscale/core/autoscaling/Capacity.java
+++ b/src/main/java/garnetscale/core/autoscaling/Capacity.java
@@ -5,42 +5,42 @@
 import garnetscale.core.machine.MachineType;
 import garnetscale.core.queue.JobQueue;
 
-/** A machine that is there, on its way, or only thought of, with the room that is left on it. */
+/** A machine that exists, is booting or is only planned, with the resources that the demand has left free on it. */
 final class Capacity {
 
     final String id;
     final MachineType type;
     final String zone;
     final boolean spot;
-    final FreeCapacity room;
-    /** Whether the demand at hand puts anything on it. */
+    final FreeCapacity free;
+    /** Whether placements or the present demand use any of it. */
     boolean used;
 
-    Capacity(String id, MachineType type, String zone, boolean spot, FreeCapacity room) {
+    Capacity(String id, MachineType type, String zone, boolean spot, FreeCapacity free) {
         this.id = id;
         this.type = type;
         this.zone = zone;
         this.spot = spot;
-        this.room = room;
+        this.free = free;
     }
 
     boolean allows(JobSpec job) {
         return JobQueue.allows(type, zone, spot, job);
     }
 
-    /** Whether not even a task of so few CPUs finds room. */
+    /** Whether fewer than {@code cpus} CPUs are free. */
     boolean isFull(double cpus) {
-        return room.cpus() + MachineType.EPSILON < cpus;
+        return free.cpus() + MachineType.EPSILON < cpus;
     }
 
-    /** Puts up to so many tasks on it; returns how many. */
+    /** Reserves resources for up to {@code tasks} tasks of the job; returns for how many. */
     int fill(JobSpec job, int tasks) {
         if (!allows(job)) {
             return 0;
         }
-        int n = Math.min(tasks, room.slots(job));
-        room.take(job, n);
-        used |= n > 0;
-        return n;
+        int filled = Math.min(tasks, free.slots(job));
+        free.take(job, filled);
+        used |= filled > 0;
+        return filled;
     }
 }
--- /dev/null
+++ b/src/main/java/garnetscale/core/autoscaling/IdleInstances.java
@@ -0,0 +1,55 @@
+package garnetscale.core.autoscaling;
+
+import garnetscale.core.partition.MachineStatus;
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.function.Consumer;
+
+/** Scales in machines that the demand hasn't used for several boot times, so that bursts don't make machines come and go. */
+final class IdleInstances {
+
+    private static final double IDLE_BASE_S = 60;
+    private static final double IDLE_BOOTS = 4;
+    /** One call deletes one machine and this part of all, since other calls wait meanwhile. */
+    private static final int PART_PER_CALL = 64;
+
+    private final Consumer<String> log;
+    private final Map<String, Long> idleSince = new HashMap<>();
+
+    IdleInstances(Consumer<String> log) {
+        this.log = log;
+    }
+
+    void clear() {
+        idleSince.clear();
+    }
+
+    void onDeleted(List<String> ids) {
+        for (String id : ids) {
+            idleSince.remove(id);
+        }
+    }
+
+    /** Deletes the machines that have been idle longest, or null; {@code capacity} is marked with what the demand uses. */
+    CloudCall next(long now, List<Capacity> capacity, Map<String, MachineStatus> statuses) {
+        List<String> idle = new ArrayList<>();
+        for (Capacity machine : capacity) {
+            if (machine.used || !statuses.containsKey(machine.id)) {
+                idleSince.remove(machine.id);
+            } else if (now - idleSince.computeIfAbsent(machine.id, id -> now)
+                    > 1000 * (IDLE_BASE_S + IDLE_BOOTS * machine.type.bootS())) {
+                idle.add(machine.id);
+            }
+        }
+        if (idle.isEmpty()) {
+            return null;
+        }
+        idle.sort(Comparator.comparing(idleSince::get));
+        List<String> chosen = List.copyOf(idle.subList(0, Math.min(idle.size(), 1 + statuses.size() / PART_PER_CALL)));
+        log.accept("scaling in idle machines, machines=" + String.join(",", chosen));
+        return new CloudCall.ScaleIn(chosen);
+    }
+}
--- /dev/null
+++ b/src/main/java/garnetscale/core/autoscaling/InstanceList.java
@@ -0,0 +1,181 @@
+package garnetscale.core.autoscaling;
+
+import garnetscale.core.SchedulerConfig;
+import garnetscale.core.Times;
+import garnetscale.core.machine.MachineAddress;
+import java.util.ArrayDeque;
+import java.util.ArrayList;
+import java.util.Collection;
+import java.util.Deque;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import java.util.TreeMap;
+
+/** The cloud's instances: those of its last complete list, those launched since, and those that left the list. */
+final class InstanceList {
+
+    private static final long MIN_LIST_INTERVAL_MS = 2000;
+
+    private final SchedulerConfig config;
+    private final Map<String, CloudInstance> listed = new TreeMap<>();
+    private final Map<String, Long> firstListedAt = new HashMap<>();
+    /** Launched by this leader and not listed yet. */
+    private final Map<String, CloudInstance> launched = new LinkedHashMap<>();
+
+    private final Map<String, Long> launchedAt = new HashMap<>();
+    private final Set<String> deleted = new HashSet<>();
+    private final Map<String, Long> unlistedSince = new HashMap<>();
+    private final Deque<CloudCall> pageRequests = new ArrayDeque<>();
+    private List<CloudInstance> pages = new ArrayList<>();
+    private boolean everListed;
+    private long listRequestedAt = Times.NEVER;
+    private long startedAt;
+
+    InstanceList(SchedulerConfig config) {
+        this.config = config;
+    }
+
+    /** Forgets everything: a new leader knows only what it lists itself. */
+    void start(long now) {
+        startedAt = now;
+        listed.clear();
+        firstListedAt.clear();
+        launched.clear();
+        launchedAt.clear();
+        deleted.clear();
+        unlistedSince.clear();
+        pageRequests.clear();
+        pages = new ArrayList<>();
+        everListed = false;
+        listRequestedAt = Times.NEVER;
+    }
+
+    /** The request for the next page of the list that is being read, or null. */
+    CloudCall nextPageRequest() {
+        return pageRequests.poll();
+    }
+
+    /** Whether the list is to be read again. */
+    boolean isListDue(long now) {
+        return now - listRequestedAt > Math.max(MIN_LIST_INTERVAL_MS, config.listLagMs() / 2);
+    }
+
+    /** The request for the first page; the pages of an unfinished list are dropped. */
+    CloudCall listRequest(long now) {
+        listRequestedAt = now;
+        pages = new ArrayList<>();
+        return new CloudCall.ListInstances("");
+    }
+
+    /** Whether this leader has read a complete list. */
+    boolean everListed() {
+        return everListed;
+    }
+
+    /** Adds a page; when it completes the list, returns the instances that the list before still had. */
+    Collection<CloudInstance> onPage(long now, List<CloudInstance> page, boolean more) {
+        pages.addAll(page);
+        if (more && !page.isEmpty()) {
+            pageRequests.addFirst(
+                    new CloudCall.ListInstances(page.get(page.size() - 1).id()));
+            return List.of();
+        }
+        everListed = true;
+        Map<String, CloudInstance> dropped = new HashMap<>(listed);
+        listed.clear();
+        for (CloudInstance instance : pages) {
+            if (!deleted.contains(instance.id())) {
+                listed.put(instance.id(), instance);
+                firstListedAt.putIfAbsent(instance.id(), now);
+                launched.remove(instance.id());
+            }
+        }
+        dropped.keySet().removeAll(listed.keySet());
+        for (String id : dropped.keySet()) {
+            unlistedSince.putIfAbsent(id, now);
+        }
+        unlistedSince.keySet().removeAll(listed.keySet());
+        launched.keySet().removeIf(id -> now - launchedAt.get(id) > 3 * config.listLagMs() + 60_000);
+        return dropped.values();
+    }
+
+    void onLaunched(long now, CloudInstance instance) {
+        launched.put(instance.id(), instance);
+        launchedAt.put(instance.id(), now);
+    }
+
+    void onDeleted(List<String> ids) {
+        deleted.addAll(ids);
+        for (String id : ids) {
+            listed.remove(id);
+            launched.remove(id);
+        }
+    }
+
+    /** Instances of the last complete list that haven't been deleted, by id. */
+    Collection<CloudInstance> listed() {
+        return listed.values();
+    }
+
+    /** Instances that were launched and that no list has shown yet, in the order of their launch. */
+    Collection<CloudInstance> launched() {
+        return launched.values();
+    }
+
+    boolean isDeleted(String id) {
+        return deleted.contains(id);
+    }
+
+    /** Seconds since the launch of a listed instance. */
+    double ageS(long now, CloudInstance instance) {
+        return instance.ageS() + (now - firstListedAt.getOrDefault(instance.id(), now)) / 1000.0;
+    }
+
+    /**
+     * Whether an instance has left the list for good. This tells a wave of preempted spot instances from a network partition:
+     * to delete a terminated instance costs nothing and frees its placements at once, where a new partition owner would wait
+     * until the fence has passed. Lists are delayed and one may be older than the one before it, hence the time.
+     */
+    boolean isUnlisted(long now, String id) {
+        if (listed.containsKey(id) || launched.containsKey(id)) {
+            return false;
+        }
+        Long since = unlistedSince.get(id);
+        return since != null ? now - since > config.listLagMs() : now - startedAt > 4 * config.listLagMs();
+    }
+
+    /** Removes and returns the instances that left the list so long ago that their agent must have stopped its tasks. */
+    List<String> takeVanished(long now, Set<String> heartbeating) {
+        List<String> ids = new ArrayList<>();
+        unlistedSince.forEach((id, since) -> {
+            if (!heartbeating.contains(id) && now - since > 2 * config.fenceMs() + 10 * config.listLagMs()) {
+                ids.add(id);
+            }
+        });
+        ids.forEach(unlistedSince::remove);
+        return ids;
+    }
+
+    /** Running instances with their addresses, by id. */
+    List<MachineAddress> addresses() {
+        List<MachineAddress> addresses = new ArrayList<>();
+        for (CloudInstance instance : listed.values()) {
+            if (!instance.address().isEmpty() && instance.state() == CloudInstance.State.RUNNING) {
+                addresses.add(new MachineAddress(instance.id(), instance.address(), instance.zone()));
+            }
+        }
+        return addresses;
+    }
+
+    /** Ids of the instances that the cloud lists as failed. */
+    List<String> failed() {
+        return listed.values().stream()
+                .filter(instance -> instance.state() == CloudInstance.State.FAILED)
+                .map(CloudInstance::id)
+                .toList();
+    }
+}
--- /dev/null
+++ b/src/main/java/garnetscale/core/autoscaling/Offerings.java
@@ -0,0 +1,98 @@
+package garnetscale.core.autoscaling;
+
+import garnetscale.core.job.JobSpec;
+import garnetscale.core.machine.FreeCapacity;
+import garnetscale.core.machine.MachineType;
+import garnetscale.core.queue.JobQueue;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+
+/** The machine types and prices that the cloud offers, less the offerings that it has refused lately. */
+final class Offerings {
+
+    /** The longest backoff, as a number of calls at their rate and as a time. */
+    private static final int MAX_BACKOFF_CALLS = 40;
+
+    private static final long MAX_BACKOFF_MS = 30_000;
+    private static final long FIRST_BACKOFF_MS = 4000;
+    /** The backoff is doubled at most so many times. */
+    private static final int MAX_DOUBLINGS = 3;
+
+    private static final class Backoff {
+        long until;
+        int refusals;
+    }
+
+    private final long maxBackoffMs;
+    private final Map<Offering, Backoff> refused = new HashMap<>();
+    private List<MachineType> types = List.of();
+
+    /** {@code callSpacingMs}: the time between two calls to the cloud. */
+    Offerings(long callSpacingMs) {
+        maxBackoffMs = Math.min(MAX_BACKOFF_MS, MAX_BACKOFF_CALLS * callSpacingMs);
+    }
+
+    void onTypes(List<MachineType> current) {
+        types = current;
+    }
+
+    boolean isEmpty() {
+        return types.isEmpty();
+    }
+
+    /** The type of that name, or null. */
+    MachineType type(String name) {
+        for (MachineType type : types) {
+            if (type.name().equals(name)) {
+                return type;
+            }
+        }
+        return null;
+    }
+
+    /** Backs off from an offering that the cloud had no capacity for; returns whether it is the first refusal in a row. */
+    boolean refuse(long now, Offering offering) {
+        Backoff backoff = refused.computeIfAbsent(offering, key -> new Backoff());
+        backoff.refusals++;
+        backoff.until = now + Math.min(maxBackoffMs, FIRST_BACKOFF_MS << Math.min(MAX_DOUBLINGS, backoff.refusals - 1));
+        return backoff.refusals == 1;
+    }
+
+    /** Ends the backoff from an offering: there is capacity again. */
+    void admit(Offering offering) {
+        refused.remove(offering);
+    }
+
+    /**
+     * The offering that runs {@code tasks} tasks of the job at the lowest cost per task, or null; slow boots count as dearer. Of
+     * equals the first, by the cloud's order of types and zones, spot before on demand.
+     */
+    Offering cheapest(long now, JobSpec job, int tasks) {
+        Offering best = null;
+        double bestCost = Double.MAX_VALUE;
+        for (MachineType type : types) {
+            for (String zone : type.zones()) {
+                for (boolean spot : new boolean[] {true, false}) {
+                    Offering offering = new Offering(type.name(), zone, spot);
+                    Backoff backoff = refused.get(offering);
+                    boolean open = backoff == null || now >= backoff.until;
+                    int slots = new FreeCapacity(type).slots(job);
+                    if (open && slots > 0 && JobQueue.allows(type, zone, spot, job)) {
+                        double cost = costPerTask(type, spot, Math.min(slots, tasks));
+                        if (cost < bestCost) {
+                            bestCost = cost;
+                            best = offering;
+                        }
+                    }
+                }
+            }
+        }
+        return best;
+    }
+
+    private static double costPerTask(MachineType type, boolean spot, int tasks) {
+        double price = spot ? type.spotPrice() : type.price();
+        return price / tasks * (1 + type.bootS() / 60);
+    }
+}
