--- a/src/main/java/garnetscale/config/Settings.java
+++ b/src/main/java/garnetscale/config/Settings.java
@@ -173,7 +173,7 @@
             List<SchedulerConfig.ServiceLevelObjective> list = new ArrayList<>();
             for (Object o : list(facts, "objectives")) {
                 list.add(new SchedulerConfig.ServiceLevelObjective(
-                        textOrEmpty(o, "kind"),
+                        objectiveKind(textOrEmpty(o, "kind")),
                         textOrEmpty(o, "class"),
                         numberOr0(o, "within_s"),
                         numberOr0(o, "share"),
@@ -182,6 +182,17 @@
             return List.copyOf(list);
         }
 
+        /** Kinds that this version doesn't know are accepted, and nothing is done for them. */
+        private static SchedulerConfig.ObjectiveKind objectiveKind(String word) {
+            return switch (word) {
+                case "wait" -> SchedulerConfig.ObjectiveKind.START;
+                case "finished" -> SchedulerConfig.ObjectiveKind.COMPLETION;
+                case "deadline" -> SchedulerConfig.ObjectiveKind.DEADLINE;
+                case "guarantee" -> SchedulerConfig.ObjectiveKind.GUARANTEE;
+                default -> SchedulerConfig.ObjectiveKind.OTHER;
+            };
+        }
+
         /** In the settings 0 means none, and a limit that is none limits nothing. */
         private double limit(Object node, String at, String key) {
             double v = atLeast0(node, at, key);
--- a/src/main/java/garnetscale/core/Features.java
+++ b/src/main/java/garnetscale/core/Features.java
@@ -5,14 +5,14 @@
 import garnetscale.core.upgrade.VersionRange;
 
 /**
- * What operators switch on. All is off where nothing is said.
+ * Features that operators can switch on; all are off by default. docs/operations.md describes the file that they are read from.
  *
- * @param activatesWhenNeeded whether the leader activates the next version of what is stored by itself, once the present one is
- *     about to be too small
- * @param settle            how long every live controller must have been there before a version is activated, in worker leases
- * @param layouts           the versions of what is stored that this controller takes part in
- * @param sharedSocketsFrom the share of sockets in use from which workers give theirs back after each answer;
- *     {@link #NEVER} to let them keep theirs
+ * @param activatesWhenNeeded whether the leader activates the next layout version by itself, once more is stored than the
+ *     active one can hold
+ * @param settle            how long every live controller must have been up before a version is activated, in worker leases
+ * @param layouts           the layout versions that this controller supports
+ * @param sharedSocketsFrom the share of connections in use, from 0 to 1, from which workers close theirs after each answer;
+ *     {@link #NEVER} to keep them open
  * @param balance           load balancing
  */
 public record Features(
@@ -22,10 +22,10 @@
         double sharedSocketsFrom,
         BalanceSettings balance) {
 
-    /** No share of sockets is as large as this. */
+    /** No share of connections is as large as this. */
     public static final double NEVER = Double.POSITIVE_INFINITY;
 
-    /** Worker leases that a controller must have been there for, where nothing is said. */
+    /** The default of {@link #settle}. */
     public static final double SETTLE = 2;
 
     /** Everything off. */
--- a/src/main/java/garnetscale/core/leader/Balancer.java
+++ b/src/main/java/garnetscale/core/leader/Balancer.java
@@ -87,7 +87,7 @@
         this.observer = new LoadObserver(config, replica, auction, estimator);
         this.budget = new MoveBudget(settings.moving(), config.leaseMs());
         for (SchedulerConfig.ServiceLevelObjective objective : config.objectives()) {
-            if (objective.kind().equals("wait")) {
+            if (objective.kind() == SchedulerConfig.ObjectiveKind.START) {
                 mustStartSoon.add(objective.jobClass());
             }
         }
--- a/src/main/java/garnetscale/core/leader/HeadroomReserve.java
+++ b/src/main/java/garnetscale/core/leader/HeadroomReserve.java
@@ -36,9 +36,10 @@
     HeadroomReserve(SchedulerConfig config) {
         aheadS = 3 * config.heartbeatIntervalMs() / 1000.0;
         for (SchedulerConfig.ServiceLevelObjective o : config.objectives()) {
-            if (o.kind().equals("wait") && o.withinS() * 1000 <= 2 * config.heartbeatIntervalMs()) {
+            if (o.kind() == SchedulerConfig.ObjectiveKind.START
+                    && o.withinS() * 1000 <= 2 * config.heartbeatIntervalMs()) {
                 tight.put(o.jobClass(), o.withinS());
-            } else if (o.kind().equals("finished")) {
+            } else if (o.kind() == SchedulerConfig.ObjectiveKind.COMPLETION) {
                 patience.merge(o.jobClass(), o.withinS() / 6, Math::min);
             }
         }
--- a/src/main/java/garnetscale/core/queue/JobOrder.java
+++ b/src/main/java/garnetscale/core/queue/JobOrder.java
@@ -35,7 +35,7 @@
     public JobOrder(SchedulerConfig config) {
         patienceS = PATIENCE * config.cancelMs() / 1000.0;
         for (SchedulerConfig.ServiceLevelObjective o : config.objectives()) {
-            if (o.kind().equals("deadline")) {
+            if (o.kind() == SchedulerConfig.ObjectiveKind.DEADLINE) {
                 due.put(o.jobClass(), o);
             }
         }
--- a/src/main/java/garnetscale/core/queue/ScarceTypeFilter.java
+++ b/src/main/java/garnetscale/core/queue/ScarceTypeFilter.java
@@ -32,7 +32,7 @@
 
     public ScarceTypeFilter(SchedulerConfig config) {
         for (SchedulerConfig.ServiceLevelObjective o : config.objectives()) {
-            if (o.kind().equals("wait")) {
+            if (o.kind() == SchedulerConfig.ObjectiveKind.START) {
                 patienceS.merge(o.jobClass(), PATIENCE * o.withinS(), Math::min);
             }
         }
--- a/src/main/java/garnetscale/core/quota/QuotaUsage.java
+++ b/src/main/java/garnetscale/core/quota/QuotaUsage.java
@@ -9,19 +9,27 @@
 import java.util.Map;
 
 /**
- * What each team uses. A task counts from its award until it is freed on proof, so also while it fetches, saves
- * or can't be reached: the limit holds for what may be running, not for what is known to run.
+ * CPUs and GPUs that each team uses. A task counts from its award until its placement is freed on proof, so also while it
+ * fetches its image, writes a checkpoint or can't be reached: the limit holds for what may be running, not for what is known
+ * to run.
  */
 public final class QuotaUsage {
 
+    /** Resources of one team's placements. */
+    private static final class Usage {
+        double cpus;
+        double gpus;
+    }
+
     private final Map<String, SchedulerConfig.Team> teams;
-    private final Map<String, double[]> used = new HashMap<>();
+    private final Map<String, Usage> usageByTeam = new HashMap<>();
 
+    /** Nothing is used yet; {@code teams} have their guarantees and limits, by name. */
     public QuotaUsage(Map<String, SchedulerConfig.Team> teams) {
         this.teams = teams;
     }
 
-    /** Counts every placement that the replica holds. */
+    /** Counts every placement in the replica. */
     public static QuotaUsage of(SchedulerConfig config, StateReplica replica) {
         QuotaUsage usage = new QuotaUsage(config.teams());
         for (JobView job : replica.jobs()) {
@@ -30,13 +38,14 @@
         return usage;
     }
 
+    /** Counts {@code tasks} more tasks of the job; a negative number frees them. */
     public void add(JobSpec job, int tasks) {
-        double[] u = used.computeIfAbsent(job.team(), k -> new double[2]);
-        u[0] += tasks * job.cpus();
-        u[1] += tasks * job.gpus();
+        Usage usage = usageByTeam.computeIfAbsent(job.team(), team -> new Usage());
+        usage.cpus += tasks * job.cpus();
+        usage.gpus += tasks * job.gpus();
     }
 
-    /** Whether one more task of the job stays within its team's limit. */
+    /** Whether one more task of the job stays within its team's limit; false for an unknown team. */
     public boolean allows(JobSpec job) {
         SchedulerConfig.Team team = teams.get(job.team());
         if (team == null) {
@@ -46,7 +55,7 @@
                 && gpus(job.team()) + job.gpus() <= team.gpusMax() + MachineType.EPSILON;
     }
 
-    /** Whether the job's team uses more than its guarantee, so that it has to give back what others need. */
+    /** Whether the job's team uses more than its guarantee, so that its tasks may be preempted for other teams. */
     public boolean borrows(JobSpec job) {
         SchedulerConfig.Team team = teams.get(job.team());
         return team != null
@@ -54,7 +63,7 @@
                         || gpus(job.team()) > team.gpus() + MachineType.EPSILON);
     }
 
-    /** Whether one more task of the job is within what its team is guaranteed. */
+    /** Whether one more task of the job is within its team's guarantee. */
     public boolean guarantees(JobSpec job) {
         SchedulerConfig.Team team = teams.get(job.team());
         return team != null
@@ -62,13 +71,15 @@
                 && (job.gpus() == 0 || gpus(job.team()) + job.gpus() <= team.gpus() + MachineType.EPSILON);
     }
 
+    /** CPUs that the team uses. */
     public double cpus(String team) {
-        double[] u = used.get(team);
-        return u == null ? 0 : u[0];
+        Usage usage = usageByTeam.get(team);
+        return usage == null ? 0 : usage.cpus;
     }
 
+    /** GPUs that the team uses. */
     public double gpus(String team) {
-        double[] u = used.get(team);
-        return u == null ? 0 : u[1];
+        Usage usage = usageByTeam.get(team);
+        return usage == null ? 0 : usage.gpus;
     }
 }
--- a/src/test/java/garnetscale/core/queue/JobOrderTest.java
+++ b/src/test/java/garnetscale/core/queue/JobOrderTest.java
@@ -41,7 +41,8 @@
         m.reset(jobs, 1);
         JobOrder order = new JobOrder(TestConfig.small()
                 .controllers(List.of())
-                .objectives(new SchedulerConfig.ServiceLevelObjective("deadline", "c", 0, 0.9, 1))
+                .objectives(new SchedulerConfig.ServiceLevelObjective(
+                        SchedulerConfig.ObjectiveKind.DEADLINE, "c", 0, 0.9, 1))
                 .workers(1000, 10_000, CANCEL_MS)
                 .build());
         return JobQueue.sort(m.jobs(), order, nowMs).stream()
--- a/src/test/java/garnetscale/core/sim/ClusterShape.java
+++ b/src/test/java/garnetscale/core/sim/ClusterShape.java
@@ -38,7 +38,7 @@
                 workers,
                 valueBytes,
                 List.of(SimulatedCluster.TYPE),
-                List.of(new SchedulerConfig.ServiceLevelObjective("wait", "c", 2, 0.9, 0)),
+                List.of(new SchedulerConfig.ServiceLevelObjective(SchedulerConfig.ObjectiveKind.START, "c", 2, 0.9, 0)),
                 4.0 * workers,
                 Math.floor(2.7 * workers),
                 BalanceSettings.OFF);
--- a/src/test/java/garnetscale/core/trace/TraceRunner.java
+++ b/src/test/java/garnetscale/core/trace/TraceRunner.java
@@ -93,7 +93,8 @@
                 .teams(
                         new SchedulerConfig.Team("red", 8, 12, 0, Double.POSITIVE_INFINITY),
                         new SchedulerConfig.Team("blue", 8, Double.POSITIVE_INFINITY, 0, 1))
-                .objectives(new SchedulerConfig.ServiceLevelObjective("wait", "c", 2, 0.9, 0))
+                .objectives(
+                        new SchedulerConfig.ServiceLevelObjective(SchedulerConfig.ObjectiveKind.START, "c", 2, 0.9, 0))
                 .build();
     }
 
