--- a/src/main/java/garnetscale/core/balance/BalanceSettings.java
+++ b/src/main/java/garnetscale/core/balance/BalanceSettings.java
@@ -1,18 +1,18 @@
 package garnetscale.core.balance;
 
 /**
- * What operators set of load balancing, in the table {@code balance} of the features file.
+ * The operators' settings of load balancing, from the table {@code balance} of the features file.
  *
  * @param enabled whether equal bids are ordered by load and running tasks are moved
- * @param margin  by what part of the disruption a move's gain has to exceed it
- * @param moving  the part of the placed tasks that may be stopping at a time, whatever they are stopped for
+ * @param margin  a move's gain has to exceed its disruption by this part of it
+ * @param moving  the part of the placed tasks that may be stopping at a time, for whatever reason
  */
 public record BalanceSettings(boolean enabled, double margin, double moving) {
 
-    /** The margin where nothing is said. */
+    /** The default of {@link #margin}. */
     public static final double MARGIN = 0.5;
 
-    /** The part that may be stopping where nothing is said. */
+    /** The default of {@link #moving}. */
     public static final double MOVING = 0.02;
 
     /** Switched off. */
--- a/src/main/java/garnetscale/core/balance/GroupLoad.java
+++ b/src/main/java/garnetscale/core/balance/GroupLoad.java
@@ -1,12 +1,12 @@
 package garnetscale.core.balance;
 
 /**
- * A group's sums and its smoothed utilization. Between two changes the utilization is constant, so that the exponential average
- * at any time follows exactly from its value at the last change.
+ * A group's totals and its smoothed utilization. Between two changes the utilization is constant, so that its exponential
+ * moving average at any time follows exactly from the average at the last change.
  *
- * @param totals        the sums since the last change
+ * @param totals        the totals since the last change
  * @param smoothedThen  the average at the time of the last change
- * @param changedAt     when the sums last changed, in milliseconds
+ * @param changedAt     when the totals last changed, in milliseconds
  */
 public record GroupLoad(GroupTotals totals, double smoothedThen, long changedAt) {
 
@@ -17,6 +17,7 @@
         return utilization + (smoothedThen - utilization) * weight;
     }
 
+    /** The load from {@code now} on, with other totals. */
     GroupLoad withTotals(long now, GroupTotals next, double timeConstantMs) {
         return new GroupLoad(next, smoothed(now, timeConstantMs), now);
     }
--- a/src/main/java/garnetscale/core/balance/GroupTotals.java
+++ b/src/main/java/garnetscale/core/balance/GroupTotals.java
@@ -5,12 +5,12 @@
 import org.pcollections.PMap;
 
 /**
- * Sums over the machines of a group. Capacity and use count serving machines alone, in thousandths of a CPU.
+ * Totals over the machines of a group. Capacity and use are those of serving machines alone, in thousandths of a CPU.
  *
  * @param machines all machines of the group
- * @param serving  those that take work
- * @param unknown  how many machines' load isn't known, by reason; a reason without machines isn't in it
- * @param usedBy   what is placed on serving machines, by team; a team without any isn't in it
+ * @param serving  those that take new tasks
+ * @param unknown  the number of machines whose load is unknown, by reason; reasons without machines are absent
+ * @param usedBy   what placements on serving machines use, by team; teams without any are absent
  */
 public record GroupTotals(
         int machines,
@@ -22,7 +22,7 @@
 
     static final GroupTotals EMPTY = new GroupTotals(0, 0, HashTreePMap.empty(), 0, 0, HashTreePMap.empty());
 
-    /** Sums over machines from nothing; the tracker's running sums must come to the same. */
+    /** Totals computed from scratch; the tracker's incremental totals must equal them. */
     static GroupTotals of(Collection<MachineLoad> machines) {
         GroupTotals totals = EMPTY;
         for (MachineLoad machine : machines) {
@@ -69,11 +69,12 @@
         return sum == 0 ? amounts.minus(team) : amounts.plus(team, sum);
     }
 
+    /** The number of machines whose load is unknown. */
     int unknownMachines() {
         return unknown.values().stream().mapToInt(Integer::intValue).sum();
     }
 
-    /** The part of the serving capacity that is in use at this moment; 1 where nothing serves. */
+    /** The part of the serving capacity that is in use, not smoothed; 1 where no machine is serving. */
     double utilization() {
         return capacity == 0 ? 1 : (double) used / capacity;
     }
--- a/src/main/java/garnetscale/core/balance/LoadSnapshot.java
+++ b/src/main/java/garnetscale/core/balance/LoadSnapshot.java
@@ -4,11 +4,11 @@
 import org.pcollections.PMap;
 
 /**
- * The load of the fleet at one moment. It never changes: a plan and an operator's question each see one consistent picture,
- * while the tracker goes on. Sharing structure with its predecessors, it costs by what changed since.
+ * An immutable snapshot of the cluster's load: a plan or an operator's query sees one consistent state while the tracker goes
+ * on. It shares structure with the snapshots before it, so that its cost depends only on what has changed since.
  *
- * @param at             the moment, in milliseconds
- * @param timeConstantMs of the average of each group's utilization
+ * @param at             its time, in milliseconds
+ * @param timeConstantMs time constant of each group's smoothed utilization
  */
 public record LoadSnapshot(
         long at,
@@ -17,14 +17,14 @@
         PMap<MachineGroup, GroupLoad> groups,
         Demand demand) {
 
-    /** From this part of unknown machines on, a group as a whole counts as unknown. */
-    private static final double MOST_UNKNOWN = 0.25;
+    /** A group with a larger part of unknown machines counts as unknown as a whole. */
+    private static final double MAX_UNKNOWN_PART = 0.25;
 
-    /** Nothing is known. */
+    /** No machine is known. */
     public static final LoadSnapshot EMPTY =
             new LoadSnapshot(0, 1, HashTreePMap.empty(), HashTreePMap.empty(), Demand.NONE);
 
-    /** The smoothed utilization of a group, from 0 to 1; 0 for one that it doesn't hold. */
+    /** The smoothed utilization of a group, from 0 to 1; 0 for an unknown group. */
     public double utilization(MachineGroup group) {
         GroupLoad load = groups.get(group);
         return load == null ? 0 : load.smoothed(at, timeConstantMs);
@@ -44,15 +44,15 @@
                 : MachineLoad.cpus(load.totals().capacity() - load.totals().used());
     }
 
-    /** Whether enough is known of a group to move work into or out of it. */
+    /** Whether enough machines of the group are known to move tasks into or out of it. */
     public boolean isKnown(MachineGroup group) {
         GroupLoad load = groups.get(group);
         return load != null
                 && load.totals().unknownMachines()
-                        <= MOST_UNKNOWN * load.totals().machines();
+                        <= MAX_UNKNOWN_PART * load.totals().machines();
     }
 
-    /** Whether a machine is there and its load known. */
+    /** Whether the machine exists and its load is known. */
     public boolean isKnown(String machine) {
         MachineLoad load = machines.get(machine);
         return load != null && load.unknown() == null;
--- a/src/main/java/garnetscale/core/balance/LoadTracker.java
+++ b/src/main/java/garnetscale/core/balance/LoadTracker.java
@@ -4,25 +4,25 @@
 import org.pcollections.HashTreePMap;
 import org.pcollections.PMap;
 
-/** Keeps the load of the fleet up to date machine by machine. A change costs the same in a fleet of any size. */
+/** Keeps the load of machine groups up to date. The cost of a change doesn't depend on the size of the cluster. */
 public final class LoadTracker {
 
     private final double timeConstantMs;
     private PMap<String, MachineLoad> machines = HashTreePMap.empty();
     private PMap<MachineGroup, GroupLoad> groups = HashTreePMap.empty();
 
-    /** {@code timeConstantMs}: after so long a lasting change has reached 63% of a group's smoothed utilization. */
+    /** {@code timeConstantMs}: the time in which 63% of a lasting change reach a group's smoothed utilization. */
     public LoadTracker(double timeConstantMs) {
         this.timeConstantMs = timeConstantMs;
     }
 
-    /** Forgets everything. */
+    /** Removes all machines. */
     public void clear() {
         machines = HashTreePMap.empty();
         groups = HashTreePMap.empty();
     }
 
-    /** Takes what a machine adds from now on. */
+    /** Sets the load of a machine, from {@code now} on. */
     public void update(long now, String machine, MachineLoad load) {
         MachineLoad before = machines.get(machine);
         if (load.equals(before)) {
@@ -57,7 +57,7 @@
                 : groups.plus(load.group(), group.withTotals(now, totals, timeConstantMs));
     }
 
-    /** Forgets all machines but these. */
+    /** Removes all machines but these. */
     public void retain(long now, Set<String> present) {
         if (machines.size() == present.size() && present.containsAll(machines.keySet())) {
             return;
@@ -75,7 +75,7 @@
         subtract(now, before);
     }
 
-    /** The picture at this moment. */
+    /** The load at {@code now}, with the demand that the caller has computed. */
     public LoadSnapshot snapshot(long now, Demand demand) {
         return new LoadSnapshot(now, timeConstantMs, machines, groups, demand);
     }
--- a/src/main/java/garnetscale/core/balance/MachineGroup.java
+++ b/src/main/java/garnetscale/core/balance/MachineGroup.java
@@ -1,6 +1,6 @@
 package garnetscale.core.balance;
 
-/** The machines of one type in one zone. Any of them would do for a job as well as the others. */
+/** The machines of one type in one zone; for a job they are interchangeable. */
 public record MachineGroup(String zone, String type) {
 
     @Override
--- a/src/main/java/garnetscale/core/balance/MachineLoad.java
+++ b/src/main/java/garnetscale/core/balance/MachineLoad.java
@@ -3,29 +3,30 @@
 import java.util.Map;
 
 /**
- * What one machine adds to its group. Amounts are thousandths of a CPU, so that adding and subtracting leave no remainder.
+ * What one machine contributes to its group. Amounts are whole thousandths of a CPU, so that sums have no rounding error.
  *
- * @param unknown  why its load isn't known, or null when it is
- * @param serving  whether it takes work: known, not draining, not avoided and not to be given back
- * @param capacity what it has
- * @param usedBy   what is placed on it, by team
+ * @param unknown  why its load is unknown, or null when it is known
+ * @param serving  whether it takes new tasks: known, not draining, not cordoned and not decommissioned
+ * @param capacity its CPUs
+ * @param usedBy   what placements on it use, by team
  */
 public record MachineLoad(
         MachineGroup group, UnknownReason unknown, boolean serving, long capacity, Map<String, Long> usedBy) {
 
-    private static final double MILLI = 1000;
+    private static final double MILLI_PER_CPU = 1000;
 
+    /** Copies {@code usedBy}. */
     public MachineLoad {
         usedBy = Map.copyOf(usedBy);
     }
 
-    /** CPUs in the unit that is counted in. */
+    /** Converts CPUs to thousandths. */
     public static long milliCpus(double cpus) {
-        return Math.round(cpus * MILLI);
+        return Math.round(cpus * MILLI_PER_CPU);
     }
 
-    /** CPUs from the unit that is counted in. */
+    /** Converts thousandths to CPUs. */
     public static double cpus(long milliCpus) {
-        return milliCpus / MILLI;
+        return milliCpus / MILLI_PER_CPU;
     }
 }
--- a/src/main/java/garnetscale/core/balance/MovePlanner.java
+++ b/src/main/java/garnetscale/core/balance/MovePlanner.java
@@ -12,12 +12,12 @@
 import java.util.Optional;
 
 /**
- * Decides which running tasks to move. A task is stopped only where that gains more than it disrupts by the margin, and only
- * while another machine bids for it. There are two reasons:
+ * Decides which running tasks to move. A task is stopped only if the gain exceeds the disruption by the margin, and only while
+ * another machine bids for it. There are two reasons:
  *
  * <ul>
- *   <li>a job of higher priority finds no room on any machine that it fits, and the task runs on one of those while a machine
- *       that the job doesn't fit bids for the task;
+ *   <li>a waiting job of higher priority is not placed on any machine that it may run on; the task runs on such a machine, and a
+ *       machine that the job may not run on bids for the task;
  *   <li>the task runs on a slow machine, and a late bid is much better (the paper's DSP 4c, by i and i0).
  * </ul>
  *
@@ -25,17 +25,24 @@
  */
 public final class MovePlanner {
 
-    /** Jobs that room is made for in a pass, from the head of the line: where they find none, those behind won't either. */
-    private static final int MOST_JOBS = 4;
-    /** A group that is fuller than this on average isn't moved into: room there is about to be needed. */
-    private static final double MOST_UTILIZATION = 0.8;
+    /** Jobs that machines are cleared for in a pass, from the head of the queue: where these don't fit, later ones won't. */
+    private static final int MAX_JOBS = 4;
+    /** Tasks aren't moved to a group whose smoothed utilization is higher: its free resources are about to be needed. */
+    private static final double MAX_UTILIZATION = 0.8;
 
-    /** Clearances come cheapest first: after so many in a row that don't pay, the dearer ones aren't looked at. */
-    private static final int MOST_REJECTED = 16;
+    /** Clearances are tried cheapest first: after so many in a row that don't pay, the more expensive ones aren't tried. */
+    private static final int MAX_REJECTED = 16;
 
-    private static final double MILLIS = 1000;
+    private static final double MILLIS_PER_S = 1000;
 
-    /** What the planner decides from. */
+    /**
+     * What the planner decides from.
+     *
+     * @param now      milliseconds of the steady clock
+     * @param waiting  jobs that don't fit anywhere, in the queue's order
+     * @param machines serving machines of known load; the plan takes from what is free on them
+     * @param offers   bids for running tasks, by job
+     */
     public record Input(
             long now,
             LoadSnapshot load,
@@ -43,62 +50,38 @@
             List<SourceMachine> machines,
             Map<String, List<Offer>> offers) {}
 
-    /** A task to stop, with the offer that it is stopped for and what that costs. */
-    private record Stop(RunningTask task, Offer offer, double disruptionCpuS) {
-
-        static Stop of(RunningTask task, Offer offer) {
-            double delayS = Math.max(0, endsElsewhereS(task, offer) - task.remainingS());
-            return new Stop(task, offer, delayS * task.job().cpus());
-        }
-    }
-
-    /** What to stop on a machine so that one task more of a job fits there. */
-    private record Clearance(SourceMachine machine, List<Stop> stops) {
-
-        double disruptionCpuS() {
-            return stops.stream().mapToDouble(Stop::disruptionCpuS).sum();
-        }
-
-        double stopS() {
-            return stops.stream().mapToDouble(stop -> stop.task().stopS()).max().orElse(0);
-        }
-
-        List<RunningTask> tasks() {
-            return stops.stream().map(Stop::task).toList();
-        }
-    }
-
     private final double margin;
     private final Input input;
     private final MoveBudget budget;
-    private final OpenOffers offers;
+    private final AvailableBids bids;
     private final List<Move> moves = new ArrayList<>();
 
     private MovePlanner(double margin, Input input, MoveBudget budget) {
         this.margin = margin;
         this.input = input;
         this.budget = budget;
-        this.offers = new OpenOffers(input.offers());
+        this.bids = new AvailableBids(input.offers());
     }
 
-    /** The moves to make now, counted in the budget; {@code margin} is that of {@link BalanceSettings}. */
+    /** The moves to make now, already counted in the budget; {@code margin} is {@link BalanceSettings#margin}. */
     public static List<Move> plan(double margin, Input input, MoveBudget budget) {
         MovePlanner planner = new MovePlanner(margin, input, budget);
-        input.waiting().stream().limit(MOST_JOBS).forEach(planner::makeRoom);
-        input.machines().stream().filter(SourceMachine::slow).forEach(planner::leaveSlow);
+        input.waiting().stream().limit(MAX_JOBS).forEach(planner::clearMachinesFor);
+        input.machines().stream().filter(SourceMachine::slow).forEach(planner::moveOffSlow);
         return List.copyOf(planner.moves);
     }
 
-    // ---- room for a waiting job
+    // ---- machines for a waiting job
 
-    private void makeRoom(WaitingJob waiting) {
+    private void clearMachinesFor(WaitingJob waiting) {
         JobSpec job = waiting.job();
-        List<SourceMachine> fitting =
-                input.machines().stream().filter(machine -> fits(machine, job)).toList();
+        List<SourceMachine> eligible = input.machines().stream()
+                .filter(machine -> isEligible(machine, job))
+                .toList();
         int missing = waiting.tasks();
         List<SourceMachine> starts = new ArrayList<>();
-        for (SourceMachine machine : fitting) {
-            // Room that is there or on its way is this job's: it isn't offered to the next one again.
+        for (SourceMachine machine : eligible) {
+            // What is free or becoming free is this job's, and can't be given to the next one again.
             for (; missing > 0 && machine.free().fits(job); missing--) {
                 machine.free().take(job);
                 starts.add(machine);
@@ -109,54 +92,62 @@
         }
         WaitForecast forecast = new WaitForecast(job, waiting.runS(), missing);
         starts.forEach(forecast::addStart);
-        forecast.addRoom(fitting);
-        List<Clearance> clearances = new ArrayList<>();
+        forecast.addFreeSlots(eligible);
+        int rejected = 0;
+        for (MachineClearance clearance : cheapestFirst(eligible, job)) {
+            if (rejected >= MAX_REJECTED) {
+                return;
+            }
+            rejected = carryOut(clearance, job, forecast) ? 0 : rejected + 1;
+        }
+    }
+
+    private List<MachineClearance> cheapestFirst(List<SourceMachine> eligible, JobSpec job) {
+        List<MachineClearance> clearances = new ArrayList<>();
         Map<String, Optional<Offer>> destinations = new HashMap<>();
-        for (SourceMachine machine : fitting) {
-            Clearance clearance = clearance(machine, job, destinations);
+        for (SourceMachine machine : eligible) {
+            MachineClearance clearance = clearance(machine, job, destinations);
             if (clearance != null) {
                 clearances.add(clearance);
             }
         }
-        clearances.sort(Comparator.comparingDouble(Clearance::disruptionCpuS)
+        clearances.sort(Comparator.comparingDouble(MachineClearance::disruptionCpuS)
                 .thenComparing(clearance -> clearance.machine().machine()));
-        int rejected = 0;
-        for (Clearance clearance : clearances) {
-            if (rejected >= MOST_REJECTED) {
-                return;
-            }
-            rejected = carryOut(clearance, job, forecast) ? 0 : rejected + 1;
-        }
+        return clearances;
     }
 
-    private static boolean fits(SourceMachine machine, JobSpec job) {
+    private static boolean isEligible(SourceMachine machine, JobSpec job) {
         return JobQueue.allows(machine.type(), machine.group().zone(), machine.spot(), job);
     }
 
-    /** The cheapest stops that make room for one task of the job, or null where there are none. */
-    private Clearance clearance(SourceMachine machine, JobSpec job, Map<String, Optional<Offer>> destinations) {
+    /**
+     * The cheapest stops after which one more task of the job fits on the machine, or null where there are none.
+     *
+     * @param destinations bids that were looked up already, by job and zone
+     */
+    private MachineClearance clearance(SourceMachine machine, JobSpec job, Map<String, Optional<Offer>> destinations) {
         if (!input.load().isKnown(machine.group())) {
             return null;
         }
-        List<Stop> candidates = new ArrayList<>();
+        List<PlannedStop> candidates = new ArrayList<>();
         for (RunningTask task : machine.tasks()) {
             if (task.job().priority().compareTo(job.priority()) > 0 && mayMove(task)) {
                 destinations
                         .computeIfAbsent(
                                 task.job().id() + "@" + machine.group().zone(),
                                 key -> Optional.ofNullable(destination(machine, task.job(), job, List.of())))
-                        .ifPresent(offer -> candidates.add(Stop.of(task, offer)));
+                        .ifPresent(bid -> candidates.add(PlannedStop.delaying(task, bid)));
             }
         }
-        candidates.sort(Comparator.comparingDouble(Stop::disruptionCpuS)
+        candidates.sort(Comparator.comparingDouble(PlannedStop::disruptionCpuS)
                 .thenComparing(stop -> stop.task().attempt()));
         FreeCapacity free = machine.free().copy();
-        List<Stop> chosen = new ArrayList<>();
-        for (Stop stop : candidates) {
+        List<PlannedStop> chosen = new ArrayList<>();
+        for (PlannedStop stop : candidates) {
             chosen.add(stop);
             free.giveBack(stop.task().job());
             if (free.fits(job)) {
-                return new Clearance(machine, chosen);
+                return new MachineClearance(machine, chosen);
             }
         }
         return null;
@@ -164,110 +155,109 @@
 
     private boolean mayMove(RunningTask task) {
         return task.movable()
-                && !budget.isPaying(input.now(), task.task())
+                && !budget.isPayingBack(input.now(), task.task())
                 && moves.stream().noneMatch(move -> move.attempt() == task.attempt());
     }
 
     /**
-     * The best offer for a task of a job from a machine that the waiting job doesn't fit, or null; {@code reserved}: stops that
-     * the same room is made by, and that go somewhere, too.
+     * The best bid for a task of the job by a machine that the waiting job may not run on, or null.
+     *
+     * @param reserved other stops on the same machine, which have their destinations already
      */
-    private Offer destination(SourceMachine from, JobSpec job, JobSpec waiting, List<Stop> reserved) {
-        return offers.best(
+    private Offer destination(SourceMachine from, JobSpec job, JobSpec waiting, List<PlannedStop> reserved) {
+        return bids.best(
                 job.id(),
-                offer -> mayGo(from, job, offer)
-                        && !offer.fits(waiting)
-                        && input.load().utilization(offer.group()) <= MOST_UTILIZATION
+                bid -> mayMoveTo(from, job, bid)
+                        && !bid.fits(waiting)
+                        && input.load().utilization(bid.group()) <= MAX_UTILIZATION
                         && budget.hasRoomAt(
-                                input.now(), offer.group(), cpusTo(offer.group(), reserved), job.cpus(), input.load()));
+                                input.now(), bid.group(), cpusTo(bid.group(), reserved), job.cpus(), input.load()));
     }
 
-    private static double cpusTo(MachineGroup group, List<Stop> stops) {
+    private static double cpusTo(MachineGroup group, List<PlannedStop> stops) {
         return stops.stream()
-                .filter(stop -> stop.offer().group().equals(group))
+                .filter(stop -> stop.destination().group().equals(group))
                 .mapToDouble(stop -> stop.task().job().cpus())
                 .sum();
     }
 
-    /** Tasks that are bound by where the others of their job are stay in their zone: anywhere else they might not be placed. */
-    private boolean mayGo(SourceMachine from, JobSpec job, Offer offer) {
-        boolean isBound = job.zoneAffinity() || job.zoneAntiAffinity();
-        return input.load().isKnown(offer.machine())
-                && input.load().isKnown(offer.group())
-                && (!isBound || offer.group().zone().equals(from.group().zone()));
-    }
-
-    /** Seconds until the task would be finished if it were stopped now: stop, fetch, and what of its run isn't saved. */
-    private static double endsElsewhereS(RunningTask task, Offer offer) {
-        return task.stopS() + Math.max(0, offer.finishS() - task.savedS());
+    /** Tasks with zone affinity or anti-affinity stay in their zone: in another one they might not be placed. */
+    private boolean mayMoveTo(SourceMachine from, JobSpec job, Offer bid) {
+        boolean zoneBound = job.zoneAffinity() || job.zoneAntiAffinity();
+        return input.load().isKnown(bid.machine())
+                && input.load().isKnown(bid.group())
+                && (!zoneBound || bid.group().zone().equals(from.group().zone()));
     }
 
-    /** Makes the moves if there is an offer for each and they are still worth it; several may have to share one offer's room. */
-    private boolean carryOut(Clearance cheapest, JobSpec job, WaitForecast forecast) {
-        List<Stop> reserved = new ArrayList<>();
-        for (Stop stop : cheapest.stops()) {
-            Offer offer = destination(cheapest.machine(), stop.task().job(), job, reserved);
-            if (offer == null) {
+    /** Moves the tasks if there still is a bid for each, though several share one bid's slots, and it pays; returns whether. */
+    private boolean carryOut(MachineClearance cheapest, JobSpec job, WaitForecast forecast) {
+        List<PlannedStop> reserved = new ArrayList<>();
+        for (PlannedStop stop : cheapest.stops()) {
+            Offer destination = destination(cheapest.machine(), stop.task().job(), job, reserved);
+            if (destination == null) {
                 break;
             }
-            offers.take(offer);
-            reserved.add(Stop.of(stop.task(), offer));
+            bids.reserve(destination);
+            reserved.add(PlannedStop.delaying(stop.task(), destination));
         }
-        Clearance clearance = new Clearance(cheapest.machine(), reserved);
-        if (reserved.size() < cheapest.stops().size() || !accept(clearance, job, forecast)) {
-            reserved.forEach(stop -> offers.giveBack(stop.offer()));
+        MachineClearance clearance = new MachineClearance(cheapest.machine(), reserved);
+        if (reserved.size() < cheapest.stops().size() || !acceptClearance(clearance, job, forecast)) {
+            reserved.forEach(stop -> bids.release(stop.destination()));
             return false;
         }
-        forecast.stop(clearance.machine(), clearance.tasks(), clearance.stopS());
+        forecast.addStops(clearance.machine(), clearance.tasks(), clearance.stopS());
         reserved.forEach(stop -> clearance.machine().free().giveBack(stop.task().job()));
         clearance.machine().free().take(job);
         return true;
     }
 
-    private boolean accept(Clearance clearance, JobSpec job, WaitForecast forecast) {
-        double savedS = forecast.savedS(clearance.machine(), clearance.tasks(), clearance.stopS());
-        double gain = savedS * job.cpus();
-        double disruption = clearance.disruptionCpuS();
-        if (gain <= (1 + margin) * disruption) {
+    private boolean acceptClearance(MachineClearance clearance, JobSpec job, WaitForecast forecast) {
+        double savedWaitS = forecast.savedWaitS(clearance.machine(), clearance.tasks(), clearance.stopS());
+        double gainCpuS = savedWaitS * job.cpus();
+        double disruptionCpuS = clearance.disruptionCpuS();
+        if (gainCpuS <= (1 + margin) * disruptionCpuS) {
             return false;
         }
-        double paybackS = clearance.stopS() + disruption / job.cpus();
+        double paybackS = clearance.stopS() + disruptionCpuS / job.cpus();
         int count = clearance.stops().size();
         List<Move> together = new ArrayList<>();
-        for (Stop stop : clearance.stops()) {
-            together.add(move(clearance.machine(), stop, job.id(), gain / count, paybackS));
+        for (PlannedStop stop : clearance.stops()) {
+            together.add(move(clearance.machine(), stop, job.id(), gainCpuS / count, paybackS));
         }
         return accept(together);
     }
 
-    // ---- a slow machine
+    // ---- tasks on a slow machine
 
-    private void leaveSlow(SourceMachine machine) {
+    private void moveOffSlow(SourceMachine machine) {
         if (!input.load().isKnown(machine.group())) {
             return;
         }
         for (RunningTask task : machine.tasks()) {
-            Offer offer = mayMove(task)
-                    ? offers.best(
-                            task.job().id(), candidate -> mayGo(machine, task.job(), candidate) && !candidate.slow())
+            Offer destination = mayMove(task)
+                    ? bids.best(
+                            task.job().id(),
+                            candidate -> mayMoveTo(machine, task.job(), candidate) && !candidate.slow())
                     : null;
-            if (offer == null) {
+            if (destination == null) {
                 continue;
             }
-            double elsewhereS = endsElsewhereS(task, offer);
+            double elsewhereS = PlannedStop.completionS(task, destination);
             double savedCpuS = (task.remainingS() - elsewhereS) * task.job().cpus();
-            boolean isBetter =
+            boolean better =
                     LateBids.accepts(task.remainingS(), elsewhereS) && task.remainingS() > (1 + margin) * elsewhereS;
-            Stop stop = new Stop(task, offer, elsewhereS * task.job().cpus());
-            if (isBetter && accept(List.of(move(machine, stop, null, savedCpuS, elsewhereS)))) {
-                offers.take(offer);
+            PlannedStop stop =
+                    new PlannedStop(task, destination, elsewhereS * task.job().cpus());
+            if (better && accept(List.of(move(machine, stop, null, savedCpuS, elsewhereS)))) {
+                bids.reserve(destination);
             }
         }
     }
 
     // ---- both
 
-    private static Move move(SourceMachine machine, Stop stop, String beneficiary, double gain, double paybackS) {
+    private static Move move(
+            SourceMachine machine, PlannedStop stop, String beneficiary, double gainCpuS, double paybackS) {
         JobSpec job = stop.task().job();
         return new Move(
                 stop.task().task(),
@@ -276,11 +266,11 @@
                 job.cpus(),
                 machine.machine(),
                 machine.group(),
-                stop.offer().group(),
+                stop.destination().group(),
                 beneficiary,
-                gain,
+                gainCpuS,
                 stop.disruptionCpuS(),
-                (long) Math.ceil(paybackS * MILLIS));
+                (long) Math.ceil(paybackS * MILLIS_PER_S));
     }
 
     private boolean accept(List<Move> together) {
--- a/src/main/java/garnetscale/core/balance/SourceMachine.java
+++ b/src/main/java/garnetscale/core/balance/SourceMachine.java
@@ -5,10 +5,10 @@
 import java.util.List;
 
 /**
- * A serving machine of known load, and what runs on it.
+ * A serving machine of known load, with the tasks that might be moved away from it.
  *
- * @param free what is free on it, with the room of tasks that are being stopped
- * @param slow whether its tasks take longer than expected by more than estimates are off
+ * @param free what is free on it, counting tasks that are being stopped as gone; a plan takes from it
+ * @param slow whether its tasks take longer than estimated, by more than the usual error of estimates
  */
 public record SourceMachine(
         String machine,
--- a/src/main/java/garnetscale/core/balance/SpreadOrder.java
+++ b/src/main/java/garnetscale/core/balance/SpreadOrder.java
@@ -11,14 +11,15 @@
 import java.util.function.ToLongFunction;
 
 /**
- * Orders equal bids so that the group that is least utilised comes first. What goes to a group counts at once: many tasks of
- * one job are spread, and don't all follow to the group that was the emptiest when the first was placed.
+ * Orders equal bids so that the least utilized group comes first. CPUs given to a group count at once, so that the tasks of one
+ * job are spread over groups instead of all going to the one that was the least utilized at first.
  */
 public final class SpreadOrder {
 
     private final LoadSnapshot load;
     private final Map<MachineGroup, Double> addedCpus = new LinkedHashMap<>();
 
+    /** {@code load}: utilization before any of the bids wins. */
     public SpreadOrder(LoadSnapshot load) {
         this.load = load;
     }
@@ -27,7 +28,7 @@
      * Reorders runs of bids of the same rank; runs, and bids of one group within a run, keep their order.
      *
      * @param rank equal for bids that count as equal, and never falling along the list
-     * @param cpus that go to the bidder if it wins all that it bids for
+     * @param cpus that a bidder gets if it wins every slot that it bids for
      */
     public <T> List<T> spread(
             List<T> bids, ToLongFunction<T> rank, Function<T, MachineGroup> group, ToDoubleFunction<T> cpus) {
--- a/src/main/java/garnetscale/core/balance/TeamDemand.java
+++ b/src/main/java/garnetscale/core/balance/TeamDemand.java
@@ -1,6 +1,6 @@
 package garnetscale.core.balance;
 
-/** What a team's jobs ask for, in CPU-seconds by their estimates: of tasks that wait, and of tasks that are placed. */
+/** The estimated work of a team's jobs in CPU-seconds: of waiting tasks, and of placed ones. */
 public record TeamDemand(double waitingCpuS, double placedCpuS) {
 
     static final TeamDemand NONE = new TeamDemand(0, 0);
--- a/src/main/java/garnetscale/core/balance/WaitForecast.java
+++ b/src/main/java/garnetscale/core/balance/WaitForecast.java
@@ -10,21 +10,21 @@
 import java.util.Set;
 
 /**
- * How long a job's waiting tasks will wait: each takes the room that comes free first, and leaves it after its own run. What
- * other jobs would take of that room isn't counted, so that waits are rather too short and a move's gain rather too small.
+ * Forecasts how long a job's waiting tasks will wait: each takes the slot that is free first, and frees it after its own run.
+ * Slots that other jobs would take aren't counted, so that waits are rather too short and a move's gain rather too small.
  */
 final class WaitForecast {
 
-    /** Room for one task on a machine, from a time on; in seconds from now. */
-    private record Release(String machine, double atS) {}
+    /** A slot for one task on a machine that is free from a time on, in seconds from now. */
+    private record FreeSlot(String machine, double atS) {}
 
-    private static final Comparator<Release> EARLIEST_FIRST =
-            Comparator.comparingDouble(Release::atS).thenComparing(Release::machine);
+    private static final Comparator<FreeSlot> EARLIEST_FIRST =
+            Comparator.comparingDouble(FreeSlot::atS).thenComparing(FreeSlot::machine);
 
     private final JobSpec job;
     private final double runS;
     private final int tasks;
-    private List<Release> releases = new ArrayList<>();
+    private List<FreeSlot> freeSlots = new ArrayList<>();
 
     /** {@code tasks} of the job wait, each of which will run for {@code runS} seconds. */
     WaitForecast(JobSpec job, double runS, int tasks) {
@@ -33,34 +33,34 @@
         this.tasks = tasks;
     }
 
-    /** Counts the room that comes free on machines by itself. */
-    void addRoom(List<SourceMachine> machines) {
-        machines.forEach(machine -> releases.addAll(releases(machine, List.of(), 0)));
-        releases.sort(EARLIEST_FIRST);
+    /** Counts the slots that become free on these machines without any move. */
+    void addFreeSlots(List<SourceMachine> machines) {
+        machines.forEach(machine -> freeSlots.addAll(freeSlots(machine, List.of(), 0)));
+        freeSlots.sort(EARLIEST_FIRST);
     }
 
-    /** Counts a task of the job that starts on a machine now, and leaves its room after its run. */
+    /** Counts a task of the job that starts on the machine now and frees its slot after its run. */
     void addStart(SourceMachine machine) {
-        releases.add(new Release(machine.machine(), runS));
+        freeSlots.add(new FreeSlot(machine.machine(), runS));
     }
 
-    /** Seconds that all waiting tasks together wait less if these are stopped, and their room is free after {@code stopS}. */
-    double savedS(SourceMachine machine, List<RunningTask> stopped, double stopS) {
-        return totalS(releases) - totalS(with(machine, stopped, stopS));
+    /** Seconds that all waiting tasks together wait less if these tasks are stopped and their resources are free after {@code stopS}. */
+    double savedWaitS(SourceMachine machine, List<RunningTask> stopped, double stopS) {
+        return totalS(freeSlots) - totalS(with(machine, stopped, stopS));
     }
 
-    /** Reckons with these stops from now on. */
-    void stop(SourceMachine machine, List<RunningTask> stopped, double stopS) {
-        releases = with(machine, stopped, stopS);
+    /** Counts these stops as made. */
+    void addStops(SourceMachine machine, List<RunningTask> stopped, double stopS) {
+        freeSlots = with(machine, stopped, stopS);
     }
 
-    private List<Release> with(SourceMachine machine, List<RunningTask> stopped, double stopS) {
-        List<Release> next = new ArrayList<>(releases(machine, stopped, stopS));
-        // Tasks take the earliest room: later releases than there are tasks can't matter.
+    private List<FreeSlot> with(SourceMachine machine, List<RunningTask> stopped, double stopS) {
+        List<FreeSlot> next = new ArrayList<>(freeSlots(machine, stopped, stopS));
+        // Tasks take the earliest slots: later slots than there are tasks can't matter.
         int others = 0;
-        for (Release release : releases) {
-            if (!release.machine().equals(machine.machine()) && others < tasks) {
-                next.add(release);
+        for (FreeSlot slot : freeSlots) {
+            if (!slot.machine().equals(machine.machine()) && others < tasks) {
+                next.add(slot);
                 others++;
             }
         }
@@ -68,41 +68,41 @@
         return next;
     }
 
-    private List<Release> releases(SourceMachine machine, List<RunningTask> stopped, double stopS) {
-        List<Release> found = new ArrayList<>();
+    private List<FreeSlot> freeSlots(SourceMachine machine, List<RunningTask> stopped, double stopS) {
+        List<FreeSlot> found = new ArrayList<>();
         FreeCapacity free = machine.free().copy();
         int slots = free.slots(job);
         stopped.forEach(task -> free.giveBack(task.job()));
-        slots = add(machine, free, slots, stopS, found);
-        Set<RunningTask> terminated = new HashSet<>(stopped);
+        slots = addSlots(machine, free, slots, stopS, found);
+        Set<RunningTask> stoppedTasks = new HashSet<>(stopped);
         List<RunningTask> byEnd = new ArrayList<>(machine.tasks());
         byEnd.sort(Comparator.comparingDouble(RunningTask::remainingS));
         for (RunningTask task : byEnd) {
-            if (!terminated.contains(task)) {
+            if (!stoppedTasks.contains(task)) {
                 free.giveBack(task.job());
-                slots = add(machine, free, slots, Math.max(stopS, task.remainingS()), found);
+                slots = addSlots(machine, free, slots, Math.max(stopS, task.remainingS()), found);
             }
         }
         return found;
     }
 
-    private int add(SourceMachine machine, FreeCapacity free, int before, double atS, List<Release> found) {
+    private int addSlots(SourceMachine machine, FreeCapacity free, int before, double atS, List<FreeSlot> found) {
         int slots = free.slots(job);
         for (int i = before; i < slots; i++) {
-            found.add(new Release(machine.machine(), atS));
+            found.add(new FreeSlot(machine.machine(), atS));
         }
         return Math.max(before, slots);
     }
 
-    private double totalS(List<Release> from) {
-        PriorityQueue<Double> free = new PriorityQueue<>();
-        from.stream().limit(tasks).forEach(release -> free.add(release.atS()));
-        double total = 0;
-        for (int i = 0; i < tasks && !free.isEmpty(); i++) {
-            double start = free.remove();
-            total += start;
-            free.add(start + runS);
+    private double totalS(List<FreeSlot> from) {
+        PriorityQueue<Double> freeAtS = new PriorityQueue<>();
+        from.stream().limit(tasks).forEach(slot -> freeAtS.add(slot.atS()));
+        double totalS = 0;
+        for (int i = 0; i < tasks && !freeAtS.isEmpty(); i++) {
+            double startS = freeAtS.remove();
+            totalS += startS;
+            freeAtS.add(startS + runS);
         }
-        return total;
+        return totalS;
     }
 }
--- a/src/main/java/garnetscale/core/balance/WaitingJob.java
+++ b/src/main/java/garnetscale/core/balance/WaitingJob.java
@@ -2,5 +2,5 @@
 
 import garnetscale.core.job.JobSpec;
 
-/** A job that finds no room; {@code tasks} of it wait, each of which is expected to run for {@code runS} seconds. */
+/** A job that doesn't fit anywhere: {@code tasks} tasks wait, each with an estimated run time of {@code runS} seconds. */
 public record WaitingJob(JobSpec job, int tasks, double runS) {}
--- a/src/test/java/garnetscale/core/balance/BalanceCostMeasurement.java
+++ b/src/test/java/garnetscale/core/balance/BalanceCostMeasurement.java
@@ -40,7 +40,7 @@
         }
     }
 
-    private void heartbeat(String what, int size, int rounds, boolean shown, Runnable round) {
+    private void measure(String what, int size, int rounds, boolean shown, Runnable round) {
         long bytes = threads.getCurrentThreadAllocatedBytes();
         long began = System.nanoTime();
         for (int i = 0; i < rounds; i++) {
@@ -70,7 +70,7 @@
             tracker.update(0, "m-" + i, load(i, 0));
         }
         int[] round = new int[1];
-        heartbeat("persistent", size, ROUNDS, shown, () -> {
+        measure("persistent", size, ROUNDS, shown, () -> {
             round[0]++;
             for (int i = 0; i < size; i += 100 / CHANGED_PERCENT) {
                 tracker.update(round[0], "m-" + i, load(i, round[0]));
@@ -90,7 +90,7 @@
                     groups.getOrDefault(load.group(), GroupTotals.EMPTY).plus(load));
         }
         int[] round = new int[1];
-        heartbeat("copied", size, ROUNDS, shown, () -> {
+        measure("copied", size, ROUNDS, shown, () -> {
             round[0]++;
             for (int i = 0; i < size; i += 100 / CHANGED_PERCENT) {
                 MachineLoad load = load(i, round[0]);
@@ -111,7 +111,7 @@
                 .cpus(12)
                 .tasks(100)
                 .build();
-        heartbeat("plan", size, 20, shown, () -> {
+        measure("plan", size, 20, shown, () -> {
             LoadTracker tracker = new LoadTracker(5000);
             List<SourceMachine> machines = new ArrayList<>();
             List<Offer> offers = new ArrayList<>();
