--- a/src/main/java/garnetscale/core/upgrade/ClusterVersion.java
+++ b/src/main/java/garnetscale/core/upgrade/ClusterVersion.java
@@ -1,17 +1,18 @@
 package garnetscale.core.upgrade;
 
 /**
- * What is stored of the cluster's version.
+ * The cluster's layout version, as it is stored.
  *
- * @param active the version that records are written by
+ * @param active the layout version that records are written in
  * @param floor  the lowest version that may become active again; it rises when a version is finalized
  */
 public record ClusterVersion(int active, int floor) {
 
-    /** Where nothing is stored. */
+    /** The version where none is stored. */
     public static final ClusterVersion FIRST =
             new ClusterVersion(VersionRange.FIRST_VERSION, VersionRange.FIRST_VERSION);
 
+    /** Whether there is no way back to an earlier version. */
     public boolean isFinal() {
         return floor == active;
     }
--- a/src/main/java/garnetscale/core/upgrade/UpgradeCoordinator.java
+++ b/src/main/java/garnetscale/core/upgrade/UpgradeCoordinator.java
@@ -1,5 +1,6 @@
 package garnetscale.core.upgrade;
 
+import garnetscale.core.Times;
 import garnetscale.core.partition.ControllerInfo;
 import garnetscale.core.state.Keys;
 import garnetscale.core.state.Records;
@@ -9,29 +10,32 @@
 import java.util.Map;
 
 /**
- * Decides on the cluster's version; used by the leader alone. A version becomes active in one transaction, which is guarded
- * by the leader's key, by the version before and by the record of every live controller: whoever joins, returns or leaves in
- * between makes it fail.
+ * Decides on the cluster's layout version; used by the leader alone. A version becomes active in one transaction that is guarded
+ * by the leader's key, by the version before it and by the record of every live controller: it fails if a controller joins,
+ * restarts or leaves in between.
  */
 public final class UpgradeCoordinator {
 
-    /** Pages of a shard that the first layout can write in one transaction with an entry beside them. */
+    /** Pages of a shard that the first layout can write in one transaction together with a log entry. */
     private static final int PAGES_IN_FIRST_LAYOUT = 2;
-    /** How often it is looked at who is alive, in the settling time. */
-    private static final int LOOKS = 40;
+    /** How often live controllers are observed within the activation delay. */
+    private static final int OBSERVATIONS_PER_DELAY = 40;
 
     private final StateReplica replica;
     private final VersionRange own;
     private final long settleMs;
     private final int valueBytes;
-    /** Since when each live process has been seen, by name and incarnation. */
-    private final Map<String, Long> since = new HashMap<>();
+    /** When each live controller process was first seen, by name and incarnation. */
+    private final Map<String, Long> firstSeenAt = new HashMap<>();
 
-    private long observedAt = Long.MIN_VALUE / 2;
+    private long observedAt = Times.NEVER;
 
     /**
-     * @param own      what this controller supports
-     * @param settleMs how long every live controller must have been there before a version is activated
+     * Observes nothing yet.
+     *
+     * @param own      the layout versions that this controller supports
+     * @param settleMs how long every live controller must have been up before a version is activated
+     * @param valueBytes most bytes in one stored value
      */
     public UpgradeCoordinator(StateReplica replica, VersionRange own, long settleMs, int valueBytes) {
         this.replica = replica;
@@ -40,23 +44,24 @@
         this.valueBytes = valueBytes;
     }
 
-    /** Forgets who was seen, as when this controller begins to lead. */
+    /** Forgets all observations; to be called when this controller becomes leader. */
     public void clear() {
-        since.clear();
-        observedAt = Long.MIN_VALUE / 2;
+        firstSeenAt.clear();
+        observedAt = Times.NEVER;
     }
 
-    /** Takes note of who is alive. */
+    /** Records which controllers are alive. */
     public void observe(long now) {
-        if (now - observedAt < settleMs / LOOKS) {
+        if (now - observedAt < settleMs / OBSERVATIONS_PER_DELAY) {
             return;
         }
         observedAt = now;
-        since.keySet().removeIf(process -> replica.nodes().stream().noneMatch(n -> key(n).equals(process)));
-        replica.nodes().forEach(n -> since.putIfAbsent(key(n), now));
+        firstSeenAt.keySet().removeIf(process -> replica.nodes().stream()
+                .noneMatch(node -> processOf(node).equals(process)));
+        replica.nodes().forEach(node -> firstSeenAt.putIfAbsent(processOf(node), now));
     }
 
-    /** Activates the next version by itself once the present one is about to be too small for what is stored; or null. */
+    /** The transaction that activates the next version, once more is stored than the present one can soon hold; else null. */
     public Transaction automatic(long now) {
         if (!replica.hasOutgrownFirstLayout(valueBytes, PAGES_IN_FIRST_LAYOUT)) {
             return null;
@@ -64,6 +69,7 @@
         return activate(now) instanceof UpgradeDecision.Commit commit ? commit.transaction() : null;
     }
 
+    /** Decides on an operator's request at {@code now}, in milliseconds of the steady clock. */
     public UpgradeDecision decide(long now, UpgradeStep step) {
         return switch (step) {
             case ACTIVATE -> activate(now);
@@ -75,9 +81,9 @@
     private UpgradeDecision activate(long now) {
         ClusterVersion version = replica.version();
         int next = version.active() + 1;
-        boolean isKnown =
+        boolean supportedByAny =
                 replica.nodes().stream().anyMatch(node -> node.layouts().contains(next));
-        if (!isKnown) {
+        if (!supportedByAny) {
             return new UpgradeDecision.Done(version);
         }
         for (ControllerInfo node : replica.nodes()) {
@@ -87,13 +93,13 @@
             }
         }
         for (ControllerInfo node : replica.nodes()) {
-            long seen = now - since.getOrDefault(key(node), now);
-            if (seen < settleMs) {
-                return new UpgradeDecision.Refused("controller " + node.name() + " has been there for " + seen + " of "
+            long upMs = now - firstSeenAt.getOrDefault(processOf(node), now);
+            if (upMs < settleMs) {
+                return new UpgradeDecision.Refused("controller " + node.name() + " has been there for " + upMs + " of "
                         + settleMs + " ms that it has to");
             }
         }
-        Transaction transaction = begin();
+        Transaction transaction = guardedTransaction();
         replica.nodes().forEach(node -> {
             String key = Keys.node(node.name());
             transaction.guard(key, replica.modRevision(key));
@@ -116,7 +122,7 @@
         if (replica.hasOutgrownFirstLayout(valueBytes, PAGES_IN_FIRST_LAYOUT)) {
             return new UpgradeDecision.Refused("more is stored than version " + (version.active() - 1) + " can hold");
         }
-        return commit(begin(), version.deactivated());
+        return commit(guardedTransaction(), version.deactivated());
     }
 
     private UpgradeDecision finalizeActive() {
@@ -124,10 +130,10 @@
         if (version.isFinal()) {
             return new UpgradeDecision.Done(version);
         }
-        return commit(begin(), version.finalized());
+        return commit(guardedTransaction(), version.finalized());
     }
 
-    private Transaction begin() {
+    private Transaction guardedTransaction() {
         return new Transaction()
                 .guard(Keys.LEADER, replica.modRevision(Keys.LEADER))
                 .guard(Keys.VERSION, replica.modRevision(Keys.VERSION));
@@ -137,7 +143,7 @@
         return new UpgradeDecision.Commit(transaction.put(Keys.VERSION, Records.version(next)), next);
     }
 
-    private static String key(ControllerInfo node) {
+    private static String processOf(ControllerInfo node) {
         return node.name() + "#" + node.incarnation();
     }
 }
--- a/src/main/java/garnetscale/core/upgrade/UpgradeDecision.java
+++ b/src/main/java/garnetscale/core/upgrade/UpgradeDecision.java
@@ -2,15 +2,15 @@
 
 import garnetscale.core.state.Transaction;
 
-/** What the leader answers to an {@link UpgradeStep}. */
+/** The leader's answer to an {@link UpgradeStep}. */
 public sealed interface UpgradeDecision {
 
-    /** The transaction that carries the step out; it fails when anything that was relied on has changed. */
+    /** The transaction that carries the step out; it fails if any precondition has changed. */
     record Commit(Transaction transaction, ClusterVersion next) implements UpgradeDecision {}
 
-    /** Nothing is left to do. */
+    /** The step is done already. */
     record Done(ClusterVersion version) implements UpgradeDecision {}
 
-    /** Nothing is changed, for this reason. */
+    /** The step is refused, and nothing changes; {@code reason} is for the operator. */
     record Refused(String reason) implements UpgradeDecision {}
 }
--- a/src/main/java/garnetscale/core/upgrade/UpgradeStep.java
+++ b/src/main/java/garnetscale/core/upgrade/UpgradeStep.java
@@ -1,11 +1,11 @@
 package garnetscale.core.upgrade;
 
-/** What an operator may ask of the leader. Each is idempotent: asked for again once it is done, it changes nothing. */
+/** A step that an operator may request from the leader. Each is idempotent: a repeat of a step that is done changes nothing. */
 public enum UpgradeStep {
-    /** Makes the latest version that every live controller supports the active one. */
+    /** Activates the next version, if every live controller supports it. */
     ACTIVATE,
-    /** Goes back to the version before the active one, and has what is stored converted. */
+    /** Goes back to the version before the active one; stored records are converted back. */
     DEACTIVATE,
-    /** Gives up the way back to earlier versions. */
+    /** Rules out going back to an earlier version. */
     FINALIZE
 }
--- a/src/main/java/garnetscale/core/upgrade/VersionRange.java
+++ b/src/main/java/garnetscale/core/upgrade/VersionRange.java
@@ -6,9 +6,10 @@
     /** The version that is active where none is stored, and the only one of controllers that publish no range. */
     public static final int FIRST_VERSION = 1;
 
-    /** Of a controller from before there were versions. */
+    /** The range of controllers that publish none. */
     public static final VersionRange FIRST = new VersionRange(FIRST_VERSION, FIRST_VERSION);
 
+    /** Whether the version lies within the range. */
     public boolean contains(int version) {
         return version >= oldest && version <= latest;
     }
