--- /dev/null
+++ b/src/test/java/garnetscale/core/sim/ConcurrentFailures.java
@@ -0,0 +1,131 @@
+package garnetscale.core.sim;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.HashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import java.util.TreeMap;
+import java.util.TreeSet;
+import java.util.function.Consumer;
+import java.util.function.Predicate;
+
+/**
+ * Fixture of the {@code Concurrent…Test}s: scenarios in which two failures coincide. A scenario counts how often what it is
+ * steered into occurred, and its test fails if that was too seldom. docs/meetings.md lists the scenarios, with the guard in the
+ * code without which each was seen to fail.
+ */
+final class ConcurrentFailures {
+
+    /** Seeds that most scenarios are played with: {@code -Dmeetings=60} plays more. */
+    static final int SEEDS = Integer.getInteger("meetings", 6);
+
+    private static final int LONG_TASK_S = 70;
+    /** Scenarios inject their last failure before this time. */
+    private static final long FAILURES_END_MS = 130_000;
+    /** Every job has to be terminal by then. */
+    private static final long END_MS = 700_000;
+
+    private static final long POLL_MS = 5000;
+    /** For so long after the last job's end no state may change. */
+    private static final long AFTERWARDS_MS = 30_000;
+
+    /** Plays a scenario with {@link #SEEDS} seeds; returns how often each event occurred, summed over all of them. */
+    static Map<String, Integer> play(Consumer<SimulatedCluster> script) {
+        return play(SEEDS, script);
+    }
+
+    /** Plays a scenario with seeds from 1; PROTOCOL's rules must hold in each, and all jobs must become terminal. */
+    static Map<String, Integer> play(int seeds, Consumer<SimulatedCluster> script) {
+        Map<String, Integer> occurred = new TreeMap<>();
+        for (long seed = 1; seed <= seeds; seed++) {
+            SimulatedCluster cluster = new SimulatedCluster(seed, SimulatedCluster.Fault.NONE, ClusterShape.SMALL);
+            cluster.watches = true;
+            cluster.wordLoss = 0.5;
+            script.accept(cluster);
+            cluster.run(FAILURES_END_MS);
+            settle(cluster);
+            assertEquals(List.of(), cluster.rules.broken, "seed " + seed);
+            cluster.met.forEach((event, times) -> occurred.merge(event, times, Integer::sum));
+            occurred.merge("starts after a cancellation", cluster.rules.startsAfterCancel, Integer::sum);
+            occurred.merge("starts", cluster.rules.starts, Integer::sum);
+        }
+        return occurred;
+    }
+
+    /** After the last failure every accepted job becomes terminal, and stays so. */
+    private static void settle(SimulatedCluster cluster) {
+        for (long time = cluster.now; time < END_MS; time += POLL_MS) {
+            cluster.run(time);
+            if (cluster.rules.jobs.keySet().stream().allMatch(cluster::poll)) {
+                cluster.run(time + AFTERWARDS_MS);
+                cluster.rules.jobs.keySet().forEach(cluster::poll);
+                return;
+            }
+        }
+        cluster.rules.jobs.keySet().stream()
+                .filter(job -> !cluster.poll(job))
+                .forEach(job -> cluster.rules.broken.add("never over: " + job));
+    }
+
+    /** Each event occurred so many times at least, or the scenario misses its aim. */
+    static void assertOccurred(Map<String, Integer> occurred, int times, String... events) {
+        for (String event : events) {
+            assertTrue(occurred.getOrDefault(event, 0) >= times, event + ": " + occurred);
+        }
+    }
+
+    /** Long tasks on all machines from the first seconds on. */
+    static void longWork(SimulatedCluster cluster, int jobs) {
+        for (int i = 0; i < jobs; i++) {
+            String id = "wk-1" + i;
+            cluster.at(
+                    1000 + 100L * i,
+                    () -> cluster.submit(id, id.hashCode() % 2 == 0 ? "red" : "blue", 2, 2, LONG_TASK_S));
+        }
+    }
+
+    /** Short jobs all the time, so that placements keep changing. */
+    static void shortWork(SimulatedCluster cluster, int jobs, int overMs) {
+        for (int i = 0; i < jobs; i++) {
+            String id = "wk-2" + i;
+            int tasks = 1 + cluster.random.nextInt(5);
+            int seconds = 1 + cluster.random.nextInt(8);
+            cluster.at(
+                    1000 + cluster.random.nextInt(overMs),
+                    () -> cluster.submit(id, cluster.random.nextBoolean() ? "red" : "blue", tasks, 1, seconds));
+        }
+    }
+
+    /** Users cancel all jobs that run on matching machines, at another controller than {@code notAt}; counts each as {@code event}. */
+    static void cancelRunning(SimulatedCluster cluster, String notAt, Predicate<String> machines, String event) {
+        Set<String> jobs = new HashSet<>();
+        cluster.rules.running().forEach((task, machine) -> {
+            if (machines.test(machine)) {
+                jobs.add(task.job());
+            }
+        });
+        for (String id : new TreeSet<>(jobs)) {
+            if (!cluster.rules.isCancelled(id)
+                    && cluster.nodes.stream()
+                            .anyMatch(node -> !node.name.equals(notAt) && cluster.cancelAt(node.name, id))) {
+                cluster.met(event);
+            }
+        }
+    }
+
+    /** Both teams ask for more than their limits all the time, so that what is freed too early is used by others at once. */
+    static void fullTeams(SimulatedCluster cluster) {
+        for (int i = 0; i < 70; i++) {
+            String id = "wk-3" + i;
+            int seconds = 5 + cluster.random.nextInt(25);
+            cluster.at(
+                    1000 + 1300L * i,
+                    () -> cluster.submit(id, cluster.random.nextBoolean() ? "red" : "blue", 3, 2, seconds));
+        }
+    }
+
+    private ConcurrentFailures() {}
+}
--- /dev/null
+++ b/src/test/java/garnetscale/core/sim/ConcurrentLeaderFailureTest.java
@@ -0,0 +1,143 @@
+package garnetscale.core.sim;
+
+import static garnetscale.core.sim.ConcurrentFailures.SEEDS;
+import static garnetscale.core.sim.ConcurrentFailures.assertOccurred;
+import static garnetscale.core.sim.ConcurrentFailures.cancelRunning;
+import static garnetscale.core.sim.ConcurrentFailures.longWork;
+import static garnetscale.core.sim.ConcurrentFailures.play;
+import static garnetscale.core.sim.ConcurrentFailures.shortWork;
+
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.Map;
+import java.util.Set;
+import org.junit.jupiter.api.Test;
+
+/** Failovers of leaders and partition owners in quick succession, or of all controllers at once. See {@link ConcurrentFailures}. */
+class ConcurrentLeaderFailureTest {
+
+    /** Tasks of one small job end far apart, with a change of leader between. */
+    @Test
+    void smallJobsEndFarApartAcrossAChangeOfLeader() {
+        Map<String, Integer> occurred = play(cluster -> {
+            cluster.workers.forEach(worker -> worker.model.slowDown(1 + cluster.random.nextInt(6)));
+            Map<String, Set<String>> leaders = new HashMap<>();
+            cluster.rules.onDone = task -> {
+                if (leaders.computeIfAbsent(task.job(), key -> new HashSet<>()).add(cluster.leaderTerm() + "")
+                        && leaders.get(task.job()).size() == 2) {
+                    cluster.met("a job's tasks ended under different leaders");
+                }
+            };
+            for (int i = 0; i < 24; i++) {
+                String id = "wk-1" + i;
+                int tasks = 2 + cluster.random.nextInt(2);
+                cluster.at(1000 + cluster.random.nextInt(60_000), () -> cluster.submit(id, "red", tasks, 2, 5));
+            }
+            for (int i = 1; i <= 5; i++) {
+                cluster.at(i * 12_000L, () -> cluster.crash(cluster.leader(), 100 + cluster.random.nextInt(5000)));
+            }
+        });
+        assertOccurred(occurred, 2 * SEEDS, "a job's tasks ended under different leaders");
+    }
+
+    /** Ten changes of leader in two minutes, some of them inside an outage, with nodes that are back within a second. */
+    @Test
+    void leadersChangeTenTimesInTwoMinutes() {
+        Map<String, Integer> occurred = play(cluster -> {
+            longWork(cluster, 6);
+            shortWork(cluster, 25, 100_000);
+            for (int i = 1; i <= 10; i++) {
+                cluster.at(i * 11_000L, () -> {
+                    if (cluster.random.nextInt(3) == 0) {
+                        cluster.refuse(cluster.leader(), 3000);
+                    } else {
+                        cluster.crash(cluster.leader(), cluster.random.nextBoolean() ? 200 : 4000);
+                    }
+                });
+                cluster.at(
+                        i * 11_000L + 3000 + cluster.random.nextInt(4000),
+                        () -> cancelRunning(
+                                cluster, "", machine -> cluster.random.nextInt(6) == 0, "cancelled meanwhile"));
+            }
+            cluster.at(48_000, () -> cluster.outage(13_000));
+        });
+        assertOccurred(occurred, 8 * SEEDS, "leader changed");
+        assertOccurred(occurred, SEEDS, "cancelled meanwhile");
+    }
+
+    /** All controllers crash, one is back within a second, and partitions move to it and back. */
+    @Test
+    void allEndAndOneReturnsWithinASecond() {
+        Map<String, Integer> occurred = play(cluster -> {
+            longWork(cluster, 10);
+            shortWork(cluster, 15, 80_000);
+            for (long time = 15_000; time < 100_000; time += 25_000) {
+                cluster.at(time, () -> {
+                    int first = cluster.random.nextInt(cluster.nodes.size());
+                    for (int i = 0; i < cluster.nodes.size(); i++) {
+                        cluster.crash("n" + i, i == first ? 300 : 6000 + cluster.random.nextInt(3000));
+                    }
+                    cluster.met("all ended");
+                    cluster.at(7000 + cluster.random.nextInt(2000), () -> cluster.crash("n" + first, 400));
+                    cluster.at(
+                            2500,
+                            () -> cancelRunning(
+                                    cluster,
+                                    "",
+                                    machine -> cluster.random.nextInt(4) == 0,
+                                    "cancelled while one is back"));
+                });
+            }
+        });
+        assertOccurred(occurred, 3 * SEEDS, "all ended");
+        assertOccurred(occurred, SEEDS, "leader changed", "cancelled while one is back");
+    }
+
+    /** All controllers are down for longer than a worker's lease: agent epochs end, and no task runs twice or is lost. */
+    @Test
+    void allAreAwayForLongerThanALease() {
+        Map<String, Integer> occurred = play(cluster -> {
+            longWork(cluster, 12);
+            cluster.at(20_000, () -> {
+                cluster.nodes.forEach(node ->
+                        cluster.crash(node.name, (int) SimulatedCluster.LEASE + 4000 + cluster.random.nextInt(4000)));
+                cluster.at(SimulatedCluster.LEASE + 3500, () -> {
+                    if (cluster.rules.running().isEmpty()) {
+                        cluster.met("every agent epoch ended");
+                    }
+                });
+            });
+        });
+        assertOccurred(occurred, SEEDS, "every agent epoch ended");
+    }
+
+    /** While an owner's partitions move, cancellations reach the task through the old owner or the new one. */
+    @Test
+    void cancelledWhileABlockChangesHands() {
+        Map<String, Integer> occurred = play(cluster -> {
+            longWork(cluster, 14);
+            shortWork(cluster, 10, 90_000);
+            for (long time = 20_000; time < 100_000; time += 20_000) {
+                cluster.at(time, () -> {
+                    String node = "n" + cluster.random.nextInt(cluster.nodes.size());
+                    switch (cluster.random.nextInt(3)) {
+                        case 0 -> cluster.crash(node, 2500);
+                        case 1 -> cluster.refuse(node, 4000);
+                        default -> cluster.cutFromAllButWorkers(node, 8000);
+                    }
+                    for (int ms = 0; ms < 5000; ms += 250) {
+                        cluster.at(
+                                ms,
+                                () -> cancelRunning(
+                                        cluster,
+                                        node,
+                                        machine ->
+                                                cluster.random.nextInt(25) == 0 && cluster.sinceMoved(machine) < 3000,
+                                        "cancelled while its partition moves"));
+                    }
+                });
+            }
+        });
+        assertOccurred(occurred, 2 * SEEDS, "cancelled while its partition moves");
+    }
+}
--- a/src/test/java/garnetscale/core/sim/SimulatedCluster.java
+++ b/src/test/java/garnetscale/core/sim/SimulatedCluster.java
@@ -233,7 +233,7 @@
         for (WorkerHeartbeat r : kept) {
             for (SimulatedNode n : nodes) {
                 at(keptDelay + random.nextInt(400), () -> {
-                    met("old report at a new leader");
+                    met("old heartbeat at a new leader");
                     n.onHeartbeat(r, reply -> {});
                 });
             }
