--- a/src/test/java/garnetscale/core/sim/BalanceMeasurement.java
+++ b/src/test/java/garnetscale/core/sim/BalanceMeasurement.java
@@ -105,7 +105,7 @@
         figures.put("moves", (double) day.history().moves.size());
         figures.put("needless moves", (double) day.history().needless());
         figures.put("work lost to moves CPU-s", day.history().lostCpuS());
-        figures.put("rules broken", (double) cluster.rules.broken.size());
+        figures.put("rules broken", (double) cluster.rules.violations.size());
         figures.put(
                 "jobs not over",
                 (double) submitted.size()
@@ -118,11 +118,11 @@
         long at = FIRST + i * APART;
         cluster.at(at, () -> {
             submitted.put("wk-flex" + i, cluster.now);
-            cluster.submit("wk-flex" + i, "blue", 36 + cluster.random.nextInt(9), 4, 120);
+            cluster.users.submit("wk-flex" + i, "blue", 36 + cluster.random.nextInt(9), 4, 120);
         });
         cluster.at(at + 8000 + cluster.random.nextInt(8000), () -> {
             submitted.put("wk-bound" + i, cluster.now);
-            cluster.submit("wk-bound" + i, "red", Priority.HIGH, 9 + cluster.random.nextInt(4), 12, 30, false);
+            cluster.users.submit("wk-bound" + i, "red", Priority.HIGH, 9 + cluster.random.nextInt(4), 12, 30, false);
         });
         if (troubles) {
             cluster.at(
--- a/src/test/java/garnetscale/core/sim/BalanceSimulationTest.java
+++ b/src/test/java/garnetscale/core/sim/BalanceSimulationTest.java
@@ -67,8 +67,8 @@
 
     /** The flexible team fills both types; ten seconds later the other one asks for the large type. */
     static void swell(SimulatedCluster cluster) {
-        cluster.at(SWELL, () -> cluster.submit("wk-flexible", "blue", 40, 4, FLEXIBLE_S));
-        cluster.at(SWELL + 10_000, () -> cluster.submit("wk-bound", "red", Priority.HIGH, 10, 12, 30, false));
+        cluster.at(SWELL, () -> cluster.users.submit("wk-flexible", "blue", 40, 4, FLEXIBLE_S));
+        cluster.at(SWELL + 10_000, () -> cluster.users.submit("wk-bound", "red", Priority.HIGH, 10, 12, 30, false));
     }
 
     /** Runs until every job is over; rules hold, and no moved task is lost. */
@@ -77,14 +77,14 @@
         cluster.run(SWELL + 60_000);
         for (long t = cluster.now; t < 900_000; t += 5000) {
             cluster.run(t);
-            if (cluster.rules.jobs.keySet().stream().allMatch(cluster::poll)) {
+            if (cluster.rules.jobs.keySet().stream().allMatch(cluster.users::poll)) {
                 break;
             }
         }
         cluster.rules.jobs.keySet().stream()
-                .filter(job -> !cluster.poll(job))
-                .forEach(job -> cluster.rules.broken.add("never over: " + job));
-        assertEquals(List.of(), cluster.rules.broken, "seed " + seed);
+                .filter(job -> !cluster.users.poll(job))
+                .forEach(job -> cluster.rules.violations.add("never over: " + job));
+        assertEquals(List.of(), cluster.rules.violations, "seed " + seed);
         assertEquals(new TreeSet<>(), day.history().lost(), "seed " + seed);
     }
 
@@ -116,10 +116,12 @@
     @Test
     void theLeaderEndsOrStandsStillOrIsRefusedAmidAMove() {
         play(day -> day.onFirstMove(move -> day.cluster().crash(day.cluster().leader(), 4000)));
-        play(day -> day.onFirstMove(move -> day.cluster().freeze(day.cluster().leader(), 30_000)));
-        play(day -> day.onFirstMove(move -> day.cluster().refuse(day.cluster().leader(), 20_000)));
         play(day -> day.onFirstMove(
-                move -> day.cluster().cutFromAllButWorkers(day.cluster().leader(), 30_000)));
+                move -> day.cluster().network.freeze(day.cluster().leader(), 30_000)));
+        play(day ->
+                day.onFirstMove(move -> day.cluster().state.refuse(day.cluster().leader(), 20_000)));
+        play(day -> day.onFirstMove(
+                move -> day.cluster().network.cutFromAllButWorkers(day.cluster().leader(), 30_000)));
     }
 
     /** Half of the transactions get no answer, carried out at once or late, and the leader ends among them. */
@@ -127,7 +129,7 @@
     void theStopsOutcomeIsUnknown() {
         for (boolean atOnce : List.of(true, false)) {
             play(day -> {
-                day.cluster().at(SWELL + 10_500, () -> day.cluster().late(20_000, 0.5, atOnce));
+                day.cluster().at(SWELL + 10_500, () -> day.cluster().state.late(20_000, 0.5, atOnce));
                 day.onFirstMove(move -> day.cluster().crash(day.cluster().leader(), 100));
             });
         }
@@ -169,7 +171,7 @@
         play(day -> day.onFirstMove(
                 move -> smallMachines(day, 6, id -> day.cluster().hang(id, 12_000))));
         play(day -> day.onFirstMove(
-                move -> smallMachines(day, 6, id -> day.cluster().cut(id, 15_000))));
+                move -> smallMachines(day, 6, id -> day.cluster().network.cut(id, 15_000))));
     }
 
     private static void smallMachines(Day day, int count, Consumer<String> trouble) {
@@ -181,14 +183,14 @@
 
     @Test
     void theMovingTaskIsCancelledOrItsMachineLost() {
-        play(day -> day.onFirstMove(move -> day.cluster().cancel("wk-flexible")));
-        play(day -> day.onFirstMove(move -> day.cluster().cut(move.machine(), 40_000)));
+        play(day -> day.onFirstMove(move -> day.cluster().users.cancel("wk-flexible")));
+        play(day -> day.onFirstMove(move -> day.cluster().network.cut(move.machine(), 40_000)));
         play(day -> day.onFirstMove(move -> day.cluster().hang(move.machine(), 14_000)));
     }
 
     @Test
     void theStateServiceIsOutAcrossAMove() {
-        play(day -> day.onFirstMove(move -> day.cluster().outage(25_000)));
+        play(day -> day.onFirstMove(move -> day.cluster().state.outage(25_000)));
     }
 
     /** Of so many lost messages late bids suffer, too, so that not every day has a move. */
@@ -198,8 +200,8 @@
         for (long seed = 1; seed <= SEEDS; seed++) {
             Day day = day(seed, SHAPE);
             swell(day.cluster());
-            day.cluster().at(SWELL, () -> day.cluster().loss = 0.1);
-            day.cluster().at(SWELL + 60_000, () -> day.cluster().loss = 0.002);
+            day.cluster().at(SWELL, () -> day.cluster().network.loss = 0.1);
+            day.cluster().at(SWELL + 60_000, () -> day.cluster().network.loss = 0.002);
             settle(day, seed);
             moves += day.history().moves.size();
         }
@@ -229,19 +231,21 @@
         for (long seed = 1; seed <= SEEDS; seed++) {
             Day balanced = day(seed, SHAPE);
             balanced.cluster().at(SWELL, () -> {
-                balanced.cluster().submit("wk-1", "blue", 12, 4, 60);
-                balanced.cluster().submit("wk-2", "red", Priority.HIGH, 6, 4, 60, false);
+                balanced.cluster().users.submit("wk-1", "blue", 12, 4, 60);
+                balanced.cluster().users.submit("wk-2", "red", Priority.HIGH, 6, 4, 60, false);
             });
             settle(balanced, seed);
             Day full = day(seed, SHAPE);
-            full.cluster().at(SWELL, () -> full.cluster().submit("wk-flexible", "blue", 50, 4, 60));
-            full.cluster().at(SWELL, () -> full.cluster().submit("wk-other", "red", 40, 4, 60));
+            full.cluster().at(SWELL, () -> full.cluster().users.submit("wk-flexible", "blue", 50, 4, 60));
+            full.cluster().at(SWELL, () -> full.cluster().users.submit("wk-other", "red", 40, 4, 60));
             full.cluster().at(SWELL + 10_000, () -> full.cluster()
+                    .users
                     .submit("wk-bound", "red", Priority.HIGH, 2, 12, 30, false));
             settle(full, seed);
             Day brief = day(seed, SHAPE);
-            brief.cluster().at(SWELL, () -> brief.cluster().submit("wk-flexible", "blue", 40, 4, 14));
+            brief.cluster().at(SWELL, () -> brief.cluster().users.submit("wk-flexible", "blue", 40, 4, 14));
             brief.cluster().at(SWELL + 10_000, () -> brief.cluster()
+                    .users
                     .submit("wk-bound", "red", Priority.HIGH, 10, 12, 30, false));
             settle(brief, seed);
             for (Day day : List.of(balanced, full, brief)) {
@@ -258,15 +262,15 @@
             SimulatedCluster cluster = day.cluster();
             cluster.at(
                     2000,
-                    () -> cluster.submit(TestJob.named("wk-costly")
+                    () -> cluster.users.submit(TestJob.named("wk-costly")
                             .team("blue")
                             .tasks(12)
                             .cpus(4)
                             .types(List.of(SMALL.name(), LARGE.name()))
                             .estimateS(SWELL / 1000.0 + 40)
                             .build()));
-            cluster.at(SWELL, () -> cluster.submit("wk-cheap", "blue", 28, 4, FLEXIBLE_S));
-            cluster.at(SWELL + 10_000, () -> cluster.submit("wk-bound", "red", Priority.HIGH, 10, 12, 30, false));
+            cluster.at(SWELL, () -> cluster.users.submit("wk-cheap", "blue", 28, 4, FLEXIBLE_S));
+            cluster.at(SWELL + 10_000, () -> cluster.users.submit("wk-bound", "red", Priority.HIGH, 10, 12, 30, false));
             settle(day, seed);
             assertTrue(!day.history().moves.isEmpty(), "seed " + seed + ": no move");
             assertEquals(
--- a/src/test/java/garnetscale/core/sim/ClusterShape.java
+++ b/src/test/java/garnetscale/core/sim/ClusterShape.java
@@ -80,7 +80,7 @@
                         new SchedulerConfig.Team("red", 8, red(), 0, Double.POSITIVE_INFINITY),
                         new SchedulerConfig.Team("blue", 8, blue(), 0, Double.POSITIVE_INFINITY))
                 .objectives(objectives.toArray(new SchedulerConfig.ServiceLevelObjective[0]))
-                .workers(SimulatedCluster.REPORT, SimulatedCluster.LEASE, SimulatedCluster.CANCEL)
+                .workers(SimulatedCluster.HEARTBEAT, SimulatedCluster.LEASE, SimulatedCluster.CANCEL)
                 .valueBytes(valueBytes)
                 .features(new Features(true, 0.5, layouts, Features.NEVER, balance))
                 .build();
--- a/src/test/java/garnetscale/core/sim/ConcurrentCancellationTest.java
+++ b/src/test/java/garnetscale/core/sim/ConcurrentCancellationTest.java
@@ -23,7 +23,7 @@
                 long at = 1000 + 250L * i;
                 cluster.at(
                         at,
-                        () -> cluster.submit(
+                        () -> cluster.users.submit(
                                 id,
                                 cluster.random.nextBoolean() ? "red" : "blue",
                                 1,
@@ -32,17 +32,18 @@
                 if (cluster.random.nextInt(4) == 0) {
                     cluster.at(
                             at + cluster.random.nextInt(8000),
-                            () -> cluster.met(cluster.cancelAt("n1", id) ? "cancelled" : "over or refused"));
+                            () -> cluster.met(cluster.users.cancelAt("n1", id) ? "cancelled" : "over or refused"));
                 }
             }
-            cluster.at(20_000, () -> cluster.late(20_000, 0.2, false));
+            cluster.at(20_000, () -> cluster.state.late(20_000, 0.2, false));
             cluster.at(30_000, () -> cluster.crash(cluster.leader(), 3000));
             cluster.at(60_000, () -> cluster.crash(cluster.leader(), 300));
             for (long time = 5000; time < 90_000; time += 5000) {
                 cluster.at(
                         time,
                         () -> assertTrue(
-                                cluster.state.list("g/", null, 1000).size() < 300, "keys that are kept are bounded"));
+                                cluster.state.model.list("g/", null, 1000).size() < 300,
+                                "keys that are kept are bounded"));
             }
         });
         assertOccurred(occurred, 3 * 25, "cancelled");
@@ -62,7 +63,7 @@
                     cluster.at(
                             cluster.random.nextInt(300),
                             () -> cluster.met(
-                                    cluster.cancelAt("n" + cluster.random.nextInt(3), task.job())
+                                    cluster.users.cancelAt("n" + cluster.random.nextInt(3), task.job())
                                             ? "cancelled while a start is on its way"
                                             : "over or refused"));
                 }
@@ -82,7 +83,7 @@
                     cluster.at(
                             cluster.random.nextInt(400),
                             () -> cluster.met(
-                                    cluster.cancelAt("n0", task.job())
+                                    cluster.users.cancelAt("n0", task.job())
                                             ? "cancelled before its end was stored"
                                             : "too late"));
                 }
@@ -95,14 +96,14 @@
     @Test
     void moreWorkThanRoomUrgentAndNot() {
         Map<String, Integer> occurred = play(cluster -> {
-            cluster.loss = 0.02;
+            cluster.network.loss = 0.02;
             for (int i = 0; i < 90; i++) {
                 String id = "wk-1" + i;
                 Priority priority = Priority.values()[cluster.random.nextInt(Priority.values().length)];
                 int tasks = 1 + cluster.random.nextInt(6);
                 cluster.at(
                         1000 + cluster.random.nextInt(50_000),
-                        () -> cluster.submit(
+                        () -> cluster.users.submit(
                                 id,
                                 cluster.random.nextBoolean() ? "red" : "blue",
                                 priority,
--- a/src/test/java/garnetscale/core/sim/ConcurrentFailures.java
+++ b/src/test/java/garnetscale/core/sim/ConcurrentFailures.java
@@ -43,11 +43,11 @@
         for (long seed = 1; seed <= seeds; seed++) {
             SimulatedCluster cluster = new SimulatedCluster(seed, SimulatedCluster.Fault.NONE, ClusterShape.SMALL);
             cluster.watches = true;
-            cluster.wordLoss = 0.5;
+            cluster.users.lostCancellationNotices = 0.5;
             script.accept(cluster);
             cluster.run(FAILURES_END_MS);
             settle(cluster);
-            assertEquals(List.of(), cluster.rules.broken, "seed " + seed);
+            assertEquals(List.of(), cluster.rules.violations, "seed " + seed);
             cluster.met.forEach((event, times) -> occurred.merge(event, times, Integer::sum));
             occurred.merge("starts after a cancellation", cluster.rules.startsAfterCancel, Integer::sum);
             occurred.merge("starts", cluster.rules.starts, Integer::sum);
@@ -59,15 +59,15 @@
     private static void settle(SimulatedCluster cluster) {
         for (long time = cluster.now; time < END_MS; time += POLL_MS) {
             cluster.run(time);
-            if (cluster.rules.jobs.keySet().stream().allMatch(cluster::poll)) {
+            if (cluster.rules.jobs.keySet().stream().allMatch(cluster.users::poll)) {
                 cluster.run(time + AFTERWARDS_MS);
-                cluster.rules.jobs.keySet().forEach(cluster::poll);
+                cluster.rules.jobs.keySet().forEach(cluster.users::poll);
                 return;
             }
         }
         cluster.rules.jobs.keySet().stream()
-                .filter(job -> !cluster.poll(job))
-                .forEach(job -> cluster.rules.broken.add("never over: " + job));
+                .filter(job -> !cluster.users.poll(job))
+                .forEach(job -> cluster.rules.violations.add("never over: " + job));
     }
 
     /** Each event occurred so many times at least, or the scenario misses its aim. */
@@ -83,7 +83,7 @@
             String id = "wk-1" + i;
             cluster.at(
                     1000 + 100L * i,
-                    () -> cluster.submit(id, id.hashCode() % 2 == 0 ? "red" : "blue", 2, 2, LONG_TASK_S));
+                    () -> cluster.users.submit(id, id.hashCode() % 2 == 0 ? "red" : "blue", 2, 2, LONG_TASK_S));
         }
     }
 
@@ -95,7 +95,7 @@
             int seconds = 1 + cluster.random.nextInt(8);
             cluster.at(
                     1000 + cluster.random.nextInt(overMs),
-                    () -> cluster.submit(id, cluster.random.nextBoolean() ? "red" : "blue", tasks, 1, seconds));
+                    () -> cluster.users.submit(id, cluster.random.nextBoolean() ? "red" : "blue", tasks, 1, seconds));
         }
     }
 
@@ -110,7 +110,7 @@
         for (String id : new TreeSet<>(jobs)) {
             if (!cluster.rules.isCancelled(id)
                     && cluster.nodes.stream()
-                            .anyMatch(node -> !node.name.equals(notAt) && cluster.cancelAt(node.name, id))) {
+                            .anyMatch(node -> !node.name.equals(notAt) && cluster.users.cancelAt(node.name, id))) {
                 cluster.met(event);
             }
         }
@@ -123,7 +123,7 @@
             int seconds = 5 + cluster.random.nextInt(25);
             cluster.at(
                     1000 + 1300L * i,
-                    () -> cluster.submit(id, cluster.random.nextBoolean() ? "red" : "blue", 3, 2, seconds));
+                    () -> cluster.users.submit(id, cluster.random.nextBoolean() ? "red" : "blue", 3, 2, seconds));
         }
     }
 
--- a/src/test/java/garnetscale/core/sim/ConcurrentLateHeartbeatTest.java
+++ b/src/test/java/garnetscale/core/sim/ConcurrentLateHeartbeatTest.java
@@ -46,7 +46,7 @@
                                 cluster, "", machine -> cluster.random.nextInt(5) == 0, "cancelled meanwhile"));
                 cluster.at(
                         9000,
-                        () -> cluster.cut(
+                        () -> cluster.network.cut(
                                 cluster.workers.get(cluster.random.nextInt(cluster.workers.size())).id, 14_000));
             });
         }
@@ -68,7 +68,7 @@
                 cluster.at(time, () -> {
                     String machine = cluster.workers.get(cluster.random.nextInt(cluster.workers.size())).id;
                     long agentEpoch = cluster.worker(machine).model.agentEpoch();
-                    cluster.deafen(machine, SimulatedCluster.LEASE + 3000);
+                    cluster.network.cutMessagesTo(machine, SimulatedCluster.LEASE + 3000);
                     cluster.at(SimulatedCluster.LEASE + 4000, () -> {
                         if (cluster.worker(machine).model.agentEpoch() > agentEpoch) {
                             cluster.met("copies of an earlier agent epoch");
--- a/src/test/java/garnetscale/core/sim/ConcurrentLateTransactionTest.java
+++ b/src/test/java/garnetscale/core/sim/ConcurrentLateTransactionTest.java
@@ -32,7 +32,7 @@
         return play(cluster -> {
             longWork(cluster, 6);
             shortWork(cluster, 25, 90_000);
-            cluster.at(5000, () -> cluster.late(85_000, 0.3, atOnce));
+            cluster.at(5000, () -> cluster.state.late(85_000, 0.3, atOnce));
             for (long time = 20_000; time < 90_000; time += 17_000) {
                 cluster.at(time, () -> cluster.crash(cluster.leader(), cluster.random.nextBoolean() ? 150 : 3000));
                 cluster.at(
@@ -49,10 +49,12 @@
         Map<String, Integer> occurred = play(cluster -> {
             int before = cluster.workers.size();
             // Four of the six are isolated, so that the new ones are needed.
-            cluster.workers.subList(0, 4).forEach(worker -> cluster.at(500, () -> cluster.cut(worker.id, 60_000)));
+            cluster.workers
+                    .subList(0, 4)
+                    .forEach(worker -> cluster.at(500, () -> cluster.network.cut(worker.id, 60_000)));
             longWork(cluster, 20);
             cluster.at(10_000, () -> {
-                cluster.late(15_000, 0.4, cluster.random.nextBoolean());
+                cluster.state.late(15_000, 0.4, cluster.random.nextBoolean());
                 for (int i = 0; i < 4; i++) {
                     int number = before + i;
                     cluster.at(cluster.random.nextInt(2000), () -> cluster.bring(number));
--- a/src/test/java/garnetscale/core/sim/ConcurrentLeaderFailureTest.java
+++ b/src/test/java/garnetscale/core/sim/ConcurrentLeaderFailureTest.java
@@ -31,7 +31,7 @@
             for (int i = 0; i < 24; i++) {
                 String id = "wk-1" + i;
                 int tasks = 2 + cluster.random.nextInt(2);
-                cluster.at(1000 + cluster.random.nextInt(60_000), () -> cluster.submit(id, "red", tasks, 2, 5));
+                cluster.at(1000 + cluster.random.nextInt(60_000), () -> cluster.users.submit(id, "red", tasks, 2, 5));
             }
             for (int i = 1; i <= 5; i++) {
                 cluster.at(i * 12_000L, () -> cluster.crash(cluster.leader(), 100 + cluster.random.nextInt(5000)));
@@ -49,7 +49,7 @@
             for (int i = 1; i <= 10; i++) {
                 cluster.at(i * 11_000L, () -> {
                     if (cluster.random.nextInt(3) == 0) {
-                        cluster.refuse(cluster.leader(), 3000);
+                        cluster.state.refuse(cluster.leader(), 3000);
                     } else {
                         cluster.crash(cluster.leader(), cluster.random.nextBoolean() ? 200 : 4000);
                     }
@@ -59,7 +59,7 @@
                         () -> cancelRunning(
                                 cluster, "", machine -> cluster.random.nextInt(6) == 0, "cancelled meanwhile"));
             }
-            cluster.at(48_000, () -> cluster.outage(13_000));
+            cluster.at(48_000, () -> cluster.state.outage(13_000));
         });
         assertOccurred(occurred, 8 * SEEDS, "leader changed");
         assertOccurred(occurred, SEEDS, "cancelled meanwhile");
@@ -122,8 +122,8 @@
                     String node = "n" + cluster.random.nextInt(cluster.nodes.size());
                     switch (cluster.random.nextInt(3)) {
                         case 0 -> cluster.crash(node, 2500);
-                        case 1 -> cluster.refuse(node, 4000);
-                        default -> cluster.cutFromAllButWorkers(node, 8000);
+                        case 1 -> cluster.state.refuse(node, 4000);
+                        default -> cluster.network.cutFromAllButWorkers(node, 8000);
                     }
                     for (int ms = 0; ms < 5000; ms += 250) {
                         cluster.at(
--- a/src/test/java/garnetscale/core/sim/ConcurrentMachineFailureTest.java
+++ b/src/test/java/garnetscale/core/sim/ConcurrentMachineFailureTest.java
@@ -25,7 +25,9 @@
         Map<String, Integer> occurred = play(2 * SEEDS, cluster -> {
             for (int i = 0; i < 12; i++) {
                 String id = "wk-1" + i;
-                cluster.at(1000 + 50L * i, () -> cluster.submit(id, id.hashCode() % 2 == 0 ? "red" : "blue", 4, 2, 40));
+                cluster.at(
+                        1000 + 50L * i,
+                        () -> cluster.users.submit(id, id.hashCode() % 2 == 0 ? "red" : "blue", 4, 2, 40));
             }
             for (long time = 20_000; time <= 80_000; time += 30_000) {
                 cluster.at(time, () -> {
@@ -35,8 +37,8 @@
                         hit.add(machine);
                         switch (cluster.random.nextInt(3)) {
                             case 0 -> cluster.hang(machine, 3000 + cluster.random.nextInt(5500));
-                            case 1 -> cluster.cut(machine, 4000 + cluster.random.nextInt(25_000));
-                            default -> cluster.deafen(machine, 4000 + cluster.random.nextInt(25_000));
+                            case 1 -> cluster.network.cut(machine, 4000 + cluster.random.nextInt(25_000));
+                            default -> cluster.network.cutMessagesTo(machine, 4000 + cluster.random.nextInt(25_000));
                         }
                     }
                     if (cluster.rules.used("red") + 2 > cluster.shape.red()
@@ -62,12 +64,12 @@
                 int tasks = i % 4 == 0 ? 12 : 2 + cluster.random.nextInt(3);
                 cluster.at(
                         1000 + cluster.random.nextInt(60_000),
-                        () -> cluster.submit(id, "red", Priority.NORMAL, tasks, 2, 15, true));
+                        () -> cluster.users.submit(id, "red", Priority.NORMAL, tasks, 2, 15, true));
             }
             for (long time = 15_000; time < 90_000; time += 12_000) {
                 cluster.at(
                         time,
-                        () -> cluster.cut(
+                        () -> cluster.network.cut(
                                 cluster.workers.get(cluster.random.nextInt(cluster.workers.size())).id,
                                 12_000 + cluster.random.nextInt(20_000)));
             }
@@ -75,7 +77,7 @@
                 if (!cluster.rules.running().isEmpty()) {
                     cluster.met("a zone is cut off with work in it");
                 }
-                cluster.cutZone("b", SimulatedCluster.LEASE + 8000);
+                cluster.network.cutZone("b", SimulatedCluster.LEASE + 8000);
             });
         });
         assertOccurred(occurred, SEEDS, "a zone is cut off with work in it");
@@ -88,7 +90,7 @@
             longWork(cluster, 14);
             cluster.at(20_000, () -> {
                 String zone = cluster.random.nextBoolean() ? "a" : "b";
-                cluster.cutZone(zone, SimulatedCluster.LEASE + 15_000);
+                cluster.network.cutZone(zone, SimulatedCluster.LEASE + 15_000);
                 cluster.at(
                         500 + cluster.random.nextInt(4000),
                         () -> cancelRunning(
@@ -110,7 +112,7 @@
             for (long time = 10_000; time < 90_000; time += 16_000) {
                 cluster.at(time, () -> {
                     for (int i = 0; i < 3; i++) {
-                        cluster.mute(
+                        cluster.network.mute(
                                 cluster.workers.get(cluster.random.nextInt(cluster.workers.size())).id,
                                 4000 + cluster.random.nextInt(20_000));
                     }
@@ -136,9 +138,9 @@
                         String machine = cluster.workers.get(cluster.random.nextInt(cluster.workers.size())).id;
                         long ms = 5000 + cluster.random.nextInt(20_000);
                         if (cluster.random.nextBoolean()) {
-                            cluster.deafen(machine, ms);
+                            cluster.network.cutMessagesTo(machine, ms);
                         } else {
-                            cluster.cut(machine, ms);
+                            cluster.network.cut(machine, ms);
                         }
                         if (cluster.rules.running().containsValue(machine)) {
                             cluster.met("a machine with tasks is unreachable");
--- a/src/test/java/garnetscale/core/sim/ConcurrentOutageTest.java
+++ b/src/test/java/garnetscale/core/sim/ConcurrentOutageTest.java
@@ -25,15 +25,15 @@
             longWork(cluster, 14);
             cluster.at(20_000 + cluster.random.nextInt(3000), () -> {
                 String leader = cluster.leader();
-                cluster.cutFromPeers(leader, 60_000);
-                cluster.refuse(leader, 14_000);
+                cluster.network.cutFromPeers(leader, 60_000);
+                cluster.state.refuse(leader, 14_000);
                 cluster.at(800 + cluster.random.nextInt(1000), () -> {
                     cancelRunning(
                             cluster,
                             leader,
                             machine -> cluster.holderOf(machine).equals(leader),
                             "cancelled while the owner is refused");
-                    cluster.outage(SimulatedCluster.CANCEL + 12_000);
+                    cluster.state.outage(SimulatedCluster.CANCEL + 12_000);
                 });
                 cluster.at(8000, () -> cluster.rules.running().keySet().forEach(task -> {
                     if (cluster.rules.isCancelled(task.job())) {
@@ -57,19 +57,19 @@
             longWork(cluster, 14);
             cluster.at(20_000, () -> {
                 String leader = cluster.leader();
-                cluster.cutFromPeers(leader, 80_000);
-                cluster.refuse(leader, 70_000);
+                cluster.network.cutFromPeers(leader, 80_000);
+                cluster.state.refuse(leader, 70_000);
                 cluster.at(1200, () -> {
                     cancelRunning(
                             cluster,
                             leader,
                             machine -> cluster.holderOf(machine).equals(leader),
                             "cancelled while the owner is refused");
-                    cluster.outage(12_000);
+                    cluster.state.outage(12_000);
                 });
                 cluster.at(14_500, () -> {
                     cancelRunning(cluster, leader, machine -> true, "cancelled between two outages");
-                    cluster.outage(SimulatedCluster.CANCEL + 5000);
+                    cluster.state.outage(SimulatedCluster.CANCEL + 5000);
                 });
             });
         });
@@ -81,17 +81,17 @@
     @Test
     void peersWordOfACancellationStopsItsTasksInAnOutage() {
         Map<String, Integer> occurred = play(cluster -> {
-            cluster.wordLoss = 0;
+            cluster.users.lostCancellationNotices = 0;
             longWork(cluster, 14);
             cluster.at(20_000, () -> {
                 String leader = cluster.leader();
-                cluster.refuse(leader, 14_000);
+                cluster.state.refuse(leader, 14_000);
                 cancelRunning(
                         cluster,
                         leader,
                         machine -> cluster.holderOf(machine).equals(leader),
                         "cancelled at the refusal");
-                cluster.at(1000, () -> cluster.outage(SimulatedCluster.CANCEL + 12_000));
+                cluster.at(1000, () -> cluster.state.outage(SimulatedCluster.CANCEL + 12_000));
                 cluster.at(7000, () -> cluster.rules.running().keySet().forEach(task -> {
                     if (cluster.rules.isCancelled(task.job())) {
                         cluster.met("still running 7 s after its cancellation");
@@ -112,7 +112,7 @@
             shortWork(cluster, 10, 60_000);
             cluster.at(20_000, () -> {
                 String old = cluster.leader();
-                cluster.cutFromAllButWorkers(old, 30_000);
+                cluster.network.cutFromAllButWorkers(old, 30_000);
                 cluster.at(
                         2500 + cluster.random.nextInt(4000),
                         () -> cancelRunning(
@@ -132,11 +132,11 @@
             longWork(cluster, 8);
             shortWork(cluster, 20, 90_000);
             cluster.at(10_000, () -> {
-                cluster.slowMs = 1400;
-                cluster.slowUntil = cluster.now + 70_000;
+                cluster.state.slowMs = 1400;
+                cluster.state.slowUntil = cluster.now + 70_000;
             });
             cluster.at(40_000, () -> {
-                cluster.refuse(cluster.leader(), 6000);
+                cluster.state.refuse(cluster.leader(), 6000);
                 cluster.met("refused amid slow answers");
             });
             cluster.at(
--- a/src/test/java/garnetscale/core/sim/DecisionDigest.java
+++ b/src/test/java/garnetscale/core/sim/DecisionDigest.java
@@ -83,7 +83,7 @@
             String day, long seed, SimulatedCluster cluster, Script script, DecisionRecorder recorder) {
         cluster.decisions = recorder;
         script.play(cluster);
-        assertEquals(List.of(), cluster.rules.broken, day + " " + seed);
+        assertEquals(List.of(), cluster.rules.violations, day + " " + seed);
         assertTrue(recorder.transactionCount() > 0 && recorder.effectCount() > 0 && recorder.replyCount() > 0, day);
         return String.format(
                 Locale.ROOT,
@@ -110,13 +110,13 @@
     /** Watches besides short requests, limited writes, transactions without an answer, machines that hang or are taken away. */
     private static void watchDay(SimulatedCluster cluster) {
         cluster.watches = true;
-        cluster.limitWrites();
+        cluster.state.limitWrites();
         submitJobs(cluster, ORDINARY_END / 2, 20, 12);
-        cluster.at(20_000, () -> cluster.late(20_000, 0.3, false));
-        cluster.at(50_000, () -> cluster.late(20_000, 0.3, true));
+        cluster.at(20_000, () -> cluster.state.late(20_000, 0.3, false));
+        cluster.at(50_000, () -> cluster.state.late(20_000, 0.3, true));
         cluster.at(75_000, () -> cluster.hang(cluster.workers.get(0).id, 12_000));
         cluster.at(80_000, () -> cluster.drain(cluster.workers.get(1).id, 20));
-        cluster.at(90_000, () -> cluster.outage(8000));
+        cluster.at(90_000, () -> cluster.state.outage(8000));
         scheduleTroubles(cluster, ORDINARY_END / 2);
         cluster.run(ORDINARY_END);
     }
@@ -158,11 +158,11 @@
             int tasks = 1 + cluster.random.nextInt(mostTasks);
             double cpus = 1 + cluster.random.nextInt(4);
             double seconds = 1 + cluster.random.nextInt(25);
-            cluster.at(cluster.random.nextInt(until), () -> cluster.submit(job, team, tasks, cpus, seconds));
+            cluster.at(cluster.random.nextInt(until), () -> cluster.users.submit(job, team, tasks, cpus, seconds));
             if (cluster.random.nextInt(8) == 0) {
-                cluster.broken.add(job);
+                cluster.failingJobs.add(job);
             } else if (cluster.random.nextInt(4) == 0) {
-                cluster.at(cluster.random.nextInt(until) + 20_000, () -> cluster.cancel(job));
+                cluster.at(cluster.random.nextInt(until) + 20_000, () -> cluster.users.cancel(job));
             }
         }
     }
@@ -170,7 +170,7 @@
     private static void scheduleTroubles(SimulatedCluster cluster, int until) {
         for (int i = 0; i < TROUBLE_COUNT; i++) {
             int at = TROUBLE_FROM + cluster.random.nextInt(until - TROUBLE_FROM);
-            cluster.at(at, () -> SimulationTest.trouble(cluster));
+            cluster.at(at, () -> SimulationTest.injectFailure(cluster));
         }
     }
 }
--- a/src/test/java/garnetscale/core/sim/FourThousandMachinesTest.java
+++ b/src/test/java/garnetscale/core/sim/FourThousandMachinesTest.java
@@ -24,18 +24,18 @@
 
     private void submit(long at, String id, int tasks, double seconds) {
         jobs.add(id);
-        cluster.at(at, () -> cluster.submit(id, tasks % 2 == 0 ? "red" : "blue", tasks, 1, seconds));
+        cluster.at(at, () -> cluster.users.submit(id, tasks % 2 == 0 ? "red" : "blue", tasks, 1, seconds));
     }
 
     @Test
     void fourThousandMachinesKeepTheRulesWithinTheLimits() {
-        cluster.limitWrites();
+        cluster.state.limitWrites();
         for (int i = 0; i < 12; i++) {
             submit(5000 + 2500 * i, "wk-" + i, 1000 + i, 20 + i);
         }
         submit(8000, "wk-large", 2 * MACHINES, 40);
         cluster.at(30_000, () -> cluster.crash(cluster.leader(), 5000));
-        cluster.at(45_000, () -> cluster.cancel("wk-large"));
+        cluster.at(45_000, () -> cluster.users.cancel("wk-large"));
         cluster.at(60_000, () -> cluster.nodes.subList(1, 5).forEach(node -> node.crash(15_000)));
         long over = 0;
         for (long t = 5000; t <= END && over == 0; t += 5000) {
@@ -43,14 +43,14 @@
             long now = t;
             List<String> submitted =
                     jobs.stream().filter(cluster.rules.jobs::containsKey).toList();
-            if (submitted.size() == jobs.size() && submitted.stream().allMatch(cluster::poll)) {
+            if (submitted.size() == jobs.size() && submitted.stream().allMatch(cluster.users::poll)) {
                 over = now;
             }
         }
-        assertEquals(List.of(), cluster.rules.broken);
+        assertEquals(List.of(), cluster.rules.violations);
         assertTrue(over > 0, "not all jobs are over at the end");
-        assertEquals(List.of(), cluster.state.oversized());
-        assertEquals(0, cluster.refusedWrites);
+        assertEquals(List.of(), cluster.state.model.oversized());
+        assertEquals(0, cluster.state.refusedWrites);
         assertTrue(cluster.rules.starts > 3 * MACHINES, "only " + cluster.rules.starts + " starts");
         assertEquals(Layouts.SPLIT_SNAPSHOT, cluster.stored().layout());
     }
--- a/src/test/java/garnetscale/core/sim/Rules.java
+++ b/src/test/java/garnetscale/core/sim/ProtocolRules.java
@@ -13,14 +13,14 @@
 import java.util.function.BiPredicate;
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
+import java.util.stream.IntStream;
 
-/** PROTOCOL's rules, watched from outside: what truly runs where, whatever the controllers believe. */
-final class Rules implements WorkerModel.Watcher {
+/** Checks PROTOCOL's rules from outside, by what truly runs where, whatever the controllers believe. */
+final class ProtocolRules implements WorkerModel.Watcher {
 
-    final List<String> broken = new ArrayList<>();
+    final List<String> violations = new ArrayList<>();
     final Map<String, JobSpec> jobs = new HashMap<>();
     private final Map<TaskId, String> running = new HashMap<>();
-    private final Map<TaskId, Long> began = new HashMap<>();
     private final Map<String, Long> cancelledAt = new HashMap<>();
     private final Map<String, String> told = new HashMap<>();
     private final Set<TaskId> completed = new HashSet<>();
@@ -28,7 +28,7 @@
     private final long cancelMs;
     private final LongSupplier clock;
     private final Map<String, String> zones;
-    /** Whether a stored placement names an attempt on a machine: nothing may run without one. */
+    /** Whether a stored placement names an attempt on a machine: no task may run without one. */
     BiPredicate<String, Long> placed = (machine, attempt) -> true;
     /** Told of each task that truly began, with its machine. */
     BiConsumer<String, TaskId> onBegan = (machine, task) -> {};
@@ -40,15 +40,15 @@
     /** Starts by job. */
     final Map<String, Integer> startsOf = new HashMap<>();
 
-    Rules(Map<String, Double> limits, Map<String, String> zones, long cancelMs, LongSupplier clock) {
+    ProtocolRules(Map<String, Double> limits, Map<String, String> zones, long cancelMs, LongSupplier clock) {
         this.limits = limits;
         this.zones = zones;
         this.cancelMs = cancelMs;
         this.clock = clock;
     }
 
-    private void broke(String rule, String what) {
-        broken.add(clock.getAsLong() + " " + rule + ": " + what);
+    private void violated(String rule, String what) {
+        violations.add(clock.getAsLong() + " " + rule + ": " + what);
     }
 
     @Override
@@ -56,32 +56,33 @@
         starts++;
         startsOf.merge(task.job(), 1, Integer::sum);
         onBegan.accept(machine, task);
-        String other = running.put(task, machine);
-        if (other != null) {
-            broke("ran_twice", task + " starts on " + machine + " while on " + other);
+        String before = running.put(task, machine);
+        if (before != null) {
+            violated("ran_twice", task + " starts on " + machine + " while on " + before);
         }
-        began.put(task, clock.getAsLong());
         if (!placed.test(machine, attempt)) {
-            broke("unplaced", task + " starts on " + machine + " as attempt " + attempt);
+            violated("unplaced", task + " starts on " + machine + " as attempt " + attempt);
         }
         JobSpec job = jobs.get(task.job());
         double used = 0;
-        for (TaskId t : running.keySet()) {
-            JobSpec j = jobs.get(t.job());
-            used += j.team().equals(job.team()) ? j.cpus() : 0;
+        for (TaskId other : running.keySet()) {
+            JobSpec otherJob = jobs.get(other.job());
+            used += otherJob.team().equals(job.team()) ? otherJob.cpus() : 0;
             if (job.zoneAffinity()
-                    && t.job().equals(task.job())
-                    && !zones.get(running.get(t)).equals(zones.get(machine))) {
-                broke("wrong_place", task + " starts on " + machine + " while " + t + " is on " + running.get(t));
+                    && other.job().equals(task.job())
+                    && !zones.get(running.get(other)).equals(zones.get(machine))) {
+                violated(
+                        "wrong_place",
+                        task + " starts on " + machine + " while " + other + " is on " + running.get(other));
             }
         }
         if (used > limits.get(job.team()) + 1e-6) {
-            broke("quota", job.team() + " uses " + used);
+            violated("quota", job.team() + " uses " + used);
         }
         Long cancelled = cancelledAt.get(task.job());
         startsAfterCancel += cancelled != null ? 1 : 0;
         if (cancelled != null && clock.getAsLong() - cancelled > cancelMs) {
-            broke("ran_cancelled", task + " starts");
+            violated("ran_cancelled", task + " starts");
         }
     }
 
@@ -110,24 +111,23 @@
 
     /** Whether every task of the job has completed somewhere. */
     boolean isComplete(String job) {
-        return java.util.stream.IntStream.range(0, jobs.get(job).tasks())
-                .allMatch(i -> completed.contains(new TaskId(job, i)));
+        return IntStream.range(0, jobs.get(job).tasks()).allMatch(i -> completed.contains(new TaskId(job, i)));
     }
 
     /** CPUs that a team's tasks use now. */
     double used(String team) {
         return running.keySet().stream()
-                .map(t -> jobs.get(t.job()))
-                .filter(j -> j.team().equals(team))
+                .map(task -> jobs.get(task.job()))
+                .filter(job -> job.team().equals(team))
                 .mapToDouble(JobSpec::cpus)
                 .sum();
     }
 
-    /** A user was told of a state; it may never be gone back on. */
+    /** A user was told of a state; a terminal one may not change any more. */
     void told(String job, String state) {
         String before = told.put(job, state);
         if (before != null && !before.equals(state) && !before.equals("LIVE")) {
-            broke("went_back", job + " from " + before + " to " + state);
+            violated("went_back", job + " from " + before + " to " + state);
         }
         if (state.equals("CANCELLED")) {
             cancelledAt.putIfAbsent(job, clock.getAsLong());
@@ -135,19 +135,19 @@
         if (state.equals("DONE")) {
             for (int i = 0; i < jobs.get(job).tasks(); i++) {
                 if (!completed.contains(new TaskId(job, i))) {
-                    broke("not_done", job + " without task " + i);
+                    violated("not_done", job + " without task " + i);
                     return;
                 }
             }
         }
     }
 
-    /** What must hold at any moment. */
+    /** Checks what must hold at any time. */
     void check() {
-        for (TaskId t : running.keySet()) {
-            Long cancelled = cancelledAt.get(t.job());
+        for (TaskId other : running.keySet()) {
+            Long cancelled = cancelledAt.get(other.job());
             if (cancelled != null && clock.getAsLong() - cancelled > cancelMs) {
-                broke("ran_cancelled", t + " is on " + running.get(t));
+                violated("ran_cancelled", other + " is on " + running.get(other));
             }
         }
     }
--- a/src/test/java/garnetscale/core/sim/SimulatedNode.java
+++ b/src/test/java/garnetscale/core/sim/SimulatedNode.java
@@ -67,7 +67,7 @@
                 cluster.unbalanced.contains(name) ? cluster.shape.withBalance(BalanceSettings.OFF) : cluster.shape;
         SchedulerConfig p = shape.config(name, layouts);
         PartitionMap partitions = new PartitionMap(p);
-        owner = new PartitionOwner(p, replica, partitions, new Estimator(SimulatedCluster.REPORT));
+        owner = new PartitionOwner(p, replica, partitions, new Estimator(SimulatedCluster.HEARTBEAT));
         leader = new Leader(p, replica, partitions, line -> cluster.onLog.accept(name, line));
         pipeline = new TransactionPipeline(replica, leader);
         double leaderWrites = SimulatedCluster.LEADER_SHARE * p.stateWritesPerS();
@@ -107,11 +107,11 @@
 
     /** One of the node's own timers. */
     private void after(long ms, Runnable run) {
-        cluster.at(ms, () -> cluster.thawed(name, run));
+        cluster.at(ms, () -> cluster.network.thawed(name, run));
     }
 
     void crash(long downMs) {
-        cluster.frozenUntil.remove(name);
+        cluster.network.frozenUntil.remove(name);
         up = false;
         life++;
         cluster.at(downMs, this::start);
@@ -122,7 +122,7 @@
             if (n == this) {
                 message.accept(n);
             } else {
-                cluster.send(name, n.name, () -> {
+                cluster.network.send(name, n.name, () -> {
                     if (n.up) {
                         message.accept(n);
                     }
@@ -135,16 +135,16 @@
     private <T> void ask(java.util.function.Supplier<T> request, T refused, Consumer<T> answer, Runnable lost) {
         int mine = life;
         boolean[] over = new boolean[1];
-        cluster.send(name, "state", () -> {
-            T result = cluster.refuses(name) ? refused : request.get();
-            Runnable back = () -> cluster.send("state", name, () -> {
+        cluster.network.send(name, "state", () -> {
+            T result = cluster.state.refuses(name) ? refused : request.get();
+            Runnable back = () -> cluster.network.send("state", name, () -> {
                 if (life == mine && !over[0]) {
                     over[0] = true;
                     answer.accept(result);
                 }
             });
-            if (cluster.now < cluster.slowUntil) {
-                cluster.at(cluster.random.nextInt(cluster.slowMs), back);
+            if (cluster.now < cluster.state.slowUntil) {
+                cluster.at(cluster.random.nextInt(cluster.state.slowMs), back);
             } else {
                 back.run();
             }
@@ -165,13 +165,13 @@
         int mine = life;
         long sentAt = cluster.now;
         long since = replica.revision();
-        cluster.send(
+        cluster.network.send(
                 name,
                 "state",
                 () -> hangOpen(
                         since,
                         cluster.now + 3000,
-                        a -> cluster.send("state", name, () -> {
+                        a -> cluster.network.send("state", name, () -> {
                             if (life == mine && !listing) {
                                 replica.advance(a.changes(), a.revision());
                                 if (!replica.inconsistent()) {
@@ -182,14 +182,15 @@
     }
 
     private void hangOpen(long since, long until, Consumer<Answer> answer) {
-        List<KeyChange> changes = cluster.refuses(name) ? List.of() : cluster.state.changes(Keys.MIRRORED, since);
-        if (cluster.refuses(name) || changes.isEmpty() && cluster.now < until) {
-            if (cluster.refuses(name)) {
+        List<KeyChange> changes =
+                cluster.state.refuses(name) ? List.of() : cluster.state.model.changes(Keys.MIRRORED, since);
+        if (cluster.state.refuses(name) || changes.isEmpty() && cluster.now < until) {
+            if (cluster.state.refuses(name)) {
                 cluster.met("a watch hung open through a refusal");
             }
             cluster.at(40, () -> hangOpen(since, until, answer));
         } else {
-            answer.accept(new Answer(changes, cluster.state.revision()));
+            answer.accept(new Answer(changes, cluster.state.model.revision()));
         }
     }
 
@@ -200,7 +201,7 @@
         }
         if (lease < 0) {
             ask(
-                    () -> cluster.state.grant(cluster.now, 1500),
+                    () -> cluster.state.model.grant(cluster.now, 1500),
                     -1L,
                     id -> {
                         if (lease < 0 && id >= 0) {
@@ -212,7 +213,7 @@
         }
         long mine = lease;
         ask(
-                () -> cluster.state.touch(cluster.now, mine) ? 1 : 0,
+                () -> cluster.state.model.touch(cluster.now, mine) ? 1 : 0,
                 -1,
                 ok -> {
                     if (ok == 0 && lease == mine) {
@@ -238,7 +239,7 @@
         long sentAt = cluster.now;
         long since = replica.revision();
         ask(
-                () -> new Answer(cluster.state.changes(Keys.MIRRORED, since), cluster.state.revision()),
+                () -> new Answer(cluster.state.model.changes(Keys.MIRRORED, since), cluster.state.model.revision()),
                 new Answer(null, 0),
                 a -> {
                     if (a.changes() != null && !listing) {
@@ -255,7 +256,8 @@
     private void page(long sentAt, String since, List<KeyChange> sofar, long first) {
         ask(
                 () -> new Answer(
-                        cluster.state.list(Keys.MIRRORED, since, SimulatedCluster.PAGE), cluster.state.revision()),
+                        cluster.state.model.list(Keys.MIRRORED, since, SimulatedCluster.PAGE),
+                        cluster.state.model.revision()),
                 new Answer(null, 0),
                 a -> {
                     if (a.changes() == null) {
@@ -305,12 +307,12 @@
         }
         replica.guardVersion(transaction);
         cluster.decisions.onTransaction(cluster.now, name, transaction);
-        if (cluster.now < cluster.lateUntil && cluster.random.nextDouble() < cluster.lateShare) {
+        if (cluster.now < cluster.state.lateUntil && cluster.random.nextDouble() < cluster.state.lateShare) {
             int mine = life;
             cluster.at(
-                    cluster.lateAtOnce ? 1 + cluster.random.nextInt(5) : 2000 + cluster.random.nextInt(10_000),
+                    cluster.state.lateAtOnce ? 1 + cluster.random.nextInt(5) : 2000 + cluster.random.nextInt(10_000),
                     () -> cluster.met(
-                            cluster.now >= cluster.outageUntil && cluster.commit(this, transaction) == 200
+                            cluster.now >= cluster.state.outageUntil && cluster.state.commit(this, transaction) == 200
                                     ? "carried out without an answer"
                                     : "late and overtaken"));
             after(2000, () -> {
@@ -322,15 +324,15 @@
         }
         ask(
                 () -> {
-                    int status = cluster.commit(this, transaction);
+                    int status = cluster.state.commit(this, transaction);
                     TransactionOutcome result = status == 200
                             ? TransactionOutcome.OK
                             : status == 409
                                     ? TransactionOutcome.CONFLICT
-                                    : status == SimulatedCluster.TOO_MANY
+                                    : status == SimulatedStateService.TOO_MANY
                                             ? TransactionOutcome.REFUSED
                                             : TransactionOutcome.NO_LEASE;
-                    return new Object[] {result, cluster.state.revision()};
+                    return new Object[] {result, cluster.state.model.revision()};
                 },
                 new Object[] {TransactionOutcome.REFUSED, -1L},
                 r -> done.accept((TransactionOutcome) r[0], (Long) r[1]),
@@ -363,7 +365,7 @@
         if (cluster.fault == SimulatedCluster.Fault.FREE_UNSEEN && cluster.random.nextInt(50) == 0) {
             lie(List.copyOf(leader.machines()));
         }
-        if (cluster.paced != null && pace.waitMs(cluster.now, 1) > 0) {
+        if (cluster.state.limitsWrites && pace.waitMs(cluster.now, 1) > 0) {
             return;
         }
         Transaction transaction = pipeline.next(() -> leader.plan(cluster.now));
@@ -424,10 +426,10 @@
             WorkerModel w = cluster.worker(p.machine()).model;
             int mine = life;
             boolean[] over = new boolean[1];
-            cluster.send(name, p.machine(), () -> {
+            cluster.network.send(name, p.machine(), () -> {
                 w.advance(cluster.now);
                 WorkerHeartbeat r = w.heartbeat();
-                cluster.send(p.machine(), name, () -> {
+                cluster.network.send(p.machine(), name, () -> {
                     if (life == mine && !over[0]) {
                         over[0] = true;
                         owner.onProbeEnded();
@@ -449,7 +451,7 @@
             if (to == this) {
                 message.accept(this);
             } else {
-                cluster.send(name, to.name, () -> {
+                cluster.network.send(name, to.name, () -> {
                     if (to.up) {
                         message.accept(to);
                     }
@@ -469,10 +471,10 @@
         WorkerModel w = cluster.worker(c.machine()).model;
         int mine = life;
         boolean[] over = new boolean[1];
-        cluster.send(name, c.machine(), () -> {
+        cluster.network.send(name, c.machine(), () -> {
             w.command(cluster.now, c.fencingToken(), c.agentEpoch(), c.commands());
             WorkerHeartbeat r = w.heartbeat();
-            cluster.send(c.machine(), name, () -> {
+            cluster.network.send(c.machine(), name, () -> {
                 if (life == mine && !over[0]) {
                     over[0] = true;
                     owner.onCommandAnswer(cluster.now, c.machine(), c.fencingToken(), r);
--- a/src/test/java/garnetscale/core/sim/SimulatedWorker.java
+++ b/src/test/java/garnetscale/core/sim/SimulatedWorker.java
@@ -19,14 +19,14 @@
         this.id = id;
         this.model =
                 new WorkerModel(id, id, type, zone, SimulatedCluster.LEASE, 0, cluster.rules.jobs::get, cluster.rules);
-        model.fail(t -> cluster.broken.contains(t.job()));
+        model.fail(t -> cluster.failingJobs.contains(t.job()));
         cluster.at(cluster.random.nextInt(1000), this::heartbeat);
     }
 
     /** One report in flight at a time; its answer counts for four seconds. */
     private void heartbeat() {
-        if (cluster.isFrozen(id)) {
-            cluster.thawed(id, this::heartbeat);
+        if (cluster.network.isFrozen(id)) {
+            cluster.network.thawed(id, this::heartbeat);
             return;
         }
         model.advance(cluster.now);
@@ -44,18 +44,18 @@
         if (cluster.now < cluster.keepUntil && cluster.kept.size() < 200) {
             cluster.kept.add(r);
         }
-        if (cluster.now < cluster.muteUntil.getOrDefault(id, 0L)) {
+        if (cluster.now < cluster.network.muteUntil.getOrDefault(id, 0L)) {
             cluster.met("a machine that reaches no controller");
             next(1000);
             return;
         }
-        cluster.send(
+        cluster.network.send(
                 id,
                 node.name,
                 () -> node.onHeartbeat(
                         r,
-                        reply -> cluster.send(node.name, id, () -> {
-                            if (mine == generation && !cluster.isFrozen(id)) {
+                        reply -> cluster.network.send(node.name, id, () -> {
+                            if (mine == generation && !cluster.network.isFrozen(id)) {
                                 generation++;
                                 answered(r, sentAt, reply);
                             }
@@ -72,7 +72,7 @@
         if (reply instanceof HeartbeatReply.Acknowledge a) {
             model.answered(cluster.now, sentAt, r.agentEpoch(), a.fencingToken(), a.commands());
             cluster.at(
-                    SimulatedCluster.REPORT * 3 / 4 + cluster.random.nextInt((int) SimulatedCluster.REPORT / 2),
+                    SimulatedCluster.HEARTBEAT * 3 / 4 + cluster.random.nextInt((int) SimulatedCluster.HEARTBEAT / 2),
                     this::heartbeat);
         } else if (reply instanceof HeartbeatReply.Redirect to && to.node() != null) {
             target = Integer.parseInt(to.node().substring(1));
--- a/src/test/java/garnetscale/core/sim/SimulationTest.java
+++ b/src/test/java/garnetscale/core/sim/SimulationTest.java
@@ -8,116 +8,130 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Many seeded days of failures, singly and together, with PROTOCOL's rules watched from outside. */
+/** Many seeded scenarios with random failures, checked against PROTOCOL's rules from outside. */
 class SimulationTest {
 
     private static final int SEEDS = Integer.getInteger("seeds", 80);
-    private static final long TROUBLE = 150_000;
+    private static final long FAILURES_END_MS = 150_000;
 
-    /** Plays a day; the jobs must all be over some time after the last failure. */
+    /** Plays a scenario; all jobs have to be terminal some time after the last failure. */
     private static SimulatedCluster day(long seed, SimulatedCluster.Fault fault) {
         return day(seed, fault, ClusterShape.SMALL, 14, 12);
     }
 
     private static SimulatedCluster day(
-            long seed, SimulatedCluster.Fault fault, ClusterShape shape, int count, int most) {
-        return day(seed, fault, shape, count, most, false);
+            long seed, SimulatedCluster.Fault fault, ClusterShape shape, int jobCount, int maxTasks) {
+        return day(seed, fault, shape, jobCount, maxTasks, false);
     }
 
     private static SimulatedCluster day(
-            long seed, SimulatedCluster.Fault fault, ClusterShape shape, int count, int most, boolean guests) {
-        SimulatedCluster w = new SimulatedCluster(seed, fault, shape);
+            long seed,
+            SimulatedCluster.Fault fault,
+            ClusterShape shape,
+            int jobCount,
+            int maxTasks,
+            boolean extraJobs) {
+        SimulatedCluster cluster = new SimulatedCluster(seed, fault, shape);
         List<String> jobs = new ArrayList<>();
-        if (guests) {
+        if (extraJobs) {
             for (int i = 0; i < 150; i++) {
                 String id = "wk-swarm" + i;
                 jobs.add(id);
-                w.at(40_000 + w.random.nextInt(10_000), () -> w.submit(id, "blue", 1, 0.25, 15));
+                cluster.at(
+                        40_000 + cluster.random.nextInt(10_000), () -> cluster.users.submit(id, "blue", 1, 0.25, 15));
             }
             jobs.add("wk-giant");
-            w.at(30_000, () -> w.submit("wk-giant", "blue", 1500, 0.5, 1));
+            cluster.at(30_000, () -> cluster.users.submit("wk-giant", "blue", 1500, 0.5, 1));
         }
-        for (int i = 0; i < count; i++) {
+        for (int i = 0; i < jobCount; i++) {
             String id = "wk-" + i;
             jobs.add(id);
-            String team = w.random.nextBoolean() ? "red" : "blue";
-            int tasks = 1 + w.random.nextInt(most);
-            double cpus = 1 + w.random.nextInt(4);
-            double seconds = 1 + w.random.nextInt(25);
-            w.at(w.random.nextInt((int) TROUBLE), () -> w.submit(id, team, tasks, cpus, seconds));
-            if (w.random.nextInt(12) == 0) {
-                w.broken.add(id);
-                w.at((int) TROUBLE + 60_000, () -> w.cancel(id));
-            } else if (w.random.nextInt(4) == 0) {
-                w.at(w.random.nextInt((int) TROUBLE) + 20_000, () -> w.cancel(id));
+            String team = cluster.random.nextBoolean() ? "red" : "blue";
+            int tasks = 1 + cluster.random.nextInt(maxTasks);
+            double cpus = 1 + cluster.random.nextInt(4);
+            double seconds = 1 + cluster.random.nextInt(25);
+            cluster.at(
+                    cluster.random.nextInt((int) FAILURES_END_MS),
+                    () -> cluster.users.submit(id, team, tasks, cpus, seconds));
+            if (cluster.random.nextInt(12) == 0) {
+                cluster.failingJobs.add(id);
+                cluster.at((int) FAILURES_END_MS + 60_000, () -> cluster.users.cancel(id));
+            } else if (cluster.random.nextInt(4) == 0) {
+                cluster.at(cluster.random.nextInt((int) FAILURES_END_MS) + 20_000, () -> cluster.users.cancel(id));
             }
         }
         for (int i = 0; i < 10; i++) {
-            w.at(5000 + w.random.nextInt((int) TROUBLE - 5000), () -> trouble(w));
+            cluster.at(5000 + cluster.random.nextInt((int) FAILURES_END_MS - 5000), () -> injectFailure(cluster));
         }
-        w.run(TROUBLE);
-        for (long t = TROUBLE; t < TROUBLE + 500_000; t += 5000) {
-            w.run(t);
-            if (jobs.stream().filter(j -> w.rules.jobs.containsKey(j)).allMatch(w::poll)) {
-                w.run(t + 70_000);
-                jobs.forEach(w::poll);
-                return w;
+        cluster.run(FAILURES_END_MS);
+        for (long time = FAILURES_END_MS; time < FAILURES_END_MS + 500_000; time += 5000) {
+            cluster.run(time);
+            if (jobs.stream().filter(job -> cluster.rules.jobs.containsKey(job)).allMatch(cluster.users::poll)) {
+                cluster.run(time + 70_000);
+                jobs.forEach(cluster.users::poll);
+                return cluster;
             }
         }
-        jobs.stream().filter(j -> !w.poll(j)).forEach(j -> w.rules.broken.add("never over: " + j));
-        return w;
+        jobs.stream()
+                .filter(job -> !cluster.users.poll(job))
+                .forEach(job -> cluster.rules.violations.add("never over: " + job));
+        return cluster;
     }
 
-    static void trouble(SimulatedCluster w) {
-        String node = w.nodes.get(w.random.nextInt(w.shape.nodes())).name;
-        String worker = w.workers.get(w.random.nextInt(w.workers.size())).id;
-        long ms = 1000 + w.random.nextInt(40_000);
-        switch (w.random.nextInt(17)) {
-            case 0 -> w.nodes.get(w.random.nextInt(w.shape.nodes())).crash(w.random.nextInt(3) == 0 ? 100 : 5000);
-            case 1 -> w.nodes.forEach(n -> n.crash(4000 + w.random.nextInt(2000)));
-            case 2 -> w.cut(node, ms);
-            case 3 -> w.cut(worker, ms);
-            case 4 -> w.cut(node + ">state", ms);
+    static void injectFailure(SimulatedCluster cluster) {
+        String node = cluster.nodes.get(cluster.random.nextInt(cluster.shape.nodes())).name;
+        String worker = cluster.workers.get(cluster.random.nextInt(cluster.workers.size())).id;
+        long ms = 1000 + cluster.random.nextInt(40_000);
+        switch (cluster.random.nextInt(17)) {
+            case 0 ->
+                cluster.nodes
+                        .get(cluster.random.nextInt(cluster.shape.nodes()))
+                        .crash(cluster.random.nextInt(3) == 0 ? 100 : 5000);
+            case 1 -> cluster.nodes.forEach(each -> each.crash(4000 + cluster.random.nextInt(2000)));
+            case 2 -> cluster.network.cut(node, ms);
+            case 3 -> cluster.network.cut(worker, ms);
+            case 4 -> cluster.network.cut(node + ">state", ms);
             case 5 -> {
-                w.cut(node + ">state", ms);
-                w.cut("state>" + node, ms);
+                cluster.network.cut(node + ">state", ms);
+                cluster.network.cut("state>" + node, ms);
             }
             case 6 -> {
-                w.outageUntil = w.now + ms;
-                w.at(ms, () -> w.state.refreshLeases(w.now));
+                cluster.state.outageUntil = cluster.now + ms;
+                cluster.at(ms, () -> cluster.state.model.refreshLeases(cluster.now));
             }
-            case 7 -> w.cut(worker + ">" + node, ms);
-            case 8 -> w.nodes.forEach(n -> w.cut(n.name + ">" + worker, ms));
-            case 9 -> w.copiesUntil = w.now + ms;
-            case 10 -> w.cutFromAllButWorkers(node, ms);
-            case 11 -> w.freeze(node, ms);
-            // All end and are back at once, one of them again amid the election that follows.
+            case 7 -> cluster.network.cut(worker + ">" + node, ms);
+            case 8 -> cluster.nodes.forEach(each -> cluster.network.cut(each.name + ">" + worker, ms));
+            case 9 -> cluster.copiesUntil = cluster.now + ms;
+            case 10 -> cluster.network.cutFromAllButWorkers(node, ms);
+            case 11 -> cluster.network.freeze(node, ms);
+            // All controllers crash and are back at once, one crashes again during the election that follows.
             case 12 -> {
-                w.nodes.forEach(n -> n.crash(100 + w.random.nextInt(400)));
-                w.at(
-                        300 + w.random.nextInt(2000),
-                        () -> w.nodes.get(w.random.nextInt(w.shape.nodes())).crash(100));
+                cluster.nodes.forEach(each -> each.crash(100 + cluster.random.nextInt(400)));
+                cluster.at(300 + cluster.random.nextInt(2000), () -> cluster.nodes
+                        .get(cluster.random.nextInt(cluster.shape.nodes()))
+                        .crash(100));
             }
             // A controller that reaches everything but the workers.
             case 13 ->
-                w.workers.forEach(x -> {
-                    w.cut(x.id + ">" + node, ms);
-                    w.cut(node + ">" + x.id, ms);
+                cluster.workers.forEach(each -> {
+                    cluster.network.cut(each.id + ">" + node, ms);
+                    cluster.network.cut(node + ">" + each.id, ms);
                 });
-            // The leader stands still, twice, and something else happens meanwhile.
+            // The leader freezes, twice, with another failure in between.
             case 14 -> {
-                w.freeze(w.leader(), ms / 2);
-                w.at(ms / 4, () -> trouble(w));
-                w.at(ms / 2 + 500, () -> w.freeze(w.leader(), ms / 2));
+                cluster.network.freeze(cluster.leader(), ms / 2);
+                cluster.at(ms / 4, () -> injectFailure(cluster));
+                cluster.at(ms / 2 + 500, () -> cluster.network.freeze(cluster.leader(), ms / 2));
             }
-            // The leader loses the state service one way, and a controller ends before it heals.
+            // The leader loses the key-value store one way, and a controller crashes before that heals.
             case 15 -> {
-                w.cut(w.random.nextBoolean() ? w.leader() + ">state" : "state>" + w.leader(), ms);
-                w.at(
-                        ms / 2,
-                        () -> w.nodes.get(w.random.nextInt(w.shape.nodes())).crash(100 + w.random.nextInt(5000)));
+                cluster.network.cut(
+                        cluster.random.nextBoolean() ? cluster.leader() + ">state" : "state>" + cluster.leader(), ms);
+                cluster.at(ms / 2, () -> cluster.nodes
+                        .get(cluster.random.nextInt(cluster.shape.nodes()))
+                        .crash(100 + cluster.random.nextInt(5000)));
             }
-            default -> w.cut(node + ">" + worker, ms);
+            default -> cluster.network.cut(node + ">" + worker, ms);
         }
     }
 
@@ -125,52 +139,52 @@
     void noRuleIsBrokenWhateverFails() {
         int starts = 0;
         for (long seed = 1; seed <= SEEDS; seed++) {
-            SimulatedCluster w = day(seed, SimulatedCluster.Fault.NONE);
-            assertEquals(List.of(), w.rules.broken, "seed " + seed);
-            starts += w.rules.starts;
+            SimulatedCluster cluster = day(seed, SimulatedCluster.Fault.NONE);
+            assertEquals(List.of(), cluster.rules.violations, "seed " + seed);
+            starts += cluster.rules.starts;
         }
         assertTrue(starts > 20 * SEEDS, "only " + starts + " starts");
     }
 
-    /** A swarm of single tasks and an array many times the fleet, which needs several parts of a finished set. */
+    /** Many jobs of one task and a job array many times the cluster, which needs several parts of a set of completed tasks. */
     @Test
     void noRuleIsBrokenByGuests() {
         for (long seed = 1; seed <= 4; seed++) {
-            SimulatedCluster w = day(seed, SimulatedCluster.Fault.NONE, ClusterShape.SMALL, 14, 12, true);
-            assertEquals(List.of(), w.rules.broken, "seed " + seed);
-            assertTrue(w.rules.starts > 1650, "only " + w.rules.starts + " starts");
+            SimulatedCluster cluster = day(seed, SimulatedCluster.Fault.NONE, ClusterShape.SMALL, 14, 12, true);
+            assertEquals(List.of(), cluster.rules.violations, "seed " + seed);
+            assertTrue(cluster.rules.starts > 1650, "only " + cluster.rules.starts + " starts");
         }
     }
 
-    /** Submitted with a mistake, a job used to have all its tasks started again after each pause until it was cancelled. */
+    /** All tasks of a job that can only fail used to be started again after each pause until it was cancelled. */
     @Test
     void jobsThatFailEverywhereCostFewStarts() {
         int tasks = 0;
         int starts = 0;
         for (long seed = 1; seed <= 20; seed++) {
-            SimulatedCluster w = day(seed, SimulatedCluster.Fault.NONE);
-            for (String id : w.broken) {
-                tasks += w.rules.jobs.get(id).tasks();
-                starts += w.rules.startsOf.getOrDefault(id, 0);
+            SimulatedCluster cluster = day(seed, SimulatedCluster.Fault.NONE);
+            for (String id : cluster.failingJobs) {
+                tasks += cluster.rules.jobs.get(id).tasks();
+                starts += cluster.rules.startsOf.getOrDefault(id, 0);
             }
         }
         assertTrue(tasks > 50, "only " + tasks + " such tasks");
         assertTrue(starts < 4 * tasks, starts + " starts of " + tasks + " tasks that fail");
     }
 
-    /** A machine's first sign of a new session was an answer to a command, and it was called dead at once. */
+    /** A machine's first sign of a new agent epoch was an answer to a command, and it was taken for terminated at once. */
     @Test
     void aNewSessionHasItsWholeLease() {
-        assertEquals(List.of(), day(30, SimulatedCluster.Fault.NONE).rules.broken);
+        assertEquals(List.of(), day(30, SimulatedCluster.Fault.NONE).rules.violations);
     }
 
-    /** Hundreds of machines, by the shapes of the fleet deployments: what is bounded and paced comes into play. */
+    /** Hundreds of machines, as in the larger deployments: bounds and rate limits come into play. */
     @Test
     void noRuleIsBrokenInAFleet() {
         for (ClusterShape shape : List.of(ClusterShape.THREE_ZONES, ClusterShape.FIVE_NODES)) {
-            SimulatedCluster w = day(7, SimulatedCluster.Fault.NONE, shape, 40, 120);
-            assertEquals(List.of(), w.rules.broken, shape.toString());
-            assertTrue(w.rules.starts > 1000, "only " + w.rules.starts + " starts");
+            SimulatedCluster cluster = day(7, SimulatedCluster.Fault.NONE, shape, 40, 120);
+            assertEquals(List.of(), cluster.rules.violations, shape.toString());
+            assertTrue(cluster.rules.starts > 1000, "only " + cluster.rules.starts + " starts");
         }
     }
 
@@ -178,7 +192,7 @@
     void aFaultInAFleetIsCaught() {
         assertFalse(day(7, SimulatedCluster.Fault.FREE_UNSEEN, ClusterShape.FIVE_NODES, 40, 120)
                 .rules
-                .broken
+                .violations
                 .isEmpty());
     }
 
@@ -186,8 +200,8 @@
     void freeingWithoutProofIsCaught() {
         List<String> broken = new ArrayList<>();
         for (long seed = 1; seed <= 5; seed++) {
-            broken.addAll(day(seed, SimulatedCluster.Fault.FREE_UNSEEN).rules.broken);
+            broken.addAll(day(seed, SimulatedCluster.Fault.FREE_UNSEEN).rules.violations);
         }
-        assertFalse(broken.stream().noneMatch(b -> b.contains("ran_twice")), broken.toString());
+        assertFalse(broken.stream().noneMatch(violation -> violation.contains("ran_twice")), broken.toString());
     }
 }
--- a/src/test/java/garnetscale/core/sim/UpgradeMeasurement.java
+++ b/src/test/java/garnetscale/core/sim/UpgradeMeasurement.java
@@ -39,11 +39,11 @@
     private void measure(int size, long seed) {
         ClusterShape shape = new ClusterShape(5, List.of("a", "b"), size, 16 * 1024);
         SimulatedCluster cluster = new SimulatedCluster(seed, SimulatedCluster.Fault.NONE, shape);
-        cluster.limitWrites();
+        cluster.state.limitWrites();
         for (long at = LOAD_FROM; at < LOAD_UNTIL; at += 1000) {
             String id = "wk-" + at;
             String team = at % 2000 == 0 ? "red" : "blue";
-            cluster.at(at, () -> cluster.submit(id, team, size / 2, 0.5, 8));
+            cluster.at(at, () -> cluster.users.submit(id, team, size / 2, 0.5, 8));
         }
         run(cluster, ACTIVATE_AT);
         long before = longestPause;
@@ -58,7 +58,7 @@
             run(cluster, cluster.now + STEP);
         }
         assertTrue(cluster.stored().isConverted());
-        assertEquals(List.of(), cluster.rules.broken);
+        assertEquals(List.of(), cluster.rules.violations);
         System.out.printf(
                 "machines %d seed %d: layout %d, activation %d ms, longest pause between starts %d ms before, %d ms after,"
                         + " deactivation %d ms, converted after %d ms, %d starts, %d refused%n",
@@ -71,7 +71,7 @@
                 deactivated,
                 cluster.now - DEACTIVATE_AT,
                 cluster.rules.starts,
-                cluster.refusedWrites);
+                cluster.state.refusedWrites);
     }
 
     private void restart(SimulatedCluster cluster) {
--- a/src/test/java/garnetscale/core/sim/UpgradeSimulationTest.java
+++ b/src/test/java/garnetscale/core/sim/UpgradeSimulationTest.java
@@ -43,9 +43,9 @@
             int tasks = 50 + cluster.random.nextInt(500);
             double seconds = 2 + cluster.random.nextInt(20);
             String team = i % 2 == 0 ? "red" : "blue";
-            cluster.at(5000 + i * TROUBLE / 60, () -> cluster.submit(id, team, tasks, 0.5, seconds));
+            cluster.at(5000 + i * TROUBLE / 60, () -> cluster.users.submit(id, team, tasks, 0.5, seconds));
             if (i % 9 == 0) {
-                cluster.at(9000 + i * TROUBLE / 60, () -> cluster.cancel(id));
+                cluster.at(9000 + i * TROUBLE / 60, () -> cluster.users.cancel(id));
             }
         }
         for (int i = 0; i < cluster.nodes.size(); i++) {
@@ -117,11 +117,11 @@
                 cluster.at(7000, () -> start(cluster, node, NEW, cluster.random.nextInt(3000)));
             }
             // Paused and not dead: it wakes with what it knew before, also as the leader.
-            case 5 -> cluster.freeze(cluster.leader(), ms);
-            case 6 -> cluster.cutFromAllButWorkers(node.name, ms);
-            case 7 -> cluster.outage(ms);
+            case 5 -> cluster.network.freeze(cluster.leader(), ms);
+            case 6 -> cluster.network.cutFromAllButWorkers(node.name, ms);
+            case 7 -> cluster.state.outage(ms);
             // Transactions without an answer, among them activations, carried out at once or late.
-            case 8 -> cluster.late(ms, 0.5, cluster.random.nextBoolean());
+            case 8 -> cluster.state.late(ms, 0.5, cluster.random.nextBoolean());
             default -> cluster.crash(cluster.leader(), cluster.random.nextInt(3000));
         }
     }
@@ -130,10 +130,10 @@
     void mixedVersionsKeepTheRulesThroughUpgradeAndRollback() {
         for (long seed = 1; seed <= SEEDS; seed++) {
             SimulatedCluster cluster = day(seed);
-            assertEquals(List.of(), cluster.rules.broken, "seed " + seed);
-            assertEquals(List.of(), cluster.state.oversized(), "seed " + seed);
+            assertEquals(List.of(), cluster.rules.violations, "seed " + seed);
+            assertEquals(List.of(), cluster.state.model.oversized(), "seed " + seed);
             for (String job : jobs) {
-                assertTrue(cluster.poll(job), "seed " + seed + ": never over: " + job);
+                assertTrue(cluster.users.poll(job), "seed " + seed + ": never over: " + job);
             }
             assertEquals(
                     new ClusterVersion(NEW.latest(), NEW.latest()),
