--- a/src/test/java/garnetscale/core/trace/TraceTest.java
+++ b/src/test/java/garnetscale/core/trace/TraceTest.java
@@ -10,14 +10,16 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** The kept traces. {@code -Dtraces=renew} writes them anew; CONTRIBUTING.md says when that is right. */
+/** The kept traces. {@code -Dtraces=renew} rewrites them; CONTRIBUTING.md says when that is allowed. */
 class TraceTest {
 
     private static final Path DIR = Path.of("src/test/resources/traces");
 
     static List<Path> traces() throws IOException {
-        try (Stream<Path> list = Files.list(DIR)) {
-            return list.filter(p -> p.toString().endsWith(".trace")).sorted().toList();
+        try (Stream<Path> files = Files.list(DIR)) {
+            return files.filter(file -> file.toString().endsWith(".trace"))
+                    .sorted()
+                    .toList();
         }
     }
 
