--- a/src/test/java/garnetscale/core/TestConfig.java
+++ b/src/test/java/garnetscale/core/TestConfig.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** Builds the core's figures for tests: those of a small cluster or of a large one, with what a test needs changed. */
+/** Builds the core's settings for tests: those of a small or a large cluster, with the changes that a test needs. */
 public final class TestConfig {
 
     private static final long CLOCK_OFF_MS = 25;
@@ -29,12 +29,12 @@
 
     private TestConfig() {}
 
-    /** Workers report every second, and 600 connections are allowed. */
+    /** A heartbeat every second, and at most 600 connections. */
     public static TestConfig small() {
         return new TestConfig();
     }
 
-    /** Workers report every five seconds, and 2,500 connections are allowed. */
+    /** A heartbeat every five seconds, and at most 2,500 connections. */
     public static TestConfig large() {
         TestConfig config = new TestConfig();
         config.heartbeatIntervalMs = 5000;
@@ -74,6 +74,7 @@
         return this;
     }
 
+    /** Heartbeat interval, lease and cancellation deadline of workers, in milliseconds. */
     public TestConfig workers(long heartbeat, long lease, long cancel) {
         heartbeatIntervalMs = heartbeat;
         leaseMs = lease;
--- a/src/test/java/garnetscale/core/autoscaling/AutoscalerTest.java
+++ b/src/test/java/garnetscale/core/autoscaling/AutoscalerTest.java
@@ -46,7 +46,7 @@
                     .listLagMs(LAG)
                     .build(),
             replica,
-            s -> {});
+            line -> {});
 
     private AutoscalerTest() {
         Map<String, MachineRecord> records = new LinkedHashMap<>();
@@ -67,7 +67,7 @@
         autoscaler.onTypes(TYPES);
     }
 
-    /** A job that all that is rented couldn't hold. */
+    /** Submits a job that doesn't fit on all machines together. */
     private void demand() {
         JobSpec job = TestJob.named("wk-2")
                 .tasks(5000)
@@ -82,16 +82,16 @@
         replica.advance(state.changes("", before), state.revision());
     }
 
-    private static String id(int i) {
-        return "m-0000" + (10 + i);
+    private static String id(int machine) {
+        return "m-0000" + (10 + machine);
     }
 
-    /** A whole list with the machines from {@code first} on. */
+    /** Lets the autoscaler read a complete instance list with the machines from {@code first} on. */
     private void list(long now, int first) {
         for (int calls = 0;
                 calls < 2 && !(autoscaler.next(now, List.of(), List.of(), Set.of()) instanceof CloudCall.ListInstances);
                 calls++) {
-            // The first call asks for the types.
+            // The first call lists the types.
         }
         List<CloudInstance> page = new ArrayList<>();
         for (int i = first; i < MACHINES; i++) {
@@ -100,7 +100,7 @@
         autoscaler.onPage(now, page, false);
     }
 
-    /** The machines that the fleet wants deleted, when all of them are silent. */
+    /** The machines that are deleted when all of them are silent. */
     private List<String> deletes(long now) {
         List<MachineStatus> silent = new ArrayList<>();
         for (int i = 0; i < MACHINES; i++) {
@@ -109,15 +109,15 @@
         }
         List<String> ids = new ArrayList<>();
         for (int calls = 0; calls < 4; calls++) {
-            if (autoscaler.next(now, silent, List.of(), Set.of()) instanceof CloudCall.ScaleIn d) {
-                ids.addAll(d.machines());
-                autoscaler.onDeleted(d.machines());
+            if (autoscaler.next(now, silent, List.of(), Set.of()) instanceof CloudCall.ScaleIn scaleIn) {
+                ids.addAll(scaleIn.machines());
+                autoscaler.onDeleted(scaleIn.machines());
             }
         }
         return ids;
     }
 
-    /** A wave of taken machines once cost their work a whole fence time after each change of holder. */
+    /** A wave of preempted machines once cost their tasks the whole fencing delay after each failover of their owner. */
     @Test
     void silentMachinesThatLeftTheListAreDeletedAtOnce() {
         list(1000, 0);
@@ -132,7 +132,7 @@
         assertEquals(List.of(), deletes(20_000));
     }
 
-    /** A new leader knows only its own lists, and waits until they surely are younger than its term. */
+    /** A new leader knows only its own lists, and waits until they must be younger than its term. */
     @Test
     void aNewLeaderDeletesWhatItNeverSawListed() {
         list(1000, 5);
@@ -141,7 +141,7 @@
         assertFalse(deletes(4 * LAG + 2).contains(id(0)), "once is enough");
     }
 
-    /** A wave of taken machines brought deletes at every call for half a minute, and nothing was rented meanwhile. */
+    /** A wave of preempted machines led to deletes at every call for half a minute, and nothing was launched meanwhile. */
     @Test
     void replacementsAreRentedBetweenDeletes() {
         list(1000, 0);
@@ -153,7 +153,7 @@
         assertInstanceOf(CloudCall.ScaleIn.class, change(now + 1000), "unanswered, it is asked again");
     }
 
-    /** Refused again and again while the zone was full, it wasn't asked for until long after a wave had emptied it. */
+    /** An offering that was refused while its zone was full was once not requested until long after a wave had emptied it. */
     @Test
     void whatATakenMachineStoodInIsAskedForAtOnce() {
         list(1000, 0);
--- a/src/test/java/garnetscale/core/balance/BalanceCostMeasurement.java
+++ b/src/test/java/garnetscale/core/balance/BalanceCostMeasurement.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Time and garbage of the load picture and of a plan, by the size of the fleet: {@code mvn test -Dtest=BalanceCostMeasurement}.
+ * Time and garbage of load snapshots and of a plan, by the size of the cluster: {@code mvn test -Dtest=BalanceCostMeasurement}.
  * Persistent maps are held against maps that are copied for each snapshot. Not part of a build.
  */
 class BalanceCostMeasurement {
--- a/src/test/java/garnetscale/core/sim/BalanceMeasurement.java
+++ b/src/test/java/garnetscale/core/sim/BalanceMeasurement.java
@@ -16,7 +16,7 @@
 
 /**
  * Measures load balancing on and off, with the same seeds: {@code mvn test -Dtest=BalanceMeasurement}. Four times two teams swell
- * at once; with troubles, a controller ends in each swell. Not part of a build. All in simulated time.
+ * at once; with failures, a controller ends in each swell. Not part of a build. All in simulated time.
  */
 class BalanceMeasurement {
 
@@ -33,10 +33,10 @@
 
     @Test
     void withAndWithout() {
-        for (boolean troubles : List.of(false, true)) {
-            Map<String, double[]> off = all(false, troubles);
-            Map<String, double[]> on = all(true, troubles);
-            System.out.println("troubles " + troubles);
+        for (boolean failures : List.of(false, true)) {
+            Map<String, double[]> off = all(false, failures);
+            Map<String, double[]> on = all(true, failures);
+            System.out.println("failures " + failures);
             on.forEach((name, values) ->
                     System.out.printf(Locale.ROOT, "  %-28s off %s  on %s%n", name, show(off.get(name)), show(values)));
         }
@@ -56,18 +56,18 @@
                         .toArray()));
     }
 
-    private Map<String, double[]> all(boolean balanced, boolean troubles) {
+    private Map<String, double[]> all(boolean balanced, boolean failures) {
         Map<String, double[]> all = new TreeMap<>();
         for (int seed = 1; seed <= SEEDS; seed++) {
             figures.clear();
-            play(seed, balanced, troubles);
+            play(seed, balanced, failures);
             int place = seed - 1;
             figures.forEach((name, value) -> all.computeIfAbsent(name, n -> new double[SEEDS])[place] = value);
         }
         return all;
     }
 
-    private void play(int seed, boolean balanced, boolean troubles) {
+    private void play(int seed, boolean balanced, boolean failures) {
         ClusterShape shape =
                 balanced ? BalanceSimulationTest.SHAPE : BalanceSimulationTest.SHAPE.withBalance(BalanceSettings.OFF);
         BalanceSimulationTest.Day day = BalanceSimulationTest.day(seed, shape);
@@ -88,7 +88,7 @@
         };
         cluster.rules.onDone = task -> ended.put(task.job(), cluster.now);
         for (int i = 0; i < SWELLS; i++) {
-            swell(cluster, submitted, i, troubles);
+            swell(cluster, submitted, i, failures);
         }
         List<Double> ratios = new ArrayList<>();
         for (long t = SAMPLE_MS; t < END; t += SAMPLE_MS) {
@@ -114,7 +114,7 @@
                                 .count());
     }
 
-    private static void swell(SimulatedCluster cluster, Map<String, Long> submitted, int i, boolean troubles) {
+    private static void swell(SimulatedCluster cluster, Map<String, Long> submitted, int i, boolean failures) {
         long at = FIRST + i * APART;
         cluster.at(at, () -> {
             submitted.put("wk-flex" + i, cluster.now);
@@ -124,11 +124,11 @@
             submitted.put("wk-bound" + i, cluster.now);
             cluster.users.submit("wk-bound" + i, "red", Priority.HIGH, 9 + cluster.random.nextInt(4), 12, 30, false);
         });
-        if (troubles) {
+        if (failures) {
             cluster.at(
                     at + 14_000 + cluster.random.nextInt(8000),
                     () -> cluster.crash(
-                            i % 2 == 0 ? cluster.leader() : cluster.holderOf(cluster.workers.get(0).id), 4000));
+                            i % 2 == 0 ? cluster.leader() : cluster.ownerOf(cluster.workers.get(0).id), 4000));
         }
     }
 
--- a/src/test/java/garnetscale/core/sim/BalanceSimulationTest.java
+++ b/src/test/java/garnetscale/core/sim/BalanceSimulationTest.java
@@ -16,7 +16,7 @@
 /**
  * Two teams swell at once on machines of two types: one could run anywhere and has filled both, the other, more urgent, fits the
  * large type alone. Controllers, machines and the state service fail amid the moves that follow, with PROTOCOL's rules watched
- * from outside. A day on which its trouble didn't meet a move fails.
+ * from outside. A day fails on which its failure did not coincide with a move.
  */
 class BalanceSimulationTest {
 
@@ -53,7 +53,7 @@
             onMove(move -> {
                 if (!done[0]) {
                     done[0] = true;
-                    cluster.met("trouble amid a move");
+                    cluster.met("failure during a move");
                     run.accept(move);
                 }
             });
@@ -88,15 +88,15 @@
         assertEquals(new TreeSet<>(), day.history().lost(), "seed " + seed);
     }
 
-    /** Plays a day of two swells with a trouble; returns all days played. */
-    private static List<Day> play(Consumer<Day> trouble) {
+    /** Plays a day of two swells with a failure; returns all days played. */
+    private static List<Day> play(Consumer<Day> failure) {
         List<Day> days = new ArrayList<>();
         for (long seed = 1; seed <= SEEDS; seed++) {
             Day day = day(seed, SHAPE);
             swell(day.cluster());
-            trouble.accept(day);
+            failure.accept(day);
             settle(day, seed);
-            assertTrue(day.cluster().met.getOrDefault("trouble amid a move", 0) > 0, "seed " + seed + ": no move");
+            assertTrue(day.cluster().met.getOrDefault("failure during a move", 0) > 0, "seed " + seed + ": no move");
             days.add(day);
         }
         return days;
@@ -158,7 +158,7 @@
     @Test
     void aBlockChangesHandsAmidAMove() {
         play(day -> day.onFirstMove(move -> {
-            day.cluster().crash(day.cluster().holderOf(move.machine()), 5000);
+            day.cluster().crash(day.cluster().ownerOf(move.machine()), 5000);
             day.cluster().copiesUntil = day.cluster().now + 30_000;
         }));
     }
@@ -174,11 +174,11 @@
                 move -> smallMachines(day, 6, id -> day.cluster().network.cut(id, 15_000))));
     }
 
-    private static void smallMachines(Day day, int count, Consumer<String> trouble) {
+    private static void smallMachines(Day day, int count, Consumer<String> failure) {
         day.cluster().workers.stream()
                 .filter(worker -> day.cluster().typeOf(worker.id).equals(SMALL.name()))
                 .limit(count)
-                .forEach(worker -> trouble.accept(worker.id));
+                .forEach(worker -> failure.accept(worker.id));
     }
 
     @Test
@@ -225,7 +225,7 @@
         });
     }
 
-    /** Nothing to gain: a balanced fleet, one that is full everywhere, and a swell that is over before a move would pay. */
+    /** Nothing to gain: a balanced cluster, one that is full everywhere, and a swell that is over before a move would pay. */
     @Test
     void nothingMovesWithoutGain() {
         for (long seed = 1; seed <= SEEDS; seed++) {
--- a/src/test/java/garnetscale/core/sim/ClusterShape.java
+++ b/src/test/java/garnetscale/core/sim/ClusterShape.java
@@ -10,7 +10,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** How many controllers and workers there are, spread over the zones in turn; {@code red} and {@code blue}: teams' limits in CPUs. */
+/** The size of a simulated cluster: nodes and workers are spread over the zones in turn; {@code red} and {@code blue} are the teams' limits in CPUs. */
 record ClusterShape(
         int nodes,
         List<String> zones,
@@ -44,22 +44,23 @@
                 BalanceSettings.OFF);
     }
 
-    /** The same with machines of these types in turn in each zone, teams' limits far off, and no class that must start at once. */
-    ClusterShape withTypes(List<MachineType> all) {
-        double most = all.stream().mapToDouble(MachineType::cpus).sum() * workers;
-        return new ClusterShape(nodes, zones, workers, valueBytes, all, List.of(), most, most, balance);
+    /** The same with these machine types in turn in each zone, limits that are never reached, and no objectives. */
+    ClusterShape withTypes(List<MachineType> machineTypes) {
+        double limit = machineTypes.stream().mapToDouble(MachineType::cpus).sum() * workers;
+        return new ClusterShape(nodes, zones, workers, valueBytes, machineTypes, List.of(), limit, limit, balance);
     }
 
     ClusterShape withBalance(BalanceSettings settings) {
         return new ClusterShape(nodes, zones, workers, valueBytes, types, objectives, red, blue, settings);
     }
 
-    MachineType type(int i) {
-        return types.get(i / zones.size() % types.size());
+    MachineType type(int machine) {
+        return types.get(machine / zones.size() % types.size());
     }
 
-    String zone(int i) {
-        return zones.get(i % zones.size());
+    /** The zone of a machine or a node, by its number. */
+    String zone(int number) {
+        return zones.get(number % zones.size());
     }
 
     SchedulerConfig config(String self) {
--- a/src/test/java/garnetscale/core/sim/ConcurrentOutageTest.java
+++ b/src/test/java/garnetscale/core/sim/ConcurrentOutageTest.java
@@ -31,7 +31,7 @@
                     cancelRunning(
                             cluster,
                             leader,
-                            machine -> cluster.holderOf(machine).equals(leader),
+                            machine -> cluster.ownerOf(machine).equals(leader),
                             "cancelled while the owner is refused");
                     cluster.state.outage(SimulatedCluster.CANCEL + 12_000);
                 });
@@ -63,7 +63,7 @@
                     cancelRunning(
                             cluster,
                             leader,
-                            machine -> cluster.holderOf(machine).equals(leader),
+                            machine -> cluster.ownerOf(machine).equals(leader),
                             "cancelled while the owner is refused");
                     cluster.state.outage(12_000);
                 });
@@ -89,7 +89,7 @@
                 cancelRunning(
                         cluster,
                         leader,
-                        machine -> cluster.holderOf(machine).equals(leader),
+                        machine -> cluster.ownerOf(machine).equals(leader),
                         "cancelled at the refusal");
                 cluster.at(1000, () -> cluster.state.outage(SimulatedCluster.CANCEL + 12_000));
                 cluster.at(7000, () -> cluster.rules.running().keySet().forEach(task -> {
@@ -118,7 +118,7 @@
                         () -> cancelRunning(
                                 cluster,
                                 old,
-                                machine -> cluster.reportsTo(machine).equals(old),
+                                machine -> cluster.heartbeatTarget(machine).equals(old),
                                 "cancelled where the isolated owner is reachable"));
             });
         });
--- a/src/test/java/garnetscale/core/sim/DecisionDigest.java
+++ b/src/test/java/garnetscale/core/sim/DecisionDigest.java
@@ -128,7 +128,7 @@
         assertTrue(!history.moves.isEmpty(), "load balancing moved nothing");
     }
 
-    /** A rolling upgrade, activation and the way back, with troubles meanwhile. */
+    /** A rolling upgrade, activation and the way back, with failures meanwhile. */
     private static void upgradeDay(SimulatedCluster cluster) {
         cluster.nodes.forEach(node -> UpgradeSimulationTest.start(cluster, node, OLD, 50));
         submitJobs(cluster, UPGRADE_END / 2, 20, 300);
@@ -137,7 +137,7 @@
             cluster.at(20_000 + 3000 * i, () -> UpgradeSimulationTest.start(cluster, node, NEW, 1000));
         }
         for (long at = 45_000; at < UPGRADE_END - 30_000; at += 15_000) {
-            cluster.at(at, () -> UpgradeSimulationTest.trouble(cluster));
+            cluster.at(at, () -> UpgradeSimulationTest.injectFailure(cluster));
         }
         for (long at = 30_000; at < UPGRADE_END; at += 2500) {
             UpgradeStep step = at / 30_000 % 2 == 1 ? UpgradeStep.ACTIVATE : UpgradeStep.DEACTIVATE;
--- a/src/test/java/garnetscale/core/sim/DecisionObserver.java
+++ b/src/test/java/garnetscale/core/sim/DecisionObserver.java
@@ -13,9 +13,9 @@
     /** A controller sends a transaction to the state service, which may store it, refuse it or never receive it. */
     default void onTransaction(long now, String node, Transaction transaction) {}
 
-    /** The block holder of a controller asks for something to be done outside. */
+    /** A partition owner returns an effect, such as a command to send. */
     default void onEffect(long now, String node, OwnerEffect effect) {}
 
-    /** The block holder of a controller replies to the report of a machine. */
+    /** A partition owner replies to a heartbeat. */
     default void onReply(long now, String node, String machine, HeartbeatReply reply) {}
 }
--- a/src/test/java/garnetscale/core/sim/SimulatedCluster.java
+++ b/src/test/java/garnetscale/core/sim/SimulatedCluster.java
@@ -112,10 +112,10 @@
     }
 
     /** Starts a machine. */
-    SimulatedWorker bring(int i) {
-        String id = String.format(Locale.ROOT, "m-%06d", i);
-        zones.put(id, shape.zone(i));
-        SimulatedWorker worker = new SimulatedWorker(this, id, shape.type(i), shape.zone(i));
+    SimulatedWorker bring(int number) {
+        String id = String.format(Locale.ROOT, "m-%06d", number);
+        zones.put(id, shape.zone(number));
+        SimulatedWorker worker = new SimulatedWorker(this, id, shape.type(number), shape.zone(number));
         workers.add(worker);
         byId.put(worker.id, worker);
         return worker;
@@ -191,7 +191,7 @@
     }
 
     /** The node that a machine sends its heartbeats to. */
-    String reportsTo(String worker) {
+    String heartbeatTarget(String worker) {
         return nodes.get(byId.get(worker).target() % nodes.size()).name;
     }
 
@@ -210,7 +210,7 @@
     }
 
     /** The owner of a machine's partition by what is stored; empty when there is none. */
-    String holderOf(String worker) {
+    String ownerOf(String worker) {
         PartitionMap partitions = new PartitionMap(shape.config("n0"));
         var lease = stored().partition(partitions.partitionOf(worker, zones.get(worker)));
         return lease == null ? "" : lease.owner();
--- a/src/test/java/garnetscale/core/sim/SimulatedNode.java
+++ b/src/test/java/garnetscale/core/sim/SimulatedNode.java
@@ -206,26 +206,7 @@
         if (effect instanceof OwnerEffect.SendCommands send) {
             command(send);
         } else if (effect instanceof OwnerEffect.ProbeWorker probe) {
-            WorkerModel worker = cluster.worker(probe.machine()).model;
-            int process = life;
-            boolean[] ended = new boolean[1];
-            cluster.network.send(name, probe.machine(), () -> {
-                worker.advance(cluster.now);
-                WorkerHeartbeat heartbeat = worker.heartbeat();
-                cluster.network.send(probe.machine(), name, () -> {
-                    if (life == process && !ended[0]) {
-                        ended[0] = true;
-                        owner.onProbeEnded();
-                        owner.onProbeAnswer(cluster.now, heartbeat);
-                    }
-                });
-            });
-            after(2000, () -> {
-                if (life == process && !ended[0]) {
-                    ended[0] = true;
-                    owner.onProbeEnded();
-                }
-            });
+            probe(probe.machine());
         } else if (elected != null) {
             SimulatedNode to = cluster.nodes.get(Integer.parseInt(elected.node().substring(1)));
             Consumer<SimulatedNode> message = effect instanceof OwnerEffect.PublishStatus publish
@@ -243,6 +224,29 @@
         }
     }
 
+    private void probe(String machine) {
+        WorkerModel worker = cluster.worker(machine).model;
+        int process = life;
+        boolean[] ended = new boolean[1];
+        cluster.network.send(name, machine, () -> {
+            worker.advance(cluster.now);
+            WorkerHeartbeat heartbeat = worker.heartbeat();
+            cluster.network.send(machine, name, () -> {
+                if (life == process && !ended[0]) {
+                    ended[0] = true;
+                    owner.onProbeEnded();
+                    owner.onProbeAnswer(cluster.now, heartbeat);
+                }
+            });
+        });
+        after(2000, () -> {
+            if (life == process && !ended[0]) {
+                ended[0] = true;
+                owner.onProbeEnded();
+            }
+        });
+    }
+
     private void startsSent(String machine, List<WorkerCommand> commands) {
         commands.stream()
                 .filter(WorkerCommand.Start.class::isInstance)
--- a/src/test/java/garnetscale/core/sim/SimulatedWorker.java
+++ b/src/test/java/garnetscale/core/sim/SimulatedWorker.java
@@ -5,9 +5,11 @@
 import garnetscale.core.partition.HeartbeatReply;
 import garnetscale.emulator.WorkerModel;
 
-/** A worker in simulated time: its model, and the reports that it sends to one controller at a time. */
+/** A worker in simulated time: its model, and the heartbeats that it sends to one controller at a time. */
 final class SimulatedWorker {
 
+    private static final long RETRY_MS = 1000;
+
     final WorkerModel model;
     final String id;
     private final SimulatedCluster cluster;
@@ -19,76 +21,81 @@
         this.id = id;
         this.model =
                 new WorkerModel(id, id, type, zone, SimulatedCluster.LEASE, 0, cluster.rules.jobs::get, cluster.rules);
-        model.fail(t -> cluster.failingJobs.contains(t.job()));
-        cluster.at(cluster.random.nextInt(1000), this::heartbeat);
+        model.fail(task -> cluster.failingJobs.contains(task.job()));
+        cluster.at(cluster.random.nextInt(1000), this::sendHeartbeat);
     }
 
-    /** One report in flight at a time; its answer counts for four seconds. */
-    private void heartbeat() {
+    /** One heartbeat is in flight at a time; an answer counts for four seconds. */
+    private void sendHeartbeat() {
         if (cluster.network.isFrozen(id)) {
-            cluster.network.thawed(id, this::heartbeat);
+            cluster.network.thawed(id, this::sendHeartbeat);
             return;
         }
         model.advance(cluster.now);
-        WorkerHeartbeat r = model.heartbeat();
+        WorkerHeartbeat heartbeat = model.heartbeat();
         long mine = ++generation;
         long sentAt = cluster.now;
         SimulatedNode node = cluster.nodes.get(target % cluster.nodes.size());
-        if (cluster.now < cluster.copiesUntil && cluster.random.nextInt(3) == 0) {
-            // A copy of the report comes late, to any node, and nobody reads its answer.
-            SimulatedNode other = cluster.nodes.get(cluster.random.nextInt(cluster.nodes.size()));
-            cluster.at(
-                    1000 + cluster.random.nextInt(4 * (int) SimulatedCluster.LEASE),
-                    () -> other.onHeartbeat(r, reply -> {}));
-        }
-        if (cluster.now < cluster.keepUntil && cluster.kept.size() < 200) {
-            cluster.kept.add(r);
-        }
+        copyOrKeep(heartbeat);
         if (cluster.now < cluster.network.muteUntil.getOrDefault(id, 0L)) {
             cluster.met("a machine that reaches no controller");
-            next(1000);
+            retryElsewhere(RETRY_MS);
             return;
         }
         cluster.network.send(
                 id,
                 node.name,
                 () -> node.onHeartbeat(
-                        r,
+                        heartbeat,
                         reply -> cluster.network.send(node.name, id, () -> {
                             if (mine == generation && !cluster.network.isFrozen(id)) {
                                 generation++;
-                                answered(r, sentAt, reply);
+                                answered(heartbeat, sentAt, reply);
                             }
                         })));
         cluster.at(4000, () -> {
             if (mine == generation) {
                 generation++;
-                next(1000);
+                retryElsewhere(RETRY_MS);
             }
         });
     }
 
-    private void answered(WorkerHeartbeat r, long sentAt, HeartbeatReply reply) {
-        if (reply instanceof HeartbeatReply.Acknowledge a) {
-            model.answered(cluster.now, sentAt, r.agentEpoch(), a.fencingToken(), a.commands());
+    /** Copies of the heartbeat arrive late, at any node, and nobody reads their answers. */
+    private void copyOrKeep(WorkerHeartbeat heartbeat) {
+        if (cluster.now < cluster.copiesUntil && cluster.random.nextInt(3) == 0) {
+            SimulatedNode other = cluster.nodes.get(cluster.random.nextInt(cluster.nodes.size()));
+            cluster.at(
+                    1000 + cluster.random.nextInt(4 * (int) SimulatedCluster.LEASE),
+                    () -> other.onHeartbeat(heartbeat, reply -> {}));
+        }
+        if (cluster.now < cluster.keepUntil && cluster.kept.size() < 200) {
+            cluster.kept.add(heartbeat);
+        }
+    }
+
+    private void answered(WorkerHeartbeat heartbeat, long sentAt, HeartbeatReply reply) {
+        if (reply instanceof HeartbeatReply.Acknowledge acknowledged) {
+            model.answered(
+                    cluster.now, sentAt, heartbeat.agentEpoch(), acknowledged.fencingToken(), acknowledged.commands());
             cluster.at(
                     SimulatedCluster.HEARTBEAT * 3 / 4 + cluster.random.nextInt((int) SimulatedCluster.HEARTBEAT / 2),
-                    this::heartbeat);
-        } else if (reply instanceof HeartbeatReply.Redirect to && to.node() != null) {
-            target = Integer.parseInt(to.node().substring(1));
-            cluster.at(cluster.random.nextInt(500), this::heartbeat);
+                    this::sendHeartbeat);
+        } else if (reply instanceof HeartbeatReply.Redirect redirect && redirect.node() != null) {
+            target = Integer.parseInt(redirect.node().substring(1));
+            cluster.at(cluster.random.nextInt(500), this::sendHeartbeat);
         } else {
-            next(1000);
+            retryElsewhere(RETRY_MS);
         }
     }
 
-    /** The index of the controller that it reports to. */
+    /** The index of the controller that it sends heartbeats to, modulo their number. */
     int target() {
         return target;
     }
 
-    private void next(long pause) {
+    private void retryElsewhere(long pauseMs) {
         target++;
-        cluster.at(pause, this::heartbeat);
+        cluster.at(pauseMs, this::sendHeartbeat);
     }
 }
--- a/src/test/java/garnetscale/core/sim/SimulationTest.java
+++ b/src/test/java/garnetscale/core/sim/SimulationTest.java
@@ -34,15 +34,29 @@
         SimulatedCluster cluster = new SimulatedCluster(seed, fault, shape);
         List<String> jobs = new ArrayList<>();
         if (extraJobs) {
-            for (int i = 0; i < 150; i++) {
-                String id = "wk-swarm" + i;
-                jobs.add(id);
-                cluster.at(
-                        40_000 + cluster.random.nextInt(10_000), () -> cluster.users.submit(id, "blue", 1, 0.25, 15));
-            }
-            jobs.add("wk-giant");
-            cluster.at(30_000, () -> cluster.users.submit("wk-giant", "blue", 1500, 0.5, 1));
+            scheduleExtraJobs(cluster, jobs);
+        }
+        scheduleJobs(cluster, jobCount, maxTasks, jobs);
+        for (int i = 0; i < 10; i++) {
+            cluster.at(5000 + cluster.random.nextInt((int) FAILURES_END_MS - 5000), () -> injectFailure(cluster));
+        }
+        cluster.run(FAILURES_END_MS);
+        runUntilTerminal(cluster, jobs);
+        return cluster;
+    }
+
+    private static void scheduleExtraJobs(SimulatedCluster cluster, List<String> jobs) {
+        for (int i = 0; i < 150; i++) {
+            String id = "wk-swarm" + i;
+            jobs.add(id);
+            cluster.at(40_000 + cluster.random.nextInt(10_000), () -> cluster.users.submit(id, "blue", 1, 0.25, 15));
         }
+        jobs.add("wk-giant");
+        cluster.at(30_000, () -> cluster.users.submit("wk-giant", "blue", 1500, 0.5, 1));
+    }
+
+    /** Schedules random jobs, some of which fail wherever they run, and some of which users cancel. */
+    private static void scheduleJobs(SimulatedCluster cluster, int jobCount, int maxTasks, List<String> jobs) {
         for (int i = 0; i < jobCount; i++) {
             String id = "wk-" + i;
             jobs.add(id);
@@ -60,24 +74,24 @@
                 cluster.at(cluster.random.nextInt((int) FAILURES_END_MS) + 20_000, () -> cluster.users.cancel(id));
             }
         }
-        for (int i = 0; i < 10; i++) {
-            cluster.at(5000 + cluster.random.nextInt((int) FAILURES_END_MS - 5000), () -> injectFailure(cluster));
-        }
-        cluster.run(FAILURES_END_MS);
+    }
+
+    /** Runs until users are told that all jobs are terminal, and somewhat longer, in which nothing may change. */
+    private static void runUntilTerminal(SimulatedCluster cluster, List<String> jobs) {
         for (long time = FAILURES_END_MS; time < FAILURES_END_MS + 500_000; time += 5000) {
             cluster.run(time);
             if (jobs.stream().filter(job -> cluster.rules.jobs.containsKey(job)).allMatch(cluster.users::poll)) {
                 cluster.run(time + 70_000);
                 jobs.forEach(cluster.users::poll);
-                return cluster;
+                return;
             }
         }
         jobs.stream()
                 .filter(job -> !cluster.users.poll(job))
                 .forEach(job -> cluster.rules.violations.add("never over: " + job));
-        return cluster;
     }
 
+    /** Injects one of 17 kinds of failure, at random. */
     static void injectFailure(SimulatedCluster cluster) {
         String node = cluster.nodes.get(cluster.random.nextInt(cluster.shape.nodes())).name;
         String worker = cluster.workers.get(cluster.random.nextInt(cluster.workers.size())).id;
--- a/src/test/java/garnetscale/core/sim/UpgradeSimulationTest.java
+++ b/src/test/java/garnetscale/core/sim/UpgradeSimulationTest.java
@@ -53,7 +53,7 @@
             cluster.at(20_000 + 3000 * i, () -> start(cluster, node, NEW, 1000));
         }
         for (long at = 40_000; at < TROUBLE; at += 8000) {
-            cluster.at(at, () -> trouble(cluster));
+            cluster.at(at, () -> injectFailure(cluster));
         }
         // Asked for again and again, as by somebody who got no answer; the direction changes every now and then.
         for (long at = 30_000; at < TROUBLE; at += 2500) {
@@ -106,7 +106,7 @@
         node.crash(downMs);
     }
 
-    static void trouble(SimulatedCluster cluster) {
+    static void injectFailure(SimulatedCluster cluster) {
         SimulatedNode node = cluster.nodes.get(cluster.random.nextInt(cluster.nodes.size()));
         int ms = 1000 + cluster.random.nextInt(15_000);
         switch (cluster.random.nextInt(10)) {
--- a/src/test/java/garnetscale/timeline/Timeline.java
+++ b/src/test/java/garnetscale/timeline/Timeline.java
@@ -5,21 +5,23 @@
 import java.util.Random;
 import java.util.TreeMap;
 
-/** A simulated time with what is to happen in it: in the order of times, and of what was put in first among equals. */
+/** A simulated clock and its events, which run in the order of their times, and of their scheduling among equals. */
 public abstract class Timeline {
 
     private record Event(long at, long order, Runnable run) implements Comparable<Event> {
         @Override
-        public int compareTo(Event o) {
-            return at != o.at ? Long.compare(at, o.at) : Long.compare(order, o.order);
+        public int compareTo(Event other) {
+            return at != other.at ? Long.compare(at, other.at) : Long.compare(order, other.order);
         }
     }
 
-    /** All that happens by chance comes of this, and so of the seed. */
+    /** The only source of random numbers, so that a run follows from its seed. */
     public final Random random;
 
+    /** Milliseconds since the start. */
     public long now;
-    /** How often what a day is steered into came about. */
+
+    /** How often each event occurred that a scenario is steered into. */
     public final Map<String, Integer> met = new TreeMap<>();
 
     private final PriorityQueue<Event> events = new PriorityQueue<>();
@@ -29,10 +31,12 @@
         random = new Random(seed);
     }
 
+    /** Schedules an event {@code delay} milliseconds from now. */
     public void at(long delay, Runnable run) {
         events.add(new Event(now + delay, order++, run));
     }
 
+    /** Schedules an event again and again. */
     protected void every(long period, Runnable run) {
         at(period, () -> {
             run.run();
@@ -40,16 +44,17 @@
         });
     }
 
+    /** Runs all events up to a time, which is the present one then. */
     public void run(long until) {
         while (!events.isEmpty() && events.peek().at <= until) {
-            Event e = events.poll();
-            now = e.at;
-            e.run.run();
+            Event event = events.poll();
+            now = event.at;
+            event.run.run();
         }
         now = until;
     }
 
-    /** Something that a day is steered into came about. */
+    /** Counts an event that a scenario is steered into. */
     public void met(String what) {
         met.merge(what, 1, Integer::sum);
     }
