--- a/src/main/java/garnetscale/core/balance/MoveBudget.java
+++ b/src/main/java/garnetscale/core/balance/MoveBudget.java
@@ -97,14 +97,14 @@
                 .filter(other -> other.to().equals(move.to()))
                 .mapToDouble(Move::cpus)
                 .sum();
-        return hasRoomAt(now, move.to(), cpus - move.cpus(), move.cpus(), load);
+        return mayReceive(now, move.to(), cpus - move.cpus(), move.cpus(), load);
     }
 
     /**
      * Whether a task of so many CPUs may be moved to the group, in addition to tasks in transit and {@code plannedCpus} CPUs more. A
      * single task may always go where it fits.
      */
-    boolean hasRoomAt(long now, MachineGroup group, double plannedCpus, double cpus, LoadSnapshot load) {
+    boolean mayReceive(long now, MachineGroup group, double plannedCpus, double cpus, LoadSnapshot load) {
         double inTransitCpus = plannedCpus;
         for (Entry entry : recent) {
             if (entry.move().to().equals(group) && now - entry.at() < transitMs) {
--- a/src/main/java/garnetscale/core/balance/MovePlanner.java
+++ b/src/main/java/garnetscale/core/balance/MovePlanner.java
@@ -170,7 +170,7 @@
                 bid -> mayMoveTo(from, job, bid)
                         && !bid.fits(waiting)
                         && input.load().utilization(bid.group()) <= MAX_UTILIZATION
-                        && budget.hasRoomAt(
+                        && budget.mayReceive(
                                 input.now(), bid.group(), cpusTo(bid.group(), reserved), job.cpus(), input.load()));
     }
 
--- a/src/test/java/garnetscale/core/sim/DecisionDigest.java
+++ b/src/test/java/garnetscale/core/sim/DecisionDigest.java
@@ -36,8 +36,8 @@
 
     private static final int ORDINARY_END = 240_000;
     private static final int FLEET_END = 120_000;
-    private static final int TROUBLE_FROM = 5000;
-    private static final int TROUBLE_COUNT = 10;
+    private static final int FAILURES_FROM_MS = 5000;
+    private static final int FAILURE_COUNT = 10;
     private static final int BALANCE_END = 200_000;
     private static final int UPGRADE_END = 150_000;
     private static final VersionRange OLD = VersionRange.FIRST;
@@ -97,13 +97,13 @@
 
     private static void ordinaryDay(SimulatedCluster cluster) {
         submitJobs(cluster, ORDINARY_END / 2, 14, 12);
-        scheduleTroubles(cluster, ORDINARY_END / 2);
+        scheduleFailures(cluster, ORDINARY_END / 2);
         cluster.run(ORDINARY_END);
     }
 
     private static void fleetDay(SimulatedCluster cluster) {
         submitJobs(cluster, FLEET_END / 2, 30, 120);
-        scheduleTroubles(cluster, FLEET_END / 2);
+        scheduleFailures(cluster, FLEET_END / 2);
         cluster.run(FLEET_END);
     }
 
@@ -117,7 +117,7 @@
         cluster.at(75_000, () -> cluster.hang(cluster.workers.get(0).id, 12_000));
         cluster.at(80_000, () -> cluster.drain(cluster.workers.get(1).id, 20));
         cluster.at(90_000, () -> cluster.state.outage(8000));
-        scheduleTroubles(cluster, ORDINARY_END / 2);
+        scheduleFailures(cluster, ORDINARY_END / 2);
         cluster.run(ORDINARY_END);
     }
 
@@ -167,9 +167,9 @@
         }
     }
 
-    private static void scheduleTroubles(SimulatedCluster cluster, int until) {
-        for (int i = 0; i < TROUBLE_COUNT; i++) {
-            int at = TROUBLE_FROM + cluster.random.nextInt(until - TROUBLE_FROM);
+    private static void scheduleFailures(SimulatedCluster cluster, int until) {
+        for (int i = 0; i < FAILURE_COUNT; i++) {
+            int at = FAILURES_FROM_MS + cluster.random.nextInt(until - FAILURES_FROM_MS);
             cluster.at(at, () -> SimulationTest.injectFailure(cluster));
         }
     }
--- a/src/test/java/garnetscale/core/sim/UpgradeSimulationTest.java
+++ b/src/test/java/garnetscale/core/sim/UpgradeSimulationTest.java
@@ -16,13 +16,13 @@
 
 /**
  * Controllers of mixed versions under steady work: a rolling upgrade, activation, back again, on again and finalized, with
- * controllers that end, come back with the program of before, stand still or are cut off. The rules are watched from outside, and
+ * controllers that crash, come back with the program of before, freeze or are isolated. The rules are checked from outside, and
  * so is that nobody writes while a version is active that it doesn't support.
  */
 class UpgradeSimulationTest {
 
     private static final int SEEDS = Integer.getInteger("upgrade.seeds", 6);
-    private static final long TROUBLE = 300_000;
+    private static final long FAILURES_END_MS = 300_000;
     private static final long END = 500_000;
     private static final VersionRange OLD = VersionRange.FIRST;
     private static final VersionRange NEW = Layouts.SUPPORTED;
@@ -43,25 +43,25 @@
             int tasks = 50 + cluster.random.nextInt(500);
             double seconds = 2 + cluster.random.nextInt(20);
             String team = i % 2 == 0 ? "red" : "blue";
-            cluster.at(5000 + i * TROUBLE / 60, () -> cluster.users.submit(id, team, tasks, 0.5, seconds));
+            cluster.at(5000 + i * FAILURES_END_MS / 60, () -> cluster.users.submit(id, team, tasks, 0.5, seconds));
             if (i % 9 == 0) {
-                cluster.at(9000 + i * TROUBLE / 60, () -> cluster.users.cancel(id));
+                cluster.at(9000 + i * FAILURES_END_MS / 60, () -> cluster.users.cancel(id));
             }
         }
         for (int i = 0; i < cluster.nodes.size(); i++) {
             SimulatedNode node = cluster.nodes.get(i);
             cluster.at(20_000 + 3000 * i, () -> start(cluster, node, NEW, 1000));
         }
-        for (long at = 40_000; at < TROUBLE; at += 8000) {
+        for (long at = 40_000; at < FAILURES_END_MS; at += 8000) {
             cluster.at(at, () -> injectFailure(cluster));
         }
         // Asked for again and again, as by somebody who got no answer; the direction changes every now and then.
-        for (long at = 30_000; at < TROUBLE; at += 2500) {
+        for (long at = 30_000; at < FAILURES_END_MS; at += 2500) {
             UpgradeStep step = at / 30_000 % 2 == 1 ? UpgradeStep.ACTIVATE : UpgradeStep.DEACTIVATE;
             cluster.at(at, () -> ask(cluster, step));
         }
-        cluster.at(TROUBLE, () -> cluster.nodes.forEach(node -> start(cluster, node, NEW, 500)));
-        for (long at = TROUBLE + 30_000; at < END; at += 3000) {
+        cluster.at(FAILURES_END_MS, () -> cluster.nodes.forEach(node -> start(cluster, node, NEW, 500)));
+        for (long at = FAILURES_END_MS + 30_000; at < END; at += 3000) {
             cluster.at(at, () -> {
                 ask(cluster, UpgradeStep.ACTIVATE);
                 if (cluster.stored().version().active() == NEW.latest()) {
--- a/src/test/java/garnetscale/core/upgrade/UpgradeCluster.java
+++ b/src/test/java/garnetscale/core/upgrade/UpgradeCluster.java
@@ -10,7 +10,7 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** A few controllers on one state service, each with a replica that is as old as the test leaves it. */
+/** A few controllers on one key-value store, each with a replica that is as old as the test leaves it. */
 final class UpgradeCluster {
 
     static final long SETTLE_MS = 1000;
@@ -35,7 +35,7 @@
     private final Map<String, Long> leases = new HashMap<>();
     private long term;
 
-    /** A controller starts under a name, reads the store and enters itself among the live ones. */
+    /** Starts a controller under a name, which lists the keys and registers itself. */
     Controller start(String name, VersionRange supported) {
         end(name);
         Controller controller = new Controller(name, supported);
--- a/src/test/java/garnetscale/core/upgrade/UpgradeCoordinatorTest.java
+++ b/src/test/java/garnetscale/core/upgrade/UpgradeCoordinatorTest.java
@@ -16,7 +16,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** Each step with what stands in its way, and the meetings of steps with controllers that come, go and return. */
+/** Each step with what prevents it, and steps that coincide with controllers that join, leave and restart. */
 class UpgradeCoordinatorTest {
 
     private static final VersionRange OLD = VersionRange.FIRST;
