--- a/src/main/java/garnetscale/core/balance/UnknownReason.java
+++ b/src/main/java/garnetscale/core/balance/UnknownReason.java
@@ -1,13 +1,13 @@
 package garnetscale.core.balance;
 
-/** Why the leader's information on a machine can't be relied on. */
+/** Why the leader doesn't rely on what it knows of a machine. */
 public enum UnknownReason {
-    /** The block has a new term, and its holder hasn't reported this machine under it yet. */
+    /** The machine's partition has a new term, and its owner hasn't published the machine's status under it yet. */
     PARTITION_REASSIGNED,
-    /** The block's holder hasn't been heard from for a while. */
+    /** The leader hasn't received anything from the partition's owner for a while. */
     OWNER_UNHEARD,
-    /** The block's holder hasn't bid under its present term, so that nobody speaks for the block. */
+    /** The partition's owner hasn't submitted bids under the present term. */
     OWNER_NOT_BIDDING,
-    /** The holder doesn't hear the machine. */
+    /** The partition's owner receives no heartbeats from the machine. */
     MACHINE_SILENT
 }
--- a/src/main/java/garnetscale/core/leader/HeadroomReserve.java
+++ b/src/main/java/garnetscale/core/leader/HeadroomReserve.java
@@ -49,10 +49,10 @@
     HeadroomReserve(SchedulerConfig config) {
         reclaimS = RECLAIM_INTERVALS * config.heartbeatIntervalMs() / 1000.0;
         for (SchedulerConfig.ServiceLevelObjective objective : config.objectives()) {
-            if (objective.kind().equals("wait")
+            if (objective.kind() == SchedulerConfig.ObjectiveKind.START
                     && objective.withinS() * 1000 <= URGENT_INTERVALS * config.heartbeatIntervalMs()) {
                 urgentClasses.add(objective.jobClass());
-            } else if (objective.kind().equals("finished")) {
+            } else if (objective.kind() == SchedulerConfig.ObjectiveKind.COMPLETION) {
                 patienceS.merge(objective.jobClass(), objective.withinS() / PATIENCE_PARTS, Math::min);
             }
         }
--- a/src/main/java/garnetscale/core/leader/MoveSources.java
+++ b/src/main/java/garnetscale/core/leader/MoveSources.java
@@ -35,7 +35,7 @@
         this.awardTimes = context.awardTimes();
         this.heartbeatIntervalMs = context.config().heartbeatIntervalMs();
         for (SchedulerConfig.ServiceLevelObjective objective : context.config().objectives()) {
-            if (objective.kind().equals("wait")) {
+            if (objective.kind() == SchedulerConfig.ObjectiveKind.START) {
                 classesWithWaitObjective.add(objective.jobClass());
             }
         }
--- a/src/main/java/garnetscale/core/queue/JobOrder.java
+++ b/src/main/java/garnetscale/core/queue/JobOrder.java
@@ -39,7 +39,7 @@
     public JobOrder(SchedulerConfig config) {
         starvationLimitS = STARVATION_LIMIT * config.cancelMs() / 1000.0;
         for (SchedulerConfig.ServiceLevelObjective objective : config.objectives()) {
-            if (objective.kind().equals("deadline")) {
+            if (objective.kind() == SchedulerConfig.ObjectiveKind.DEADLINE) {
                 deadlinesByClass.put(objective.jobClass(), objective);
             }
         }
--- a/src/main/java/garnetscale/core/queue/ScarceTypeFilter.java
+++ b/src/main/java/garnetscale/core/queue/ScarceTypeFilter.java
@@ -33,7 +33,7 @@
     /** Takes the waiting objectives from the configuration. */
     public ScarceTypeFilter(SchedulerConfig config) {
         for (SchedulerConfig.ServiceLevelObjective objective : config.objectives()) {
-            if (objective.kind().equals("wait")) {
+            if (objective.kind() == SchedulerConfig.ObjectiveKind.START) {
                 yieldSByClass.merge(objective.jobClass(), YIELD_SHARE * objective.withinS(), Math::min);
             }
         }
--- a/src/test/java/garnetscale/core/sim/DecisionDigest.java
+++ b/src/test/java/garnetscale/core/sim/DecisionDigest.java
@@ -36,8 +36,8 @@
 
     private static final int ORDINARY_END = 240_000;
     private static final int FLEET_END = 120_000;
-    private static final int TROUBLE_FROM = 5000;
-    private static final int TROUBLE_COUNT = 10;
+    private static final int FAILURES_FROM_MS = 5000;
+    private static final int FAILURE_COUNT = 10;
     private static final int BALANCE_END = 200_000;
     private static final int UPGRADE_END = 150_000;
     private static final VersionRange OLD = VersionRange.FIRST;
@@ -83,7 +83,7 @@
             String day, long seed, SimulatedCluster cluster, Script script, DecisionRecorder recorder) {
         cluster.decisions = recorder;
         script.play(cluster);
-        assertEquals(List.of(), cluster.rules.broken, day + " " + seed);
+        assertEquals(List.of(), cluster.rules.violations, day + " " + seed);
         assertTrue(recorder.transactionCount() > 0 && recorder.effectCount() > 0 && recorder.replyCount() > 0, day);
         return String.format(
                 Locale.ROOT,
@@ -97,27 +97,27 @@
 
     private static void ordinaryDay(SimulatedCluster cluster) {
         submitJobs(cluster, ORDINARY_END / 2, 14, 12);
-        scheduleTroubles(cluster, ORDINARY_END / 2);
+        scheduleFailures(cluster, ORDINARY_END / 2);
         cluster.run(ORDINARY_END);
     }
 
     private static void fleetDay(SimulatedCluster cluster) {
         submitJobs(cluster, FLEET_END / 2, 30, 120);
-        scheduleTroubles(cluster, FLEET_END / 2);
+        scheduleFailures(cluster, FLEET_END / 2);
         cluster.run(FLEET_END);
     }
 
     /** Watches besides short requests, limited writes, transactions without an answer, machines that hang or are taken away. */
     private static void watchDay(SimulatedCluster cluster) {
         cluster.watches = true;
-        cluster.limitWrites();
+        cluster.state.limitWrites();
         submitJobs(cluster, ORDINARY_END / 2, 20, 12);
-        cluster.at(20_000, () -> cluster.late(20_000, 0.3, false));
-        cluster.at(50_000, () -> cluster.late(20_000, 0.3, true));
+        cluster.at(20_000, () -> cluster.state.late(20_000, 0.3, false));
+        cluster.at(50_000, () -> cluster.state.late(20_000, 0.3, true));
         cluster.at(75_000, () -> cluster.hang(cluster.workers.get(0).id, 12_000));
         cluster.at(80_000, () -> cluster.drain(cluster.workers.get(1).id, 20));
-        cluster.at(90_000, () -> cluster.outage(8000));
-        scheduleTroubles(cluster, ORDINARY_END / 2);
+        cluster.at(90_000, () -> cluster.state.outage(8000));
+        scheduleFailures(cluster, ORDINARY_END / 2);
         cluster.run(ORDINARY_END);
     }
 
@@ -128,7 +128,7 @@
         assertTrue(!history.moves.isEmpty(), "load balancing moved nothing");
     }
 
-    /** A rolling upgrade, activation and the way back, with troubles meanwhile. */
+    /** A rolling upgrade, activation and the way back, with failures meanwhile. */
     private static void upgradeDay(SimulatedCluster cluster) {
         cluster.nodes.forEach(node -> UpgradeSimulationTest.start(cluster, node, OLD, 50));
         submitJobs(cluster, UPGRADE_END / 2, 20, 300);
@@ -137,7 +137,7 @@
             cluster.at(20_000 + 3000 * i, () -> UpgradeSimulationTest.start(cluster, node, NEW, 1000));
         }
         for (long at = 45_000; at < UPGRADE_END - 30_000; at += 15_000) {
-            cluster.at(at, () -> UpgradeSimulationTest.trouble(cluster));
+            cluster.at(at, () -> UpgradeSimulationTest.injectFailure(cluster));
         }
         for (long at = 30_000; at < UPGRADE_END; at += 2500) {
             UpgradeStep step = at / 30_000 % 2 == 1 ? UpgradeStep.ACTIVATE : UpgradeStep.DEACTIVATE;
@@ -158,19 +158,19 @@
             int tasks = 1 + cluster.random.nextInt(mostTasks);
             double cpus = 1 + cluster.random.nextInt(4);
             double seconds = 1 + cluster.random.nextInt(25);
-            cluster.at(cluster.random.nextInt(until), () -> cluster.submit(job, team, tasks, cpus, seconds));
+            cluster.at(cluster.random.nextInt(until), () -> cluster.users.submit(job, team, tasks, cpus, seconds));
             if (cluster.random.nextInt(8) == 0) {
-                cluster.broken.add(job);
+                cluster.failingJobs.add(job);
             } else if (cluster.random.nextInt(4) == 0) {
-                cluster.at(cluster.random.nextInt(until) + 20_000, () -> cluster.cancel(job));
+                cluster.at(cluster.random.nextInt(until) + 20_000, () -> cluster.users.cancel(job));
             }
         }
     }
 
-    private static void scheduleTroubles(SimulatedCluster cluster, int until) {
-        for (int i = 0; i < TROUBLE_COUNT; i++) {
-            int at = TROUBLE_FROM + cluster.random.nextInt(until - TROUBLE_FROM);
-            cluster.at(at, () -> SimulationTest.trouble(cluster));
+    private static void scheduleFailures(SimulatedCluster cluster, int until) {
+        for (int i = 0; i < FAILURE_COUNT; i++) {
+            int at = FAILURES_FROM_MS + cluster.random.nextInt(until - FAILURES_FROM_MS);
+            cluster.at(at, () -> SimulationTest.injectFailure(cluster));
         }
     }
 }
--- a/src/test/java/garnetscale/core/sim/UpgradeSimulationTest.java
+++ b/src/test/java/garnetscale/core/sim/UpgradeSimulationTest.java
@@ -16,13 +16,13 @@
 
 /**
  * Controllers of mixed versions under steady work: a rolling upgrade, activation, back again, on again and finalized, with
- * controllers that end, come back with the program of before, stand still or are cut off. The rules are watched from outside, and
+ * controllers that crash, come back with the program of before, freeze or are isolated. The rules are checked from outside, and
  * so is that nobody writes while a version is active that it doesn't support.
  */
 class UpgradeSimulationTest {
 
     private static final int SEEDS = Integer.getInteger("upgrade.seeds", 6);
-    private static final long TROUBLE = 300_000;
+    private static final long FAILURES_END_MS = 300_000;
     private static final long END = 500_000;
     private static final VersionRange OLD = VersionRange.FIRST;
     private static final VersionRange NEW = Layouts.SUPPORTED;
@@ -43,25 +43,25 @@
             int tasks = 50 + cluster.random.nextInt(500);
             double seconds = 2 + cluster.random.nextInt(20);
             String team = i % 2 == 0 ? "red" : "blue";
-            cluster.at(5000 + i * TROUBLE / 60, () -> cluster.submit(id, team, tasks, 0.5, seconds));
+            cluster.at(5000 + i * FAILURES_END_MS / 60, () -> cluster.users.submit(id, team, tasks, 0.5, seconds));
             if (i % 9 == 0) {
-                cluster.at(9000 + i * TROUBLE / 60, () -> cluster.cancel(id));
+                cluster.at(9000 + i * FAILURES_END_MS / 60, () -> cluster.users.cancel(id));
             }
         }
         for (int i = 0; i < cluster.nodes.size(); i++) {
             SimulatedNode node = cluster.nodes.get(i);
             cluster.at(20_000 + 3000 * i, () -> start(cluster, node, NEW, 1000));
         }
-        for (long at = 40_000; at < TROUBLE; at += 8000) {
-            cluster.at(at, () -> trouble(cluster));
+        for (long at = 40_000; at < FAILURES_END_MS; at += 8000) {
+            cluster.at(at, () -> injectFailure(cluster));
         }
         // Asked for again and again, as by somebody who got no answer; the direction changes every now and then.
-        for (long at = 30_000; at < TROUBLE; at += 2500) {
+        for (long at = 30_000; at < FAILURES_END_MS; at += 2500) {
             UpgradeStep step = at / 30_000 % 2 == 1 ? UpgradeStep.ACTIVATE : UpgradeStep.DEACTIVATE;
             cluster.at(at, () -> ask(cluster, step));
         }
-        cluster.at(TROUBLE, () -> cluster.nodes.forEach(node -> start(cluster, node, NEW, 500)));
-        for (long at = TROUBLE + 30_000; at < END; at += 3000) {
+        cluster.at(FAILURES_END_MS, () -> cluster.nodes.forEach(node -> start(cluster, node, NEW, 500)));
+        for (long at = FAILURES_END_MS + 30_000; at < END; at += 3000) {
             cluster.at(at, () -> {
                 ask(cluster, UpgradeStep.ACTIVATE);
                 if (cluster.stored().version().active() == NEW.latest()) {
@@ -106,7 +106,7 @@
         node.crash(downMs);
     }
 
-    static void trouble(SimulatedCluster cluster) {
+    static void injectFailure(SimulatedCluster cluster) {
         SimulatedNode node = cluster.nodes.get(cluster.random.nextInt(cluster.nodes.size()));
         int ms = 1000 + cluster.random.nextInt(15_000);
         switch (cluster.random.nextInt(10)) {
@@ -117,11 +117,11 @@
                 cluster.at(7000, () -> start(cluster, node, NEW, cluster.random.nextInt(3000)));
             }
             // Paused and not dead: it wakes with what it knew before, also as the leader.
-            case 5 -> cluster.freeze(cluster.leader(), ms);
-            case 6 -> cluster.cutFromAllButWorkers(node.name, ms);
-            case 7 -> cluster.outage(ms);
+            case 5 -> cluster.network.freeze(cluster.leader(), ms);
+            case 6 -> cluster.network.cutFromAllButWorkers(node.name, ms);
+            case 7 -> cluster.state.outage(ms);
             // Transactions without an answer, among them activations, carried out at once or late.
-            case 8 -> cluster.late(ms, 0.5, cluster.random.nextBoolean());
+            case 8 -> cluster.state.late(ms, 0.5, cluster.random.nextBoolean());
             default -> cluster.crash(cluster.leader(), cluster.random.nextInt(3000));
         }
     }
@@ -130,10 +130,10 @@
     void mixedVersionsKeepTheRulesThroughUpgradeAndRollback() {
         for (long seed = 1; seed <= SEEDS; seed++) {
             SimulatedCluster cluster = day(seed);
-            assertEquals(List.of(), cluster.rules.broken, "seed " + seed);
-            assertEquals(List.of(), cluster.state.oversized(), "seed " + seed);
+            assertEquals(List.of(), cluster.rules.violations, "seed " + seed);
+            assertEquals(List.of(), cluster.state.model.oversized(), "seed " + seed);
             for (String job : jobs) {
-                assertTrue(cluster.poll(job), "seed " + seed + ": never over: " + job);
+                assertTrue(cluster.users.poll(job), "seed " + seed + ": never over: " + job);
             }
             assertEquals(
                     new ClusterVersion(NEW.latest(), NEW.latest()),
