--- a/src/main/java/garnetscale/config/FeaturesFile.java
+++ b/src/main/java/garnetscale/config/FeaturesFile.java
@@ -53,7 +53,7 @@
     private Features features() throws Settings.Faults {
         Table upgrade = table("staged_upgrade");
         boolean automatic = upgrade.isEnabled();
-        double settle = upgrade.number("settle", LEAST_SETTLE, MOST_SETTLE, Features.SETTLE);
+        double settle = upgrade.number("settle", LEAST_SETTLE, MOST_SETTLE, Features.DEFAULT_ACTIVATION_DELAY_LEASES);
         int latest = upgrade.whole("latest", Layouts.SUPPORTED.oldest(), Layouts.SUPPORTED.latest());
         upgrade.end();
         Table sharedSockets = table("shared_sockets");
--- a/src/main/java/garnetscale/config/Settings.java
+++ b/src/main/java/garnetscale/config/Settings.java
@@ -125,7 +125,7 @@
                     features);
             double cpu = above0(limits, "facts.machine_limits.", "cpu");
             double ram = above0(limits, "facts.machine_limits.", "ram_mb");
-            if (config.transactionOps() > 0 && config.transactionOps() < 16) {
+            if (config.maxTransactionOperations() > 0 && config.maxTransactionOperations() < 16) {
                 faults.add("facts.state.txn_ops is below 16");
             }
             if (!faults.isEmpty()) {
--- a/src/main/java/garnetscale/controller/CloudLink.java
+++ b/src/main/java/garnetscale/controller/CloudLink.java
@@ -47,7 +47,7 @@
         this.http = http;
         this.address = address;
         this.autoscaler = autoscaler;
-        this.spacingMs = autoscaler.spacingMs() + config.clockOffMs();
+        this.spacingMs = autoscaler.spacingMs() + config.wallClockErrorMs();
     }
 
     /** Whether a call may be made now. */
@@ -87,7 +87,7 @@
             public void onOk(byte[] body) throws IOException {
                 CloudCodec.Page page = CloudCodec.page(body);
                 autoscaler.onPage(EventLoopPacer.now(), page.machines(), page.more());
-                autoscaler.failed().forEach(listener::onTerminated);
+                autoscaler.failedInstances().forEach(listener::onTerminated);
                 if (!page.more()) {
                     listener.onListed();
                 }
--- a/src/main/java/garnetscale/controller/ClusterInspector.java
+++ b/src/main/java/garnetscale/controller/ClusterInspector.java
@@ -1,12 +1,12 @@
 package garnetscale.controller;
 
 import garnetscale.core.SchedulerConfig;
+import garnetscale.core.cluster.LeaderInfo;
+import garnetscale.core.cluster.PartitionLease;
+import garnetscale.core.cluster.PartitionMap;
 import garnetscale.core.job.JobSpec;
 import garnetscale.core.leader.Leader;
 import garnetscale.core.machine.Placement;
-import garnetscale.core.partition.LeaderInfo;
-import garnetscale.core.partition.PartitionLease;
-import garnetscale.core.partition.PartitionMap;
 import garnetscale.core.quota.QuotaUsage;
 import garnetscale.core.state.JobView;
 import garnetscale.core.state.StateReplica;
@@ -91,12 +91,12 @@
                 config.features().balance().enabled() && sources.leader().leadingTerm() >= 0;
         return new StatusView(
                 config.self(),
-                replica.loaded(),
+                replica.isLoaded(),
                 replica.unreadable(),
                 sources.process().get(),
                 replica.leader(),
                 version(),
-                List.copyOf(replica.nodes()),
+                List.copyOf(replica.controllers()),
                 partitions.all().stream().map(this::partition).toList(),
                 replica.placedMachines().size(),
                 teams(),
@@ -123,12 +123,12 @@
         List<StatusView.Team> rows = new ArrayList<>();
         for (SchedulerConfig.Team team : config.teams().values()) {
             List<JobView> jobs = replica.jobs().stream()
-                    .filter(job -> job.live() && job.spec().team().equals(team.name()))
+                    .filter(job -> job.isLive() && job.spec().team().equals(team.name()))
                     .toList();
             rows.add(new StatusView.Team(
                     team.name(),
                     jobs.size(),
-                    jobs.stream().mapToInt(JobView::unstarted).sum(),
+                    jobs.stream().mapToInt(JobView::unstartedCount).sum(),
                     jobs.stream().mapToInt(JobView::placedCount).sum(),
                     quota.cpus(team.name()),
                     team.cpus(),
@@ -142,7 +142,7 @@
     // ---- a job
 
     private void job(String id, Consumer<PeerMessage.OperatorResponse> answer) {
-        if (!replica.loaded()) {
+        if (!replica.isLoaded()) {
             answer.accept(refused(NOT_COMPLETE));
             return;
         }
@@ -172,7 +172,7 @@
                 spec.tasks(),
                 job.finishedCount(),
                 job.placedCount(),
-                job.unstarted(),
+                job.unstartedCount(),
                 sources.waitingReason().apply(job),
                 placements(spec.id()),
                 JobDetails.MoveRow.ofJob(sources.leader().recentMoves(), spec.id()));
@@ -184,7 +184,7 @@
             for (Placement placement : replica.placements(machine)) {
                 if (placement.task().job().equals(job)) {
                     rows.add(new JobDetails.PlacementRow(
-                            placement.task().index(), machine, replica.placedZone(machine), placement.stop()));
+                            placement.task().index(), machine, replica.zoneOfMachine(machine), placement.stop()));
                 }
             }
         }
@@ -200,7 +200,7 @@
         } catch (IllegalArgumentException e) {
             return refused("unknown step " + name);
         }
-        if (!replica.loaded()) {
+        if (!replica.isLoaded()) {
             return refused(replica.unreadable() == null ? NOT_COMPLETE : replica.unreadable());
         }
         LeaderInfo leader = replica.leader();
--- a/src/main/java/garnetscale/controller/ControllerNode.java
+++ b/src/main/java/garnetscale/controller/ControllerNode.java
@@ -4,8 +4,8 @@
 import garnetscale.core.SchedulerConfig;
 import garnetscale.core.autoscaling.Autoscaler;
 import garnetscale.core.bidding.Estimator;
+import garnetscale.core.cluster.PartitionMap;
 import garnetscale.core.leader.Leader;
-import garnetscale.core.partition.PartitionMap;
 import garnetscale.core.partition.PartitionOwner;
 import garnetscale.core.state.StateReplica;
 import garnetscale.net.ConnectionLimiter;
@@ -83,7 +83,7 @@
         ClusterInspector inspector = inspector(partitions, status, jobApi);
         this.peers = new PeerMessageHandler(loop, context, state, jobApi, peerHeartbeats, inspector);
         ConnectionLimiter connections =
-                new ConnectionLimiter(config.maxConnections(), config.features().sharedSocketsFrom());
+                new ConnectionLimiter(config.maxConnections(), config.features().closeConnectionsFrom());
         this.effects =
                 new OwnerEffectExecutor(context, new HttpClient(loop, 1, connections, CONNECT_TIMEOUT_MS), peers);
         this.leadership = new LeadershipLoop(context, state, cloud, peers, effects, jobApi);
@@ -194,7 +194,7 @@
     // ---- events
 
     @Override
-    public void advanced() {
+    public void onReplicaAdvanced() {
         if (!serverOpened) {
             serverOpened = true;
             openServer();
@@ -203,12 +203,12 @@
     }
 
     @Override
-    public void confirmed(long sentAt) {
-        context.owner().confirmed(sentAt);
+    public void onReplicaConfirmed(long sentAt) {
+        context.owner().onReplicaConfirmed(sentAt);
     }
 
     @Override
-    public void leased(long lease) {
+    public void onLeaseGranted(long lease) {
         peers.onLeaseGranted(lease);
         leadership.onLeaseGranted(lease);
         context.owner().onLeaseGranted(lease);
@@ -225,13 +225,13 @@
     // ---- cycles
 
     private void runRequestedCycle(boolean lagging) {
-        context.owner().lagging(lagging);
+        context.owner().setLagging(lagging);
         runCycle();
     }
 
     @SuppressWarnings("IllegalCatch") // One cycle that trips a fault mustn't end the process's tick.
     private void runCycle() {
-        if (!context.replica().loaded()) {
+        if (!context.replica().isLoaded()) {
             return;
         }
         long now = EventLoopPacer.now();
@@ -247,7 +247,7 @@
             LOG.error("cycle failed, the next one goes on", e);
         }
         pacer.pauseAfterCycle(now);
-        long nextBidsMs = context.owner().nextOffer(EventLoopPacer.now());
+        long nextBidsMs = context.owner().msUntilNextBids(EventLoopPacer.now());
         if (nextBidsMs > 0) {
             pacer.requestCycleAt(EventLoopPacer.now() + nextBidsMs);
         }
@@ -255,14 +255,14 @@
 
     private void setWallClock(long now) {
         long offset = System.currentTimeMillis() - now;
-        context.owner().wallClock(offset);
-        context.autoscaler().wallClock(offset);
-        context.leader().wallClock(offset);
+        context.owner().setWallClockOffset(offset);
+        context.autoscaler().setWallClockOffset(offset);
+        context.leader().setWallClockOffset(offset);
     }
 
     /** Tells the leader and all peers when workers stop or begin to reach this process. */
     private void publishReachability() {
-        boolean isolated = context.owner().isolatedFromWorkers();
+        boolean isolated = context.owner().isIsolatedFromWorkers();
         if (isolated == isolatedFromWorkers) {
             return;
         }
--- a/src/main/java/garnetscale/controller/EventLoopPacer.java
+++ b/src/main/java/garnetscale/controller/EventLoopPacer.java
@@ -57,7 +57,7 @@
         long heartbeatMs = config.heartbeatIntervalMs();
         this.cycleDelayMs = Math.max(MIN_CYCLE_DELAY_MS, heartbeatMs / CYCLES_PER_HEARTBEAT_INTERVAL);
         this.planIntervalMs =
-                Math.max(config.windowMs() / PLANS_PER_WINDOW, heartbeatMs / PLANS_PER_HEARTBEAT_INTERVAL);
+                Math.max(config.bidWindowMs() / PLANS_PER_WINDOW, heartbeatMs / PLANS_PER_HEARTBEAT_INTERVAL);
         this.maxLagMs = heartbeatMs / LAG_PER_HEARTBEAT_INTERVAL;
     }
 
--- a/src/main/java/garnetscale/controller/JobApi.java
+++ b/src/main/java/garnetscale/controller/JobApi.java
@@ -57,7 +57,8 @@
             Function<JobView, String> waitingReason,
             Consumer<String> onCancelled) {
         RequestAdmission admission = new RequestAdmission(config, replica, store);
-        this.terminalJobs = new TerminalJobIndex(config.transactionOps(), config.endsRemembered(), store);
+        this.terminalJobs =
+                new TerminalJobIndex(config.maxTransactionOperations(), config.terminalJobsRemembered(), store);
         this.lookup = new JobLookup(replica, store, admission, terminalJobs, waitingReason);
         this.submission = new JobSubmission(config, replica, store, admission, lookup);
         this.cancellation = new JobCancellation(replica, store, admission, lookup, onCancelled);
--- a/src/main/java/garnetscale/controller/JobCancellation.java
+++ b/src/main/java/garnetscale/controller/JobCancellation.java
@@ -64,7 +64,7 @@
                 answer.accept(JobReplies.stateUnknown());
             } else if (job == null) {
                 lookup.lookUpTerminal(id, result -> answer.accept(JobLookup.replyOf(result)));
-            } else if (!job.live()) {
+            } else if (!job.isLive()) {
                 answer.accept(lookup.replyOf(job));
             } else {
                 store(job, retries, answer);
--- a/src/main/java/garnetscale/controller/JobSubmission.java
+++ b/src/main/java/garnetscale/controller/JobSubmission.java
@@ -85,7 +85,7 @@
             return;
         }
         Map<String, Object> record = Records.job(new JobRecord(spec, JobState.LIVE, System.currentTimeMillis()));
-        if (Cbor.write(record).length > config.valueBytes()) {
+        if (Cbor.write(record).length > config.maxValueBytes()) {
             answer.accept(JobReplies.error(HttpStatus.BAD_REQUEST, "too long"));
             return;
         }
--- a/src/main/java/garnetscale/controller/LeadershipLoop.java
+++ b/src/main/java/garnetscale/controller/LeadershipLoop.java
@@ -94,7 +94,7 @@
             takeLeadership(now);
         }
         autoscale(now);
-        if (leader.takeSuspectNews()) {
+        if (leader.takeNewlyQuarantined()) {
             publishMachineDirectory();
         }
         transact(now);
@@ -155,8 +155,8 @@
         context.profile()
                 .run(
                         EventLoopProfile.Activity.AUTOSCALER,
-                        () -> next[0] =
-                                autoscaler.next(now, leader.machines(), leader.decommissioned(), leader.suspects()));
+                        () -> next[0] = autoscaler.next(
+                                now, leader.machines(), leader.decommissionedMachines(), leader.quarantinedJobs()));
         CloudCall call = next[0];
         autoscaledAt += Math.min(AUTOSCALER_INTERVAL_MS, AUTOSCALER_PAUSE_FACTOR * (EventLoopPacer.now() - now));
         if (call != null) {
@@ -179,7 +179,9 @@
 
     @Override
     public void onListed() {
-        autoscaler.vanished(EventLoopPacer.now(), leader.machines()).forEach(leader::onMachineVanished);
+        autoscaler
+                .takeVanishedInstances(EventLoopPacer.now(), leader.machines())
+                .forEach(leader::onMachineVanished);
         publishMachineDirectory();
     }
 
@@ -208,14 +210,14 @@
         }
         Transaction transaction = pipeline.next(() -> plan(now));
         if (transaction == null) {
-            long waitMs = leader.nextPlan(now);
+            long waitMs = leader.millisToNextPlan(now);
             if (waitMs > 0) {
                 context.pacer().requestCycleAt(now + waitMs);
             }
             return;
         }
         LOG.debug("leader sends transaction, transaction={}", transaction);
-        state.lead(transaction, (outcome, revision) -> onTransactionEnded(transaction, outcome, revision));
+        state.sendAsLeader(transaction, (outcome, revision) -> onTransactionEnded(transaction, outcome, revision));
     }
 
     private Transaction plan(long now) {
--- a/src/main/java/garnetscale/controller/OperatorJson.java
+++ b/src/main/java/garnetscale/controller/OperatorJson.java
@@ -2,8 +2,8 @@
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
+import garnetscale.core.cluster.ControllerInfo;
 import garnetscale.core.machine.Placement;
-import garnetscale.core.partition.ControllerInfo;
 import garnetscale.core.state.Records;
 import garnetscale.wire.Trees;
 import java.io.IOException;
--- a/src/main/java/garnetscale/controller/OwnerEffectExecutor.java
+++ b/src/main/java/garnetscale/controller/OwnerEffectExecutor.java
@@ -1,6 +1,6 @@
 package garnetscale.controller;
 
-import garnetscale.core.partition.LeaderInfo;
+import garnetscale.core.cluster.LeaderInfo;
 import garnetscale.core.partition.OwnerEffect;
 import garnetscale.net.HttpClient;
 import garnetscale.net.HttpResult;
@@ -36,7 +36,7 @@
 
     /** Carries out everything that the owner wants done by now. */
     void drain() {
-        context.owner().drain().forEach(this::execute);
+        context.owner().drainEffects().forEach(this::execute);
     }
 
     private void execute(OwnerEffect effect) {
--- a/src/main/java/garnetscale/controller/PeerMessageHandler.java
+++ b/src/main/java/garnetscale/controller/PeerMessageHandler.java
@@ -1,7 +1,7 @@
 package garnetscale.controller;
 
 import garnetscale.core.SchedulerConfig;
-import garnetscale.core.partition.LeaderInfo;
+import garnetscale.core.cluster.LeaderInfo;
 import garnetscale.net.PeerLinks;
 import garnetscale.peer.PeerMessage;
 import io.netty.channel.ChannelFuture;
@@ -87,7 +87,7 @@
             heartbeats.restartTimers(now);
         }
         heartbeatsSentAt = now;
-        heartbeats.forEachSilent(now, peer -> context.leader().suspect(EventLoopPacer.now(), peer, true));
+        heartbeats.forEachSilent(now, peer -> context.leader().onPeerReachability(EventLoopPacer.now(), peer, true));
         sendHeartbeat();
     }
 
@@ -102,21 +102,21 @@
                 lease,
                 context.leader().leadingTerm(),
                 state.ageMs(),
-                context.owner().isolatedFromWorkers());
+                context.owner().isIsolatedFromWorkers());
     }
 
     /** The leader's machine directory as of now. */
     PeerMessage.MachineDirectory machineDirectory() {
         return new PeerMessage.MachineDirectory(
                 context.autoscaler().machineDirectory(),
-                context.leader().lateJobs(),
-                List.copyOf(context.leader().suspects()));
+                context.leader().jobsWantingLateBids(),
+                List.copyOf(context.leader().quarantinedJobs()));
     }
 
     // ---- links
 
     private void onLinkUp(String peer) {
-        context.leader().suspect(EventLoopPacer.now(), peer, false);
+        context.leader().onPeerReachability(EventLoopPacer.now(), peer, false);
         if (context.leader().leadingTerm() >= 0) {
             links.send(peer, machineDirectory());
         }
@@ -129,7 +129,7 @@
     }
 
     private void onLinkRefused(String peer) {
-        context.leader().suspect(EventLoopPacer.now(), peer, true);
+        context.leader().onPeerReachability(EventLoopPacer.now(), peer, true);
         context.pacer().requestCycle();
     }
 
@@ -163,7 +163,7 @@
         String peer = heartbeat.node();
         PeerHeartbeats.Received before = heartbeats.put(heartbeat, EventLoopPacer.now());
         if (before == null || EventLoopPacer.now() - before.at() < MAX_GAP_MS) {
-            context.leader().suspect(EventLoopPacer.now(), peer, false);
+            context.leader().onPeerReachability(EventLoopPacer.now(), peer, false);
         }
         context.leader().onWorkerReachability(EventLoopPacer.now(), peer, heartbeat.isolatedFromWorkers());
         if (heartbeat.leaderTerm() >= 0
--- a/src/main/java/garnetscale/controller/ProcessStatus.java
+++ b/src/main/java/garnetscale/controller/ProcessStatus.java
@@ -24,7 +24,7 @@
      * all, going out of service would only delay the return, so it stays in unless a peer does better.
      */
     boolean ready() {
-        if (!replica.loaded() || replica.types().isEmpty()) {
+        if (!replica.isLoaded() || replica.types().isEmpty()) {
             return false;
         }
         return PeerHeartbeats.reachesState(state.ageMs()) || !peerHeartbeats.anyReachesState(EventLoopPacer.now());
@@ -32,17 +32,17 @@
 
     /** What operators are shown of this process. */
     ClusterInspector.ProcessView view() {
-        return new ClusterInspector.ProcessView(ready(), state.ageMs(), state.budgets());
+        return new ClusterInspector.ProcessView(ready(), state.ageMs(), state.rateLimits());
     }
 
     /** Why tasks of a job wait, for its user; null when none does. */
     String waitingReason(JobView job) {
-        if (job.unstarted() == 0) {
+        if (job.unstartedCount() == 0) {
             return null;
         }
         if (owner.isSuspect(job.spec().id())) {
             return "its tasks fail on every machine; they are tried ever more rarely";
         }
-        return job.unstarted() + " of " + job.spec().tasks() + " tasks wait for room";
+        return job.unstartedCount() + " of " + job.spec().tasks() + " tasks wait for room";
     }
 }
--- a/src/main/java/garnetscale/controller/ReplicaListing.java
+++ b/src/main/java/garnetscale/controller/ReplicaListing.java
@@ -60,7 +60,7 @@
      * @param revision the revision of the first page, negative for the first page
      */
     private void listPage(String since, List<KeyChange> listed, long revision) {
-        String path = StateCodec.listingPath(Keys.MIRRORED, PAGE_KEYS, since);
+        String path = StateCodec.listingPath(Keys.REPLICATED, PAGE_KEYS, since);
         long sentAt = connection.now();
         connection.call(HttpMethod.GET, path, null, PAGE_TIMEOUT_MS, result -> {
             if (!result.is(HttpStatus.OK)) {
@@ -88,7 +88,7 @@
         replica.reset(listed, firstRevision);
         if (replica.unreadable() != null) {
             retryUnreadable();
-        } else if (replica.inconsistent()) {
+        } else if (replica.isInconsistent()) {
             LOG.info("listing is inconsistent and is read again, revision={}", firstRevision);
             connection.retryAfter(INCONSISTENT_RETRY_MS, this::start);
         } else {
--- a/src/main/java/garnetscale/controller/ReplicaWatch.java
+++ b/src/main/java/garnetscale/controller/ReplicaWatch.java
@@ -142,7 +142,7 @@
      */
     private void follow(long waitMs, long timeoutMs, Consumer<Boolean> done) {
         long sentAt = connection.now();
-        String path = StateCodec.watchPath(Keys.MIRRORED, replica.revision(), waitMs);
+        String path = StateCodec.watchPath(Keys.REPLICATED, replica.revision(), waitMs);
         connection.call(HttpMethod.GET, path, null, timeoutMs, result -> {
             // Too old, or more than this process takes at once: a listing comes in pages.
             if (result.is(GONE) || result.outcome() == HttpResult.Outcome.TOO_LONG) {
@@ -175,7 +175,7 @@
         if (!listing.isRunning() && replica.unreadable() != null) {
             listing.waitUntilReadable();
         }
-        if (!listing.isRunning() && replica.inconsistent()) {
+        if (!listing.isRunning() && replica.isInconsistent()) {
             LOG.info("watch has lost entries and the replica is listed again, revision={}", replica.revision());
             listing.start();
         }
--- a/src/main/java/garnetscale/controller/RequestAdmission.java
+++ b/src/main/java/garnetscale/controller/RequestAdmission.java
@@ -32,7 +32,7 @@
 
     /** Whether a request that may use this share of the limit can be served by way of the state service now. */
     boolean admits(double share) {
-        return replica.loaded() && !store.failing() && waiting <= share * limit;
+        return replica.isLoaded() && !store.failing() && waiting <= share * limit;
     }
 
     /** A request begins to wait for the state service. */
--- a/src/main/java/garnetscale/controller/RequestRouter.java
+++ b/src/main/java/garnetscale/controller/RequestRouter.java
@@ -72,7 +72,7 @@
             LOG.warn("worker heartbeat malformed, answered 400, error={}", e.getMessage());
             return Reply.of(HttpStatus.BAD_REQUEST);
         }
-        if (!context.replica().loaded()) {
+        if (!context.replica().isLoaded()) {
             return Reply.of(HttpStatus.UNAVAILABLE);
         }
         HeartbeatReply reply = context.owner().onHeartbeat(EventLoopPacer.now(), heartbeat);
--- a/src/main/java/garnetscale/controller/SessionLease.java
+++ b/src/main/java/garnetscale/controller/SessionLease.java
@@ -1,7 +1,7 @@
 package garnetscale.controller;
 
 import garnetscale.core.SchedulerConfig;
-import garnetscale.core.partition.ControllerInfo;
+import garnetscale.core.cluster.ControllerInfo;
 import garnetscale.core.state.Keys;
 import garnetscale.core.state.Records;
 import garnetscale.core.state.StateReplica;
@@ -77,19 +77,19 @@
 
     /** Puts this process among the live controllers; a late record of an earlier process is overwritten. */
     private void register() {
-        if (lease < 0 || registering || !replica.loaded() || isRegistered()) {
+        if (lease < 0 || registering || !replica.isLoaded() || isRegistered()) {
             return;
         }
         registering = true;
         long registered = lease;
-        String key = Keys.node(config.self());
+        String key = Keys.controller(config.self());
         ControllerInfo info = new ControllerInfo(
                 config.self(),
                 registered,
-                config.zoneOfNode(config.self()),
+                config.zoneOfController(config.self()),
                 config.features().layouts());
         transactions.send(
-                new Transaction().guard(key, replica.modRevision(key)).put(key, Records.node(info), registered),
+                new Transaction().guard(key, replica.modRevision(key)).put(key, Records.controller(info), registered),
                 (outcome, revision) -> onRegistered(outcome, registered));
     }
 
@@ -104,14 +104,14 @@
     }
 
     private boolean isRegistered() {
-        ControllerInfo registered = replica.node(config.self());
+        ControllerInfo registered = replica.controller(config.self());
         return registered != null && registered.incarnation() == lease;
     }
 
     private void onExpired() {
         LOG.info("lease has expired and a new one is acquired, lease={}", lease);
         lease = NO_LEASE;
-        listener.leased(NO_LEASE);
+        listener.onLeaseGranted(NO_LEASE);
         acquire();
     }
 
@@ -154,7 +154,7 @@
         boolean registered = lease >= 0 && isRegistered();
         if (registered && announcedLease != lease) {
             announcedLease = lease;
-            listener.leased(lease);
+            listener.onLeaseGranted(lease);
         }
         if (!registered) {
             register();
--- a/src/main/java/garnetscale/controller/StateConnection.java
+++ b/src/main/java/garnetscale/controller/StateConnection.java
@@ -63,7 +63,7 @@
 
     /** What may be sent now of a part of the limits, and at which rate, for operators. */
     Map<String, Object> describe(TokenBucket budget) {
-        return Map.of("available", budget.available(now()), "per_s", budget.perS());
+        return Map.of("available", budget.available(now()), "per_s", budget.ratePerS());
     }
 
     /** Whether requests have been failing for some time. */
--- a/src/main/java/garnetscale/controller/StateLink.java
+++ b/src/main/java/garnetscale/controller/StateLink.java
@@ -23,13 +23,13 @@
     /** What the link tells the controller. */
     interface Listener {
         /** The replica has changed. */
-        void advanced();
+        void onReplicaAdvanced();
 
         /** The replica contains all that was stored when a request was sent, by the steady clock. */
-        void confirmed(long sentAt);
+        void onReplicaConfirmed(long sentAt);
 
         /** This process is registered under a lease, or has lost it (negative). */
-        void leased(long lease);
+        void onLeaseGranted(long lease);
     }
 
     /** The connection to the service, and time. */
@@ -69,7 +69,7 @@
     StateLink(SchedulerConfig config, Io io, RandomGenerator random, StateReplica replica, Listener listener) {
         this.config = config;
         this.listener = listener;
-        double requestsPerS = config.stateRps() / config.controllers().size();
+        double requestsPerS = config.stateRequestsPerS() / config.controllers().size();
         connection = new StateConnection(io, random);
         listing = new ReplicaListing(connection, replica, this);
         watch = new ReplicaWatch(connection, replica, listing, this, requestsPerS * WATCH_SHARE);
@@ -92,7 +92,7 @@
     }
 
     /** What may be sent now of each part of the limits, and at which rate, for operators. */
-    Map<String, Object> budgets() {
+    Map<String, Object> rateLimits() {
         Map<String, Object> budgets = new LinkedHashMap<>();
         budgets.put("watches", watch.budget());
         budgets.put("reads", reads.budget());
@@ -110,7 +110,7 @@
     @Override
     public void onConfirmed(long sentAt) {
         confirmedAt = Math.max(confirmedAt, sentAt);
-        listener.confirmed(sentAt);
+        listener.onReplicaConfirmed(sentAt);
     }
 
     @Override
@@ -129,7 +129,7 @@
 
     private void onChanged() {
         session.onReplicaAdvanced();
-        listener.advanced();
+        listener.onReplicaAdvanced();
     }
 
     // ---- what the controller asks for
@@ -160,8 +160,8 @@
     }
 
     /** Sends a leader's transaction once the limits allow it. */
-    void lead(Transaction transaction, BiConsumer<TransactionOutcome, Long> done) {
-        transactions.lead(transaction, done);
+    void sendAsLeader(Transaction transaction, BiConsumer<TransactionOutcome, Long> done) {
+        transactions.sendAsLeader(transaction, done);
     }
 
     @Override
--- a/src/main/java/garnetscale/controller/StateTransactions.java
+++ b/src/main/java/garnetscale/controller/StateTransactions.java
@@ -53,13 +53,13 @@
     }
 
     /** Sends a leader's transaction once the limits allow it. */
-    void lead(Transaction transaction, BiConsumer<TransactionOutcome, Long> done) {
+    void sendAsLeader(Transaction transaction, BiConsumer<TransactionOutcome, Long> done) {
         if (rates.observe(connection.now(), replica.jobsAdded())) {
             leaderBudget.resize(rates.leaderPerS(), LEADER_BURST_S * rates.leaderPerS());
         }
         long waitMs = leaderBudget.waitMs(connection.now(), transaction.ops().size());
         if (waitMs > 0) {
-            connection.after(waitMs, () -> lead(transaction, done));
+            connection.after(waitMs, () -> sendAsLeader(transaction, done));
             return;
         }
         leaderBudget.force(connection.now(), transaction.ops().size());
@@ -68,7 +68,7 @@
 
     /** Sends a user's transaction, or refuses it at once when the limits are used up. */
     void submit(Transaction transaction, BiConsumer<TransactionOutcome, Long> done) {
-        double perS = rates.submissionsPerS(replica.nodes().size());
+        double perS = rates.submissionsPerS(replica.controllers().size());
         submissionBudget.resize(perS, SUBMISSIONS_BURST_S * perS);
         if (!submissionBudget.take(connection.now(), transaction.ops().size())) {
             done.accept(TransactionOutcome.REFUSED, NO_REVISION);
@@ -84,7 +84,7 @@
      * @param done gets the outcome, and the revision of the answer or a negative number
      */
     void send(Transaction transaction, BiConsumer<TransactionOutcome, Long> done) {
-        if (!replica.loaded()) {
+        if (!replica.isLoaded()) {
             done.accept(TransactionOutcome.REFUSED, NO_REVISION);
             return;
         }
@@ -114,7 +114,7 @@
         } else if (result.is(HttpStatus.BAD_REQUEST)) {
             LOG.debug("transaction names a lease that has expired or is malformed, transaction={}", transaction);
             done.accept(TransactionOutcome.NO_LEASE, NO_REVISION);
-        } else if (result.outcome() == HttpResult.Outcome.NO_ANSWER || result.maybe()) {
+        } else if (result.outcome() == HttpResult.Outcome.NO_ANSWER || result.mayHaveBeenApplied()) {
             connection.onFailed("transaction", result);
             done.accept(TransactionOutcome.MAYBE, NO_REVISION);
         } else {
--- a/src/main/java/garnetscale/controller/StatusView.java
+++ b/src/main/java/garnetscale/controller/StatusView.java
@@ -1,7 +1,7 @@
 package garnetscale.controller;
 
-import garnetscale.core.partition.ControllerInfo;
-import garnetscale.core.partition.LeaderInfo;
+import garnetscale.core.cluster.ControllerInfo;
+import garnetscale.core.cluster.LeaderInfo;
 import java.util.List;
 
 /**
--- a/src/main/java/garnetscale/core/SchedulerConfig.java
+++ b/src/main/java/garnetscale/core/SchedulerConfig.java
@@ -14,16 +14,16 @@
  * @param teams               quotas by team, in the order of the settings
  * @param objectives          the operators' service-level objectives
  * @param heartbeatIntervalMs between two heartbeats of a worker
- * @param leaseMs             a worker kills its tasks when its last answered heartbeat was sent longer ago
- * @param cancelMs            within this time of its cancellation a job's tasks must be terminated
- * @param transactionOps      most operations in one transaction of the key-value store
- * @param stateRps            requests a second that the key-value store takes from this controller
+ * @param workerLeaseMs             a worker kills its tasks when its last answered heartbeat was sent longer ago
+ * @param cancellationDeadlineMs            within this time of its cancellation a job's tasks must be terminated
+ * @param maxTransactionOperations      most operations in one transaction of the key-value store
+ * @param stateRequestsPerS            requests a second that the key-value store takes from this controller
  * @param stateWritesPerS     changes a second that the key-value store takes from all controllers
- * @param valueBytes          most bytes in one stored value
- * @param cloudRps            requests a second that the cloud takes
- * @param listLagMs           how old the cloud's instance list usually is; it may be twice as old
+ * @param maxValueBytes          most bytes in one stored value
+ * @param cloudRequestsPerS            requests a second that the cloud takes
+ * @param instanceListLagMs           how old the cloud's instance list usually is; it may be twice as old
  * @param maxConnections      TCP connections that this process may have open
- * @param clockOffMs          most that wall-clock time is off
+ * @param wallClockErrorMs          most that wall-clock time is off
  * @param features            what operators have switched on
  */
 public record SchedulerConfig(
@@ -33,16 +33,16 @@
         Map<String, Team> teams,
         List<ServiceLevelObjective> objectives,
         long heartbeatIntervalMs,
-        long leaseMs,
-        long cancelMs,
-        int transactionOps,
-        double stateRps,
+        long workerLeaseMs,
+        long cancellationDeadlineMs,
+        int maxTransactionOperations,
+        double stateRequestsPerS,
         double stateWritesPerS,
-        int valueBytes,
-        double cloudRps,
-        long listLagMs,
+        int maxValueBytes,
+        double cloudRequestsPerS,
+        long instanceListLagMs,
         int maxConnections,
-        long clockOffMs,
+        long wallClockErrorMs,
         Features features) {
 
     /** For how long completed jobs are remembered, while they complete as fast as the key-value store can record it. */
@@ -105,20 +105,25 @@
     /**
      * How long a partition owner answers heartbeats after it sent the last request that confirmed its view. As long as it can
      * be: the longer it is, the longer an outage may last without costing tasks. With a worker's lease and the margin it stays
-     * below {@link #cancelMs}, since an owner in its grace may not know of a cancellation.
+     * below {@link #cancellationDeadlineMs}, since an owner in its grace may not know of a cancellation.
      */
     public long graceMs() {
-        return Math.max(0, cancelMs - leaseMs - cancelMs / STOP_TIME_PART - driftMs(cancelMs));
+        return Math.max(
+                0,
+                cancellationDeadlineMs
+                        - workerLeaseMs
+                        - cancellationDeadlineMs / STOP_TIME_PART
+                        - driftMs(cancellationDeadlineMs));
     }
 
     /** After this time under a new fencing token, a machine that sent no heartbeat has lost its tasks. */
-    public long fenceMs() {
-        return graceMs() + leaseMs + driftMs(graceMs() + leaseMs);
+    public long fencingDelayMs() {
+        return graceMs() + workerLeaseMs + driftMs(graceMs() + workerLeaseMs);
     }
 
     /** A worker whose last answered heartbeat is older than this has begun a new agent epoch. */
-    public long silentMs() {
-        return leaseMs + driftMs(leaseMs);
+    public long workerExpiryMs() {
+        return workerLeaseMs + driftMs(workerLeaseMs);
     }
 
     /**
@@ -126,16 +131,16 @@
      * on a failed owner's machines; a renewal that is later costs a new lease and a new fencing token, but no task.
      */
     public long controllerLeaseMs() {
-        return Math.max(MIN_CONTROLLER_LEASE_MS, leaseMs / CONTROLLER_LEASE_PART);
+        return Math.max(MIN_CONTROLLER_LEASE_MS, workerLeaseMs / CONTROLLER_LEASE_PART);
     }
 
     /** How long every live controller must have been up before a layout version is activated. */
-    public long settleMs() {
-        return Math.round(features.settle() * leaseMs);
+    public long activationDelayMs() {
+        return Math.round(features.activationDelayLeases() * workerLeaseMs);
     }
 
     /** How long the leader waits for better bids: a tenth of the tightest waiting objective, two seconds at most. */
-    public long windowMs() {
+    public long bidWindowMs() {
         double tightestS = DEFAULT_START_S;
         for (ServiceLevelObjective objective : objectives) {
             if (objective.withinS() > 0
@@ -147,7 +152,7 @@
     }
 
     /** Direct requests to workers that a partition owner may have under way at a time; each takes a connection. */
-    public int directAtOnce() {
+    public int maxConcurrentWorkerRequests() {
         return Math.max(MIN_WORKER_REQUESTS, maxConnections / WORKER_REQUESTS_PART);
     }
 
@@ -156,16 +161,16 @@
      * tasks of one would be terminated in any case. It counts a second's burst beside the steady rate.
      */
     public int cancellationsRemembered() {
-        return (int) Math.ceil(stateWritesPerS * (cancelMs / 1000.0 + 1));
+        return (int) Math.ceil(stateWritesPerS * (cancellationDeadlineMs / 1000.0 + 1));
     }
 
     /** Terminal jobs that a controller remembers, so that it needn't read them from the key-value store. */
-    public int endsRemembered() {
+    public int terminalJobsRemembered() {
         return (int) Math.ceil(stateWritesPerS * COMPLETED_JOBS_REMEMBERED_S / CHANGES_PER_COMPLETED_JOB);
     }
 
     /** The zone of the named controller; empty when there is none of that name. */
-    public String zoneOfNode(String name) {
+    public String zoneOfController(String name) {
         ControllerAddress controller = controller(name);
         return controller == null ? "" : controller.zone();
     }
--- a/src/main/java/garnetscale/core/autoscaling/Autoscaler.java
+++ b/src/main/java/garnetscale/core/autoscaling/Autoscaler.java
@@ -58,13 +58,13 @@
     }
 
     /** Sets what to add to the steady clock for wall-clock time, in milliseconds. */
-    public void wallClock(long offset) {
+    public void setWallClockOffset(long offset) {
         wallOffset = offset;
     }
 
     /** The time between two calls, so that the cloud never has to refuse one for its rate. */
     public long spacingMs() {
-        return Math.round(SPACING_MS / config.cloudRps());
+        return Math.round(SPACING_MS / config.cloudRequestsPerS());
     }
 
     /**
@@ -162,7 +162,7 @@
     }
 
     /** Machines that left the instance list so long ago that their agents must have stopped all tasks; each is returned once. */
-    public List<String> vanished(long now, Collection<MachineStatus> heartbeating) {
+    public List<String> takeVanishedInstances(long now, Collection<MachineStatus> heartbeating) {
         Set<String> reachable = new HashSet<>();
         for (MachineStatus status : heartbeating) {
             if (!status.silent()) {
@@ -173,7 +173,7 @@
     }
 
     /** Machines that the cloud lists as failed: no task runs there. */
-    public List<String> failed() {
+    public List<String> failedInstances() {
         return instances.failed();
     }
 }
--- a/src/main/java/garnetscale/core/autoscaling/DemandPlanner.java
+++ b/src/main/java/garnetscale/core/autoscaling/DemandPlanner.java
@@ -89,7 +89,7 @@
             cover(now, job.spec(), tasks, open, missing);
         }
         for (JobView job : replica.jobs()) {
-            if (job.live()) {
+            if (job.isLive()) {
                 int tasks = (int) Math.ceil(HEADROOM * job.placedCount());
                 open.removeIf(machine -> machine.isFull(smallestCpus));
                 cover(now, job.spec(), tasks, open, missing);
@@ -100,7 +100,7 @@
 
     private double smallestTaskCpus() {
         return replica.jobs().stream()
-                .filter(JobView::live)
+                .filter(JobView::isLive)
                 .mapToDouble(job -> job.spec().cpus())
                 .min()
                 .orElse(0);
@@ -108,7 +108,7 @@
 
     private static int takeQuota(JobView job, Set<String> suspects, QuotaUsage quota) {
         int tasks = 0;
-        int limit = suspects.contains(job.spec().id()) ? Math.min(1, job.unstarted()) : job.unstarted();
+        int limit = suspects.contains(job.spec().id()) ? Math.min(1, job.unstartedCount()) : job.unstartedCount();
         while (tasks < limit && quota.allows(job.spec())) {
             quota.add(job.spec(), 1);
             tasks++;
--- a/src/main/java/garnetscale/core/autoscaling/InstanceList.java
+++ b/src/main/java/garnetscale/core/autoscaling/InstanceList.java
@@ -61,7 +61,7 @@
 
     /** Whether the list is to be read again. */
     boolean isListDue(long now) {
-        return now - listRequestedAt > Math.max(MIN_LIST_INTERVAL_MS, config.listLagMs() / 2);
+        return now - listRequestedAt > Math.max(MIN_LIST_INTERVAL_MS, config.instanceListLagMs() / 2);
     }
 
     /** The request for the first page; the pages of an unfinished list are dropped. */
@@ -99,7 +99,7 @@
             unlistedSince.putIfAbsent(id, now);
         }
         unlistedSince.keySet().removeAll(listed.keySet());
-        launched.keySet().removeIf(id -> now - launchedAt.get(id) > 3 * config.listLagMs() + 60_000);
+        launched.keySet().removeIf(id -> now - launchedAt.get(id) > 3 * config.instanceListLagMs() + 60_000);
         return dropped.values();
     }
 
@@ -145,14 +145,17 @@
             return false;
         }
         Long since = unlistedSince.get(id);
-        return since != null ? now - since > config.listLagMs() : now - startedAt > 4 * config.listLagMs();
+        return since != null
+                ? now - since > config.instanceListLagMs()
+                : now - startedAt > 4 * config.instanceListLagMs();
     }
 
     /** Removes and returns the instances that left the list so long ago that their agent must have stopped its tasks. */
     List<String> takeVanished(long now, Set<String> heartbeating) {
         List<String> ids = new ArrayList<>();
         unlistedSince.forEach((id, since) -> {
-            if (!heartbeating.contains(id) && now - since > 2 * config.fenceMs() + 10 * config.listLagMs()) {
+            if (!heartbeating.contains(id)
+                    && now - since > 2 * config.fencingDelayMs() + 10 * config.instanceListLagMs()) {
                 ids.add(id);
             }
         });
--- a/src/main/java/garnetscale/core/autoscaling/StuckInstances.java
+++ b/src/main/java/garnetscale/core/autoscaling/StuckInstances.java
@@ -124,13 +124,13 @@
      * silent at once: that is rather a network partition, and they will be reachable again.
      */
     private boolean isSilentForGood(long now, String id, int machines, long silentMachines) {
-        if (now - startedAt <= config.leaseMs()) {
+        if (now - startedAt <= config.workerLeaseMs()) {
             return false;
         }
         long silentMs = now - silentSince.computeIfAbsent(id, key -> now);
         boolean few = silentMachines <= Math.max(FEW_SILENT, machines / FEW_SILENT_PART);
-        boolean forGood = silentMs > config.fenceMs() + 2 * config.leaseMs()
-                || few && !replica.placements(id).isEmpty() && silentMs > config.leaseMs() / 4;
+        boolean forGood = silentMs > config.fencingDelayMs() + 2 * config.workerLeaseMs()
+                || few && !replica.placements(id).isEmpty() && silentMs > config.workerLeaseMs() / 4;
         if (forGood) {
             log.accept("deleting silent machine, machine=" + id + " silentMs=" + silentMs);
         }
--- a/src/main/java/garnetscale/core/balance/Offer.java
+++ b/src/main/java/garnetscale/core/balance/DestinationBid.java
@@ -11,7 +11,7 @@
  * @param finishS seconds until a task that starts from the beginning would be complete there, image fetch included
  * @param slow    whether the machine's tasks take longer than estimated
  */
-public record Offer(
+public record DestinationBid(
         String machine, MachineGroup group, MachineType type, boolean spot, boolean slow, int slots, double finishS) {
 
     /** Whether the job may run on the machine. */
--- a/src/main/java/garnetscale/core/balance/MovePlanner.java
+++ b/src/main/java/garnetscale/core/balance/MovePlanner.java
@@ -48,7 +48,7 @@
             LoadSnapshot load,
             List<WaitingJob> waiting,
             List<SourceMachine> machines,
-            Map<String, List<Offer>> offers) {}
+            Map<String, List<DestinationBid>> offers) {}
 
     private final double margin;
     private final Input input;
@@ -104,7 +104,7 @@
 
     private List<MachineClearance> cheapestFirst(List<SourceMachine> eligible, JobSpec job) {
         List<MachineClearance> clearances = new ArrayList<>();
-        Map<String, Optional<Offer>> destinations = new HashMap<>();
+        Map<String, Optional<DestinationBid>> destinations = new HashMap<>();
         for (SourceMachine machine : eligible) {
             MachineClearance clearance = clearance(machine, job, destinations);
             if (clearance != null) {
@@ -125,7 +125,8 @@
      *
      * @param destinations bids that were looked up already, by job and zone
      */
-    private MachineClearance clearance(SourceMachine machine, JobSpec job, Map<String, Optional<Offer>> destinations) {
+    private MachineClearance clearance(
+            SourceMachine machine, JobSpec job, Map<String, Optional<DestinationBid>> destinations) {
         if (!input.load().isKnown(machine.group())) {
             return null;
         }
@@ -145,7 +146,7 @@
         List<PlannedStop> chosen = new ArrayList<>();
         for (PlannedStop stop : candidates) {
             chosen.add(stop);
-            free.giveBack(stop.task().job());
+            free.release(stop.task().job());
             if (free.fits(job)) {
                 return new MachineClearance(machine, chosen);
             }
@@ -164,7 +165,7 @@
      *
      * @param reserved other stops on the same machine, which have their destinations already
      */
-    private Offer destination(SourceMachine from, JobSpec job, JobSpec waiting, List<PlannedStop> reserved) {
+    private DestinationBid destination(SourceMachine from, JobSpec job, JobSpec waiting, List<PlannedStop> reserved) {
         return bids.best(
                 job.id(),
                 bid -> mayMoveTo(from, job, bid)
@@ -182,7 +183,7 @@
     }
 
     /** Tasks with zone affinity or anti-affinity stay in their zone: in another one they might not be placed. */
-    private boolean mayMoveTo(SourceMachine from, JobSpec job, Offer bid) {
+    private boolean mayMoveTo(SourceMachine from, JobSpec job, DestinationBid bid) {
         boolean zoneBound = job.zoneAffinity() || job.zoneAntiAffinity();
         return input.load().isKnown(bid.machine())
                 && input.load().isKnown(bid.group())
@@ -193,7 +194,8 @@
     private boolean carryOut(MachineClearance cheapest, JobSpec job, WaitForecast forecast) {
         List<PlannedStop> reserved = new ArrayList<>();
         for (PlannedStop stop : cheapest.stops()) {
-            Offer destination = destination(cheapest.machine(), stop.task().job(), job, reserved);
+            DestinationBid destination =
+                    destination(cheapest.machine(), stop.task().job(), job, reserved);
             if (destination == null) {
                 break;
             }
@@ -206,7 +208,7 @@
             return false;
         }
         forecast.addStops(clearance.machine(), clearance.tasks(), clearance.stopS());
-        reserved.forEach(stop -> clearance.machine().free().giveBack(stop.task().job()));
+        reserved.forEach(stop -> clearance.machine().free().release(stop.task().job()));
         clearance.machine().free().take(job);
         return true;
     }
@@ -234,7 +236,7 @@
             return;
         }
         for (RunningTask task : machine.tasks()) {
-            Offer destination = mayMove(task)
+            DestinationBid destination = mayMove(task)
                     ? bids.best(
                             task.job().id(),
                             candidate -> mayMoveTo(machine, task.job(), candidate) && !candidate.slow())
--- a/src/main/java/garnetscale/core/balance/WaitForecast.java
+++ b/src/main/java/garnetscale/core/balance/WaitForecast.java
@@ -72,14 +72,14 @@
         List<FreeSlot> found = new ArrayList<>();
         FreeCapacity free = machine.free().copy();
         int slots = free.slots(job);
-        stopped.forEach(task -> free.giveBack(task.job()));
+        stopped.forEach(task -> free.release(task.job()));
         slots = addSlots(machine, free, slots, stopS, found);
         Set<RunningTask> stoppedTasks = new HashSet<>(stopped);
         List<RunningTask> byEnd = new ArrayList<>(machine.tasks());
         byEnd.sort(Comparator.comparingDouble(RunningTask::remainingS));
         for (RunningTask task : byEnd) {
             if (!stoppedTasks.contains(task)) {
-                free.giveBack(task.job());
+                free.release(task.job());
                 slots = addSlots(machine, free, slots, Math.max(stopS, task.remainingS()), found);
             }
         }
--- a/src/main/java/garnetscale/core/bidding/Auction.java
+++ b/src/main/java/garnetscale/core/bidding/Auction.java
@@ -2,7 +2,7 @@
 
 import com.google.common.collect.ArrayListMultimap;
 import com.google.common.collect.ListMultimap;
-import garnetscale.core.partition.PartitionLease;
+import garnetscale.core.cluster.PartitionLease;
 import garnetscale.core.state.JobView;
 import garnetscale.core.state.StateReplica;
 import java.util.HashMap;
@@ -78,7 +78,7 @@
     }
 
     /** Whether the job's window is closed, so that its bids may be awarded; false for a job without bids. */
-    public boolean closed(long now, JobView job) {
+    public boolean isWindowClosed(long now, JobView job) {
         bidsByJob();
         Long since = openSinceByJob.get(job.spec().id());
         return since != null && (now - since >= windowMs || haveAllBid(job));
@@ -102,7 +102,7 @@
     }
 
     /** Whether the partition's owner has submitted a batch under the partition's present term. */
-    public boolean speaksFor(String partition) {
+    public boolean hasCurrentBatch(String partition) {
         PartitionLease lease = replica.partition(partition);
         BidBatch batch = lease == null ? null : batchesByOwner.get(lease.owner());
         Long term = batch == null ? null : batch.terms().get(partition);
@@ -126,7 +126,7 @@
     }
 
     /** Milliseconds until the next open window ends, or -1 if none is open. */
-    public long nextClose(long now) {
+    public long msUntilNextClose(long now) {
         bidsByJob();
         long next = -1;
         for (long since : openSinceByJob.values()) {
--- a/src/main/java/garnetscale/core/bidding/Bidding.java
+++ b/src/main/java/garnetscale/core/bidding/Bidding.java
@@ -135,7 +135,7 @@
         if (suspectJobs.contains(job.spec().id())) {
             return 1;
         }
-        return job.unstarted() == 0 ? job.placedCount() : job.unstarted();
+        return job.unstartedCount() == 0 ? job.placedCount() : job.unstartedCount();
     }
 
     private boolean isOverbookingAllowed() {
@@ -206,7 +206,7 @@
     }
 
     private double finishS(JobSpec spec, Bidder bidder) {
-        double runS = estimator.runS(spec, bidder.speedFactor);
+        double runS = estimator.runTimeS(spec, bidder.speedFactor);
         return (bidder.images.containsKey(spec.image()) ? 0 : bidder.group.fetchS)
                 + runS
                 + (bidder.spot ? Estimator.spotRiskS(spec, runS) : 0);
--- a/src/main/java/garnetscale/core/bidding/Estimator.java
+++ b/src/main/java/garnetscale/core/bidding/Estimator.java
@@ -52,7 +52,7 @@
      * @param job its job
      * @param ranS seconds that it has run so far
      */
-    public record UnderWay(JobSpec job, double ranS) {}
+    public record TaskProgress(JobSpec job, double ranS) {}
 
     private final double slackS;
     private final Map<String, Double> factorByClass = new HashMap<>();
@@ -70,7 +70,7 @@
     }
 
     /** Learns that a task of the job ran to completion on the machine in so many seconds. */
-    public void completed(JobSpec job, String machine, double ranS) {
+    public void onTaskCompleted(JobSpec job, String machine, double ranS) {
         if (job.estimateS() <= 0 || ranS <= 0) {
             return;
         }
@@ -87,12 +87,12 @@
     }
 
     /** Evaluates a machine's speed by what it completed and what runs on it now. */
-    public void evaluate(String machine, Iterable<UnderWay> running) {
+    public void evaluate(String machine, Iterable<TaskProgress> running) {
         MachineHistory history = machines.computeIfAbsent(machine, key -> new MachineHistory());
         double tookS = history.tookS;
         double expectedS = history.expectedS;
         double tasks = history.tasks;
-        for (UnderWay task : running) {
+        for (TaskProgress task : running) {
             double taskExpectedS = expectedS(task.job()) + slackS;
             tookS += task.ranS();
             expectedS += Math.min(task.ranS(), taskExpectedS);
@@ -109,23 +109,23 @@
     }
 
     /** The estimated run time of a task of the job, in seconds, on a machine of usual speed. */
-    public double runS(JobSpec job) {
+    public double runTimeS(JobSpec job) {
         return expectedS(job);
     }
 
     /** The estimated run time of a task of the job on the machine, in seconds. */
-    public double runS(JobSpec job, String machine) {
-        return runS(job, machineFactor(machine));
+    public double runTimeS(JobSpec job, String machine) {
+        return runTimeS(job, machineFactor(machine));
     }
 
     /** The same for a machine whose factor is known, so that many jobs and machines take one look-up each. */
-    double runS(JobSpec job, double machineFactor) {
+    double runTimeS(JobSpec job, double machineFactor) {
         return expectedS(job) * machineFactor;
     }
 
     /** Seconds that a task which has run for so long will still take; one that is late takes a while yet. */
     public double remainingS(JobSpec job, String machine, double ranS) {
-        return Math.max(runS(job, machine) - ranS, ranS / 4);
+        return Math.max(runTimeS(job, machine) - ranS, ranS / 4);
     }
 
     /**
--- a/src/main/java/garnetscale/core/partition/FencingTokens.java
+++ b/src/main/java/garnetscale/core/cluster/FencingTokens.java
@@ -1,4 +1,4 @@
-package garnetscale.core.partition;
+package garnetscale.core.cluster;
 
 /**
  * How terms nest in one integer that only rises. Leader terms come from the stored counter, partition terms are numbered
@@ -33,7 +33,7 @@
     }
 
     /** Whether two tokens are of one partition term; the token above a term's last one is of the next term. */
-    static boolean sameTerm(long fencingToken, long other) {
+    public static boolean sameTerm(long fencingToken, long other) {
         return partitionTermOf(fencingToken) == partitionTermOf(other);
     }
 
--- a/src/main/java/garnetscale/core/partition/LeaderInfo.java
+++ b/src/main/java/garnetscale/core/cluster/LeaderInfo.java
@@ -1,4 +1,4 @@
-package garnetscale.core.partition;
+package garnetscale.core.cluster;
 
 /**
  * The leader as the state service has it.
--- a/src/main/java/garnetscale/core/partition/PartitionLease.java
+++ b/src/main/java/garnetscale/core/cluster/PartitionLease.java
@@ -1,4 +1,4 @@
-package garnetscale.core.partition;
+package garnetscale.core.cluster;
 
 /**
  * Who owns a partition. The lease has no length of its own: it lasts while the owner's state lease does, and the leader may
--- a/src/main/java/garnetscale/core/partition/PartitionMap.java
+++ b/src/main/java/garnetscale/core/cluster/PartitionMap.java
@@ -1,4 +1,4 @@
-package garnetscale.core.partition;
+package garnetscale.core.cluster;
 
 import garnetscale.core.SchedulerConfig;
 import java.util.ArrayList;
--- a/src/main/java/garnetscale/core/leader/AttemptNumbers.java
+++ b/src/main/java/garnetscale/core/leader/AttemptNumbers.java
@@ -1,6 +1,6 @@
 package garnetscale.core.leader;
 
-import garnetscale.core.partition.FencingTokens;
+import garnetscale.core.cluster.FencingTokens;
 
 /**
  * Numbers the attempts that a leader places. They are numbered inside its term; once those of a term are used up the leader
--- a/src/main/java/garnetscale/core/leader/Balancer.java
+++ b/src/main/java/garnetscale/core/leader/Balancer.java
@@ -3,12 +3,12 @@
 import garnetscale.core.SchedulerConfig;
 import garnetscale.core.Times;
 import garnetscale.core.balance.BalanceSettings;
+import garnetscale.core.balance.DestinationBid;
 import garnetscale.core.balance.LoadSnapshot;
 import garnetscale.core.balance.MachineGroup;
 import garnetscale.core.balance.Move;
 import garnetscale.core.balance.MoveBudget;
 import garnetscale.core.balance.MovePlanner;
-import garnetscale.core.balance.Offer;
 import garnetscale.core.balance.RunningTask;
 import garnetscale.core.balance.SourceMachine;
 import garnetscale.core.balance.WaitingJob;
@@ -72,7 +72,7 @@
         this.log = context.log();
         this.observer = new LoadObserver(config, replica, auction, estimator);
         this.sources = new MoveSources(context);
-        this.budget = new MoveBudget(settings.moving(), config.leaseMs());
+        this.budget = new MoveBudget(settings.moving(), config.workerLeaseMs());
     }
 
     /** A new leadership begins. */
@@ -180,9 +180,10 @@
             return found;
         }
         for (JobView job : JobQueue.sort(replica.jobs(), order, cycle.wallMs())) {
-            int tasks = job.unstarted() - cycle.draft().placedCount(job.spec().id());
+            int tasks =
+                    job.unstartedCount() - cycle.draft().placedCount(job.spec().id());
             if (tasks > 0 && job.spec().priority().compareTo(lowest) < 0 && findsNoRoom(cycle, job)) {
-                found.add(new WaitingJob(job.spec(), tasks, estimator.runS(job.spec())));
+                found.add(new WaitingJob(job.spec(), tasks, estimator.runTimeS(job.spec())));
             }
         }
         return found;
@@ -193,7 +194,7 @@
         Priority lowest = null;
         for (JobView job : replica.jobs()) {
             Priority priority = job.spec().priority();
-            if (job.live() && job.placedCount() > 0 && (lowest == null || priority.compareTo(lowest) > 0)) {
+            if (job.isLive() && job.placedCount() > 0 && (lowest == null || priority.compareTo(lowest) > 0)) {
                 lowest = priority;
             }
         }
@@ -233,11 +234,11 @@
     // ---- who bids
 
     /** The bids for the jobs that might move, from machines that have room. */
-    private Map<String, List<Offer>> offers(SchedulingCycle cycle) {
-        Map<String, List<Offer>> offers = new HashMap<>();
+    private Map<String, List<DestinationBid>> offers(SchedulingCycle cycle) {
+        Map<String, List<DestinationBid>> offers = new HashMap<>();
         for (String id : jobsWantingBids) {
             JobSpec job = replica.job(id).spec();
-            List<Offer> ofJob = new ArrayList<>();
+            List<DestinationBid> ofJob = new ArrayList<>();
             for (Bid bid : auction.bids(id)) {
                 int slots = slots(cycle, bid, job);
                 if (slots > 0) {
@@ -249,10 +250,11 @@
         return offers;
     }
 
-    private Offer offer(MachineState machine, int slots, double finishS) {
+    private DestinationBid offer(MachineState machine, int slots, double finishS) {
         MachineGroup group = LoadObserver.groupOf(machine);
         MachineType type = replica.type(group.type());
-        return new Offer(machine.id, group, type, machine.status.spot(), sources.isSlow(machine), slots, finishS);
+        return new DestinationBid(
+                machine.id, group, type, machine.status.spot(), sources.isSlow(machine), slots, finishS);
     }
 
     /**
--- a/src/main/java/garnetscale/core/leader/BidRanking.java
+++ b/src/main/java/garnetscale/core/leader/BidRanking.java
@@ -93,7 +93,7 @@
                 && machine.acceptsTasks(now)
                 && machine.status.agentEpoch() == bid.agentEpoch()
                 && replica.type(machine.status.type()) != null
-                && ownerBids.computeIfAbsent(machine.status.partition(), auction::speaksFor);
+                && ownerBids.computeIfAbsent(machine.status.partition(), auction::hasCurrentBatch);
     }
 
     private boolean allows(MachineState machine, JobSpec job) {
--- a/src/main/java/garnetscale/core/leader/DrainStops.java
+++ b/src/main/java/garnetscale/core/leader/DrainStops.java
@@ -46,7 +46,7 @@
         for (Placement placement : replica.placements(machine.id)) {
             JobView job = replica.job(placement.task().job());
             if (job == null
-                    || !job.live()
+                    || !job.isLive()
                     || placement.stop() != Placement.Stop.KEEP
                     || !cycle.draft().hasRoomForChange()) {
                 continue;
@@ -66,7 +66,7 @@
     private double remainingS(SchedulingCycle cycle, MachineState machine, Placement placement, JobSpec job) {
         Long since = machine.runningSince.get(placement.attempt());
         return since == null
-                ? estimator.runS(job, machine.id)
+                ? estimator.runTimeS(job, machine.id)
                 : estimator.remainingS(job, machine.id, cycle.secondsSince(since));
     }
 
--- a/src/main/java/garnetscale/core/leader/ExitRecorder.java
+++ b/src/main/java/garnetscale/core/leader/ExitRecorder.java
@@ -1,10 +1,10 @@
 package garnetscale.core.leader;
 
+import garnetscale.core.cluster.PartitionLease;
 import garnetscale.core.machine.ExitCause;
 import garnetscale.core.machine.Placement;
 import garnetscale.core.machine.TaskStatus;
 import garnetscale.core.partition.MachineStatus;
-import garnetscale.core.partition.PartitionLease;
 import garnetscale.core.state.JobView;
 import garnetscale.core.state.StateReplica;
 import java.util.ArrayList;
@@ -107,7 +107,7 @@
     private void recordFinished(Placement placement, TransactionDraft draft) {
         JobView job = replica.job(placement.task().job());
         int index = placement.task().index();
-        if (job != null && job.live() && index < job.spec().tasks()) {
+        if (job != null && job.isLive() && index < job.spec().tasks()) {
             draft.finish(job, index);
         }
     }
@@ -129,7 +129,7 @@
 
     private boolean freeTerminatedMachines(TransactionDraft draft) {
         for (String machine : terminatedMachines) {
-            if (replica.placedZone(machine) == null) {
+            if (replica.zoneOfMachine(machine) == null) {
                 continue;
             }
             if (!draft.hasRoomForExit()) {
--- a/src/main/java/garnetscale/core/leader/LateBidStops.java
+++ b/src/main/java/garnetscale/core/leader/LateBidStops.java
@@ -39,7 +39,7 @@
     private void stopIfBetterBid(SchedulingCycle cycle, MachineState machine, Placement placement) {
         Long since = machine.runningSince.get(placement.attempt());
         JobView job = replica.job(placement.task().job());
-        if (since == null || job == null || !job.live() || placement.stop() != Placement.Stop.KEEP) {
+        if (since == null || job == null || !job.isLive() || placement.stop() != Placement.Stop.KEEP) {
             return;
         }
         double remainingS = estimator.remainingS(job.spec(), machine.id, cycle.secondsSince(since));
--- a/src/main/java/garnetscale/core/leader/Leader.java
+++ b/src/main/java/garnetscale/core/leader/Leader.java
@@ -4,9 +4,9 @@
 import garnetscale.core.balance.LoadSnapshot;
 import garnetscale.core.balance.Move;
 import garnetscale.core.bidding.BidBatch;
+import garnetscale.core.cluster.PartitionLease;
+import garnetscale.core.cluster.PartitionMap;
 import garnetscale.core.partition.MachineStatus;
-import garnetscale.core.partition.PartitionLease;
-import garnetscale.core.partition.PartitionMap;
 import garnetscale.core.state.StateReplica;
 import garnetscale.core.state.Transaction;
 import garnetscale.core.upgrade.UpgradeDecision;
@@ -116,12 +116,12 @@
     // ---- messages
 
     /** What to add to the steady clock's milliseconds for the time of day. */
-    public void wallClock(long offset) {
+    public void setWallClockOffset(long offset) {
         wallClockOffset = offset;
     }
 
     /** A controller's process seems to be down, or is heard of again. */
-    public void suspect(long now, String node, boolean down) {
+    public void onPeerReachability(long now, String node, boolean down) {
         failureDetector.suspect(now, node, down);
     }
 
@@ -197,8 +197,8 @@
     }
 
     /** Milliseconds until planning again may lead to something without any news, or -1. */
-    public long nextPlan(long now) {
-        return context.auction().nextClose(now);
+    public long millisToNextPlan(long now) {
+        return context.auction().msUntilNextClose(now);
     }
 
     // ---- what others are told
@@ -211,24 +211,24 @@
     }
 
     /** Started jobs for which late bids are wanted, in the order of their names. */
-    public List<String> lateJobs() {
+    public List<String> jobsWantingLateBids() {
         Set<String> jobs = new TreeSet<>(machineEvaluator.jobsOnSlowMachines());
         jobs.addAll(balancer.jobsWantingBids());
         return List.copyOf(jobs);
     }
 
     /** Machines to be scaled in, with nothing on them any more. */
-    public List<String> decommissioned() {
+    public List<String> decommissionedMachines() {
         return machineEvaluator.emptyDecommissioned();
     }
 
     /** Whether there are new ones among the quarantined jobs since this was last asked. */
-    public boolean takeSuspectNews() {
+    public boolean takeNewlyQuarantined() {
         return machineEvaluator.takeNewlyQuarantined();
     }
 
     /** Quarantined jobs, which fail on every machine: nothing is scaled out, preempted or kept from bidding on their account. */
-    public Set<String> suspects() {
+    public Set<String> quarantinedJobs() {
         return context.failures().quarantinedJobs();
     }
 
--- a/src/main/java/garnetscale/core/leader/LeaderContext.java
+++ b/src/main/java/garnetscale/core/leader/LeaderContext.java
@@ -40,7 +40,7 @@
                 config,
                 replica,
                 new LinkedHashMap<>(),
-                new Auction(replica, config.windowMs()),
+                new Auction(replica, config.bidWindowMs()),
                 new Estimator(config.heartbeatIntervalMs()),
                 new FailureTracker(),
                 new JobOrder(config),
--- a/src/main/java/garnetscale/core/leader/LeaderElection.java
+++ b/src/main/java/garnetscale/core/leader/LeaderElection.java
@@ -2,7 +2,7 @@
 
 import garnetscale.core.SchedulerConfig;
 import garnetscale.core.Times;
-import garnetscale.core.partition.LeaderInfo;
+import garnetscale.core.cluster.LeaderInfo;
 import garnetscale.core.state.Keys;
 import garnetscale.core.state.Records;
 import garnetscale.core.state.StateReplica;
@@ -97,7 +97,7 @@
         boolean isOfEarlierProcess =
                 leader != null && leader.node().equals(config.self()) && leader.incarnation() != incarnation;
         boolean isDown = isLeaderDown(now);
-        if (now < candidateFrom && replica.nodes().size() > 1) {
+        if (now < candidateFrom && replica.controllers().size() > 1) {
             return null;
         }
         if (leader != null && !isOfEarlierProcess && !isDown) {
@@ -147,7 +147,7 @@
         long patienceMs = failureDetector.isolationPatienceMs();
         if (!isIsolated
                 || machines.isEmpty()
-                || replica.nodes().size() < 2
+                || replica.controllers().size() < 2
                 || now - leadingSince < patienceMs
                 || now < candidateFrom) {
             return null;
--- a/src/main/java/garnetscale/core/leader/LoadObserver.java
+++ b/src/main/java/garnetscale/core/leader/LoadObserver.java
@@ -10,11 +10,11 @@
 import garnetscale.core.balance.UnknownReason;
 import garnetscale.core.bidding.Auction;
 import garnetscale.core.bidding.Estimator;
+import garnetscale.core.cluster.PartitionLease;
 import garnetscale.core.job.JobSpec;
 import garnetscale.core.machine.MachineType;
 import garnetscale.core.machine.Placement;
 import garnetscale.core.partition.MachineStatus;
-import garnetscale.core.partition.PartitionLease;
 import garnetscale.core.queue.JobQueue;
 import garnetscale.core.state.JobView;
 import garnetscale.core.state.StateReplica;
@@ -155,10 +155,10 @@
     /** Why the owner isn't believed about the partition's machines, or null when it is. */
     private UnknownReason ownerReason(long now, String partition, String owner) {
         long heardAt = owner.equals(config.self()) ? now : lastHeardAt.getOrDefault(owner, Times.NEVER);
-        if (now - heardAt > OWNER_HEARD_WITHIN_LEASES * config.leaseMs()) {
+        if (now - heardAt > OWNER_HEARD_WITHIN_LEASES * config.workerLeaseMs()) {
             return UnknownReason.OWNER_UNHEARD;
         }
-        return auction.speaksFor(partition) ? null : UnknownReason.OWNER_NOT_BIDDING;
+        return auction.hasCurrentBatch(partition) ? null : UnknownReason.OWNER_NOT_BIDDING;
     }
 
     // ---- demand
@@ -167,9 +167,9 @@
     private Demand demand(LoadSnapshot load) {
         Demand demand = Demand.NONE;
         for (JobView job : replica.jobs()) {
-            if (job.live()) {
-                double taskCpuS = job.spec().cpus() * estimator.runS(job.spec());
-                double waitingCpuS = taskCpuS * job.unstarted();
+            if (job.isLive()) {
+                double taskCpuS = job.spec().cpus() * estimator.runTimeS(job.spec());
+                double waitingCpuS = taskCpuS * job.unstartedCount();
                 demand = demand.plus(job.spec().team(), waitingCpuS, taskCpuS * job.placedCount());
                 if (waitingCpuS > 0) {
                     demand = plusWaiting(demand, load, job.spec(), waitingCpuS);
--- a/src/main/java/garnetscale/core/leader/MachineEvaluator.java
+++ b/src/main/java/garnetscale/core/leader/MachineEvaluator.java
@@ -71,13 +71,13 @@
         machines.values()
                 .removeIf(machine -> machine.status.silent()
                         && replica.placements(machine.id).isEmpty()
-                        && now - machine.statusAt > LEASES_TO_FORGET * config.leaseMs());
+                        && now - machine.statusAt > LEASES_TO_FORGET * config.workerLeaseMs());
     }
 
     private void evaluateSpeed(long now) {
         Set<String> jobs = new HashSet<>();
         for (MachineState machine : machines.values()) {
-            List<Estimator.UnderWay> running = runningTasks(now, machine);
+            List<Estimator.TaskProgress> running = runningTasks(now, machine);
             estimator.evaluate(machine.id, running);
             double factor = estimator.machineFactor(machine.id);
             if (factor > SLOW_FACTOR) {
@@ -88,13 +88,13 @@
         jobsOnSlowMachines = jobs;
     }
 
-    private List<Estimator.UnderWay> runningTasks(long now, MachineState machine) {
-        List<Estimator.UnderWay> running = new ArrayList<>();
+    private List<Estimator.TaskProgress> runningTasks(long now, MachineState machine) {
+        List<Estimator.TaskProgress> running = new ArrayList<>();
         for (Placement placement : replica.placements(machine.id)) {
             Long since = machine.runningSince.get(placement.attempt());
             JobView job = replica.job(placement.task().job());
-            if (since != null && job != null && job.live()) {
-                running.add(new Estimator.UnderWay(job.spec(), (now - since) / 1000.0));
+            if (since != null && job != null && job.isLive()) {
+                running.add(new Estimator.TaskProgress(job.spec(), (now - since) / 1000.0));
             }
         }
         return running;
--- a/src/main/java/garnetscale/core/leader/MachineState.java
+++ b/src/main/java/garnetscale/core/leader/MachineState.java
@@ -51,7 +51,7 @@
                 Long since = runningSince.remove(task.attempt());
                 JobView job = replica.job(task.task().job());
                 if (since != null && job != null) {
-                    estimator.completed(job.spec(), id, (now - since) / 1000.0);
+                    estimator.onTaskCompleted(job.spec(), id, (now - since) / 1000.0);
                 }
             }
         }
--- a/src/main/java/garnetscale/core/leader/MoveSources.java
+++ b/src/main/java/garnetscale/core/leader/MoveSources.java
@@ -90,6 +90,6 @@
                 estimator.remainingS(spec, machine.id, ranAtMostS),
                 spec.writesCheckpoints() ? seenRunningS : 0,
                 DrainStops.stopS(spec, heartbeatIntervalMs),
-                job.live() && awardedAt != null && !isStartPending);
+                job.isLive() && awardedAt != null && !isStartPending);
     }
 }
--- a/src/main/java/garnetscale/core/leader/PartitionAssigner.java
+++ b/src/main/java/garnetscale/core/leader/PartitionAssigner.java
@@ -4,10 +4,10 @@
 import com.google.common.collect.Multiset;
 import garnetscale.core.SchedulerConfig;
 import garnetscale.core.Times;
-import garnetscale.core.partition.ControllerInfo;
-import garnetscale.core.partition.FencingTokens;
-import garnetscale.core.partition.PartitionLease;
-import garnetscale.core.partition.PartitionMap;
+import garnetscale.core.cluster.ControllerInfo;
+import garnetscale.core.cluster.FencingTokens;
+import garnetscale.core.cluster.PartitionLease;
+import garnetscale.core.cluster.PartitionMap;
 import garnetscale.core.state.Keys;
 import garnetscale.core.state.Records;
 import garnetscale.core.state.StateReplica;
@@ -93,7 +93,7 @@
         Transaction transaction = new Transaction().guard(Keys.LEADER, replica.modRevision(Keys.LEADER));
         for (String partition : toLease) {
             ControllerInfo owner = bestOwner(partition, owned, isolatedOwners.get(partition));
-            if (owner != null && transaction.ops().size() < config.transactionOps()) {
+            if (owner != null && transaction.ops().size() < config.maxTransactionOperations()) {
                 owned.add(owner.name());
                 lease(partition, owner, FencingTokens.partitionTerm(leaderTerm, ++sequence), transaction);
             }
@@ -102,9 +102,9 @@
     }
 
     private void observeControllers(long now) {
-        controllerSince.keySet().removeIf(key -> replica.nodes().stream()
+        controllerSince.keySet().removeIf(key -> replica.controllers().stream()
                 .noneMatch(node -> processKey(node).equals(key)));
-        replica.nodes().forEach(node -> controllerSince.putIfAbsent(processKey(node), now));
+        replica.controllers().forEach(node -> controllerSince.putIfAbsent(processKey(node), now));
     }
 
     /** Partitions that nobody owns, or that should go to another owner; notes who owns the others, and whom to pass over. */
@@ -128,7 +128,7 @@
     /** The controller to own the partition, or null when there is none that can. */
     private ControllerInfo bestOwner(String partition, Multiset<String> owned, String isolatedOwner) {
         ControllerInfo best = null;
-        for (ControllerInfo node : replica.nodes()) {
+        for (ControllerInfo node : replica.controllers()) {
             if (failureDetector.isSuspect(node.name())
                     || node.name().equals(isolatedOwner)
                     || isIsolatedFromWorkers(node.name())
@@ -152,7 +152,7 @@
     /** A controller that says so itself is believed at once, as long as another one may do better. */
     private boolean isIsolatedFromWorkers(String controller) {
         return failureDetector.isIsolatedFromWorkers(controller)
-                && replica.nodes().stream()
+                && replica.controllers().stream()
                         .anyMatch(node -> !failureDetector.isIsolatedFromWorkers(node.name())
                                 && !failureDetector.isSuspect(node.name()));
     }
@@ -172,13 +172,13 @@
             }
         }
         return silent > 1
-                && replica.nodes().size() > 1
+                && replica.controllers().size() > 1
                 && now - reassignedAt.getOrDefault(partition, leadingSince) > failureDetector.isolationPatienceMs();
     }
 
     /** A partition in the zone of a controller that owns none, if its owner owns several or is in another zone; or null. */
     private String partitionToRebalance(long now, Multiset<String> owned) {
-        for (ControllerInfo node : replica.nodes()) {
+        for (ControllerInfo node : replica.controllers()) {
             if (owned.contains(node.name()) || !mayTakeOver(now, node)) {
                 continue;
             }
@@ -209,7 +209,7 @@
     }
 
     private String zone(String controller) {
-        ControllerInfo node = replica.node(controller);
+        ControllerInfo node = replica.controller(controller);
         return node == null ? "" : node.zone();
     }
 
@@ -223,7 +223,7 @@
     }
 
     private boolean isOwnerAlive(PartitionLease lease) {
-        ControllerInfo node = replica.node(lease.owner());
+        ControllerInfo node = replica.controller(lease.owner());
         return node != null
                 && node.incarnation() == lease.incarnation()
                 && !failureDetector.isSuspect(node.name())
--- a/src/main/java/garnetscale/core/leader/PeerFailureDetector.java
+++ b/src/main/java/garnetscale/core/leader/PeerFailureDetector.java
@@ -2,7 +2,7 @@
 
 import garnetscale.core.SchedulerConfig;
 import garnetscale.core.Times;
-import garnetscale.core.partition.ControllerInfo;
+import garnetscale.core.cluster.ControllerInfo;
 import garnetscale.core.state.StateReplica;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -51,7 +51,7 @@
         if (!isNew) {
             return;
         }
-        ControllerInfo info = replica.node(controller);
+        ControllerInfo info = replica.controller(controller);
         if (isDown) {
             suspectedIncarnations.put(controller, info == null ? UNKNOWN_INCARNATION : info.incarnation());
         } else if (info != null && info.incarnation() == suspectedIncarnations.get(controller)) {
--- a/src/main/java/garnetscale/core/leader/PlacementPlanner.java
+++ b/src/main/java/garnetscale/core/leader/PlacementPlanner.java
@@ -73,8 +73,8 @@
     private LogWriter.Limits logLimits() {
         ClusterVersion version = replica.version();
         return new LogWriter.Limits(
-                config.valueBytes(),
-                config.transactionOps(),
+                config.maxValueBytes(),
+                config.maxTransactionOperations(),
                 version.active(),
                 version.isFinal() && version.active() > Layouts.FIRST);
     }
@@ -98,7 +98,7 @@
 
     private void recordCancelledJobs(TransactionDraft draft) {
         for (JobView job : replica.jobs()) {
-            if (!job.live() && job.placedCount() == 0 && draft.hasRoomForJobEnd()) {
+            if (!job.isLive() && job.placedCount() == 0 && draft.hasRoomForJobEnd()) {
                 draft.recordCancelled(job);
             }
         }
--- a/src/main/java/garnetscale/core/leader/Preemption.java
+++ b/src/main/java/garnetscale/core/leader/Preemption.java
@@ -74,7 +74,7 @@
                 continue;
             }
             candidate.room().take(job.spec());
-            if (job.live()
+            if (job.isLive()
                     && (!preemptedTasks.contains(placement.task())
                             || hasWrittenCheckpoint(candidate.machine(), placement, job))) {
                 double lostS = lostS(candidate.machine(), placement, job);
@@ -166,7 +166,7 @@
             }
             chosen.add(victim);
             lostCpuS += victim.lostCpuS();
-            room.giveBack(other);
+            room.release(other);
             if (room.slots(spec) > slotsBefore) {
                 return new Stops(candidate, chosen, room.slots(spec) - slotsBefore, lostCpuS);
             }
@@ -177,7 +177,7 @@
     private void stop(Candidate on, Victim victim) {
         JobSpec spec = victim.job().spec();
         on.victims().remove(victim);
-        on.room().giveBack(spec);
+        on.room().release(spec);
         preemptedTasks.add(victim.placement().task());
         draft.stop(on.machine().id, victim.placement(), spec);
     }
@@ -194,6 +194,6 @@
         if (job.spec().writesCheckpoints()) {
             return Math.min(ranS, job.spec().checkpointWriteS());
         }
-        return ranS > YOUNG_SHARE * estimator.runS(job.spec(), machine.id) ? LEAVE_ALONE : ranS;
+        return ranS > YOUNG_SHARE * estimator.runTimeS(job.spec(), machine.id) ? LEAVE_ALONE : ranS;
     }
 }
--- a/src/main/java/garnetscale/core/leader/PreemptionStops.java
+++ b/src/main/java/garnetscale/core/leader/PreemptionStops.java
@@ -73,10 +73,10 @@
         if (!hasLowWork && !placedNothing) {
             return;
         }
-        dueAt = cycle.now() + (hasLowWork ? config.windowMs() : config.windowMs() / 2);
+        dueAt = cycle.now() + (hasLowWork ? config.bidWindowMs() : config.bidWindowMs() / 2);
         if (!preempt(cycle, placedNothing, hasLowWork)) {
             // A full fleet without anybody to preempt: the search was for nothing, and soon would be again.
-            dueAt = cycle.now() + (hasLowWork ? LONG_PAUSE_WINDOWS : SHORT_PAUSE_WINDOWS) * config.windowMs();
+            dueAt = cycle.now() + (hasLowWork ? LONG_PAUSE_WINDOWS : SHORT_PAUSE_WINDOWS) * config.bidWindowMs();
         }
     }
 
@@ -109,13 +109,13 @@
 
     /** Tasks of the job that the draft leaves waiting. */
     private static int waitingTasks(SchedulingCycle cycle, JobView job) {
-        return job.unstarted() - cycle.draft().placedCount(job.spec().id());
+        return job.unstartedCount() - cycle.draft().placedCount(job.spec().id());
     }
 
     private boolean findsNoRoom(SchedulingCycle cycle, JobView job) {
         String id = job.spec().id();
         boolean isBiddingOpen =
-                !auction.closed(cycle.now(), job) && !auction.bids(id).isEmpty();
+                !auction.isWindowClosed(cycle.now(), job) && !auction.bids(id).isEmpty();
         return waitingTasks(cycle, job) > 0
                 && !isBiddingOpen
                 && !failures.isQuarantined(id)
--- a/src/main/java/garnetscale/core/leader/TaskPlacer.java
+++ b/src/main/java/garnetscale/core/leader/TaskPlacer.java
@@ -66,7 +66,7 @@
         this.storedCapacities = context.capacities();
         this.ranking = new BidRanking(context, load, cycle.now());
         this.placementsPerMachine =
-                Math.max(MIN_PLACEMENTS_PER_MACHINE, context.config().valueBytes() / BYTES_PER_PLACEMENT);
+                Math.max(MIN_PLACEMENTS_PER_MACHINE, context.config().maxValueBytes() / BYTES_PER_PLACEMENT);
     }
 
     /** A waiting job while its tasks are placed. */
@@ -118,7 +118,7 @@
         double reservedCpus = reserve.cpus(fleetCpus, borrows);
         int allowed = failures.allowedPlacements(cycle.now(), spec.id(), job.placedCount());
         if (allowed == 0
-                || !auction.closed(cycle.now(), job)
+                || !auction.isWindowClosed(cycle.now(), job)
                 || isHeldBack(job, borrows, reservedCpus)
                 || !draft.quota().allows(spec)) {
             return 0;
@@ -221,7 +221,7 @@
             for (String machine : replica.placedMachines()) {
                 for (Placement placement : draft.placements(machine)) {
                     if (placement.task().job().equals(id)) {
-                        zones.add(replica.placedZone(machine));
+                        zones.add(replica.zoneOfMachine(machine));
                     }
                 }
             }
--- a/src/main/java/garnetscale/core/leader/TransactionDraft.java
+++ b/src/main/java/garnetscale/core/leader/TransactionDraft.java
@@ -76,7 +76,7 @@
 
     /** Whether there is nothing to send; a due compaction of the work log is something. */
     boolean isEmpty() {
-        return changed.isEmpty() && endedJobs.isEmpty() && !logWriter.folds();
+        return changed.isEmpty() && endedJobs.isEmpty() && !logWriter.compacts();
     }
 
     /** Whether a change of a machine's placements still fits. */
@@ -107,7 +107,7 @@
 
     private List<Placement> edit(String machine, String zone) {
         return changed.computeIfAbsent(machine, id -> {
-            logWriter.take(logWriter.sizeOfRow(id, zone));
+            logWriter.reserve(logWriter.sizeOfMachine(id, zone));
             zones.put(id, zone);
             images.put(id, new LinkedHashMap<>(replica.images(id)));
             return new ArrayList<>(replica.placements(id));
@@ -116,8 +116,8 @@
 
     /** Removes a placement, and counts it as unused quota. */
     void free(String machine, Placement placement) {
-        edit(machine, replica.placedZone(machine)).remove(placement);
-        logWriter.take(LogWriter.sizeOfAttempt());
+        edit(machine, replica.zoneOfMachine(machine)).remove(placement);
+        logWriter.reserve(LogWriter.sizeOfAttempt());
         JobView job = replica.job(placement.task().job());
         if (job != null) {
             quota.add(job.spec(), -1);
@@ -131,18 +131,18 @@
 
     /** Marks a placement to be stopped; nothing happens when the draft freed it. */
     void stop(String machine, Placement placement, Placement.Stop how) {
-        List<Placement> list = edit(machine, replica.placedZone(machine));
+        List<Placement> list = edit(machine, replica.zoneOfMachine(machine));
         int index = list.indexOf(placement);
         if (index >= 0) {
             list.set(index, placement.withStop(how));
-            logWriter.take(LogWriter.sizeOfAttempt());
+            logWriter.reserve(LogWriter.sizeOfAttempt());
         }
     }
 
     /** Places a task of the job on a machine of that type in that zone. */
     void place(String machine, MachineType type, String zone, Placement placement, JobSpec job) {
         edit(machine, zone).add(placement);
-        logWriter.take(LogWriter.sizeOfPlacement(job, images.get(machine).keySet()));
+        logWriter.reserve(LogWriter.sizeOfPlacement(job, images.get(machine).keySet()));
         recordImage(images.get(machine), type, job);
         quota.add(job, 1);
         placedCounts.merge(job.id(), 1, Integer::sum);
@@ -168,7 +168,7 @@
 
     /** The machine is terminated for good, and its record is removed once it has no placements. */
     void removeMachine(String machine) {
-        if (edit(machine, replica.placedZone(machine)).isEmpty()) {
+        if (edit(machine, replica.zoneOfMachine(machine)).isEmpty()) {
             removedMachines.add(machine);
         }
     }
@@ -183,7 +183,7 @@
         }
         String part = WorkLog.partOf(id, task);
         if (finishedParts.add(part)) {
-            logWriter.take(LogWriter.sizeOfPart(part, job.spec().tasks()));
+            logWriter.reserve(LogWriter.sizeOfPart(part, job.spec().tasks()));
         }
     }
 
@@ -243,7 +243,7 @@
         transaction.delete(Keys.job(id));
         BitSet tasks = finished.get(id);
         int count = tasks == null ? job.finishedCount() : tasks.cardinality();
-        JobState state = job.live() ? JobState.DONE : job.job().state();
+        JobState state = job.isLive() ? JobState.DONE : job.job().state();
         Records.TerminalJob terminal = new Records.TerminalJob(
                 state, job.spec().tasks(), count, job.spec().team());
         transaction.put(Keys.terminalJob(id), Records.terminalJob(terminal));
--- a/src/main/java/garnetscale/core/leader/UpgradePlanner.java
+++ b/src/main/java/garnetscale/core/leader/UpgradePlanner.java
@@ -24,8 +24,8 @@
     UpgradePlanner(SchedulerConfig config, StateReplica replica, Consumer<String> log) {
         this.config = config;
         this.replica = replica;
-        this.coordinator =
-                new UpgradeCoordinator(replica, config.features().layouts(), config.settleMs(), config.valueBytes());
+        this.coordinator = new UpgradeCoordinator(
+                replica, config.features().layouts(), config.activationDelayMs(), config.maxValueBytes());
         this.log = log;
     }
 
@@ -67,7 +67,7 @@
     }
 
     private Transaction automaticActivation(long now) {
-        if (!config.features().activatesWhenNeeded() || now - activationCheckedAt < config.leaseMs()) {
+        if (!config.features().automaticActivation() || now - activationCheckedAt < config.workerLeaseMs()) {
             return null;
         }
         activationCheckedAt = now;
--- a/src/main/java/garnetscale/core/machine/FreeCapacity.java
+++ b/src/main/java/garnetscale/core/machine/FreeCapacity.java
@@ -36,7 +36,7 @@
     }
 
     /** Gives back the capacity of one task of the job. */
-    public void giveBack(JobSpec job) {
+    public void release(JobSpec job) {
         take(job, -1);
     }
 
--- a/src/main/java/garnetscale/core/partition/BidSubmitter.java
+++ b/src/main/java/garnetscale/core/partition/BidSubmitter.java
@@ -116,7 +116,7 @@
     }
 
     private long minGapMs() {
-        return config.windowMs() / BATCHES_PER_WINDOW;
+        return config.bidWindowMs() / BATCHES_PER_WINDOW;
     }
 
     /** Makes all bids anew if that is due, and submits them if they differ from the last ones. */
@@ -147,7 +147,7 @@
         List<JobView> waiting = JobQueue.sort(replica.jobs(), order, wallClockMs(now));
         for (String id : lateBidJobs) {
             JobView job = replica.job(id);
-            if (job != null && job.live() && job.unstarted() == 0) {
+            if (job != null && job.isLive() && job.unstartedCount() == 0) {
                 // Behind all that waits: a late bid is only for capacity that nobody else has a use for.
                 waiting.add(job);
             }
--- a/src/main/java/garnetscale/core/partition/CommandReconciler.java
+++ b/src/main/java/garnetscale/core/partition/CommandReconciler.java
@@ -100,7 +100,7 @@
 
     private double checkpointGraceS(TaskStatus task) {
         JobView job = replica.job(task.task().job());
-        return job == null || !job.live() || !job.spec().writesCheckpoints()
+        return job == null || !job.isLive() || !job.spec().writesCheckpoints()
                 ? 0
                 : job.spec().checkpointWriteS() * CHECKPOINT_GRACE_FACTOR + CHECKPOINT_GRACE_EXTRA_S;
     }
--- a/src/main/java/garnetscale/core/partition/DesiredPlacements.java
+++ b/src/main/java/garnetscale/core/partition/DesiredPlacements.java
@@ -29,7 +29,7 @@
     boolean isDesired(Placement placement) {
         JobView job = replica.job(placement.task().job());
         return job != null
-                && job.live()
+                && job.isLive()
                 && !cancelledByPeers.contains(placement.task().job())
                 && placement.stop() == Placement.Stop.KEEP
                 && !job.isFinished(placement.task().index());
--- a/src/main/java/garnetscale/core/partition/HeartbeatIntake.java
+++ b/src/main/java/garnetscale/core/partition/HeartbeatIntake.java
@@ -121,18 +121,18 @@
         Long since = machine.runningSince.remove(task.attempt());
         machine.failedJobs.clear();
         if (since != null && job != null) {
-            estimator.completed(job.spec(), machine.id, (now - since) / 1000.0);
+            estimator.onTaskCompleted(job.spec(), machine.id, (now - since) / 1000.0);
         }
     }
 
     /** Updates the estimate of the machine's speed by what runs on it now; it must have a heartbeat. */
     void updateEstimate(long now, MachineView machine) {
-        List<Estimator.UnderWay> running = new ArrayList<>();
+        List<Estimator.TaskProgress> running = new ArrayList<>();
         for (Map.Entry<Long, Long> entry : machine.runningSince.entrySet()) {
             TaskStatus task = machine.lastHeartbeat.find(entry.getKey());
             JobView job = task == null ? null : replica.job(task.task().job());
             if (job != null && !task.exited()) {
-                running.add(new Estimator.UnderWay(job.spec(), (now - entry.getValue()) / 1000.0));
+                running.add(new Estimator.TaskProgress(job.spec(), (now - entry.getValue()) / 1000.0));
             }
         }
         estimator.evaluate(machine.id, running);
--- a/src/main/java/garnetscale/core/partition/MachineAdoption.java
+++ b/src/main/java/garnetscale/core/partition/MachineAdoption.java
@@ -1,5 +1,6 @@
 package garnetscale.core.partition;
 
+import garnetscale.core.cluster.PartitionMap;
 import garnetscale.core.state.StateReplica;
 import java.util.Map;
 
@@ -32,7 +33,7 @@
 
     /** Marks the machines whose stored records changed since the last call, and adds those that are new. */
     void followReplica() {
-        for (String id : replica.takeChanged()) {
+        for (String id : replica.takeChangedMachines()) {
             MachineView machine = machines.get(id);
             if (machine != null) {
                 machine.needsReconcile = true;
@@ -55,7 +56,7 @@
     /** Adds the machine if it has placements, is in an owned partition and isn't known yet. */
     private void adopt(String id) {
         if (!machines.containsKey(id) && !replica.placements(id).isEmpty()) {
-            String partition = partitions.partitionOf(id, replica.placedZone(id));
+            String partition = partitions.partitionOf(id, replica.zoneOfMachine(id));
             OwnedPartition owned = leases.owned(partition);
             if (owned != null) {
                 machines.put(id, new MachineView(id, partition, owned.term()));
--- a/src/main/java/garnetscale/core/partition/MachineFencing.java
+++ b/src/main/java/garnetscale/core/partition/MachineFencing.java
@@ -1,5 +1,6 @@
 package garnetscale.core.partition;
 
+import garnetscale.core.cluster.FencingTokens;
 import java.util.HashMap;
 import java.util.Map;
 import org.agrona.collections.LongHashSet;
--- a/src/main/java/garnetscale/core/partition/PartitionLeases.java
+++ b/src/main/java/garnetscale/core/partition/PartitionLeases.java
@@ -2,6 +2,8 @@
 
 import garnetscale.core.SchedulerConfig;
 import garnetscale.core.Times;
+import garnetscale.core.cluster.PartitionLease;
+import garnetscale.core.cluster.PartitionMap;
 import garnetscale.core.state.StateReplica;
 import java.util.Map;
 import java.util.Set;
--- a/src/main/java/garnetscale/core/partition/PartitionOwner.java
+++ b/src/main/java/garnetscale/core/partition/PartitionOwner.java
@@ -3,6 +3,8 @@
 import garnetscale.core.SchedulerConfig;
 import garnetscale.core.Times;
 import garnetscale.core.bidding.Estimator;
+import garnetscale.core.cluster.LeaderInfo;
+import garnetscale.core.cluster.PartitionMap;
 import garnetscale.core.machine.MachineAddress;
 import garnetscale.core.machine.WorkerHeartbeat;
 import garnetscale.core.state.StateReplica;
@@ -53,7 +55,7 @@
     public PartitionOwner(SchedulerConfig config, StateReplica replica, PartitionMap partitions, Estimator estimator) {
         this.config = config;
         this.replica = replica;
-        this.requests = new WorkerRequestLimiter(config.directAtOnce());
+        this.requests = new WorkerRequestLimiter(config.maxConcurrentWorkerRequests());
         this.reachability = new Reachability(config);
         this.leases = new PartitionLeases(config, replica, partitions, machines, requests);
         this.desired = new DesiredPlacements(config, replica, machines);
@@ -70,7 +72,7 @@
     }
 
     /** Takes the effects since the last call, in the order in which they are to be carried out. */
-    public List<OwnerEffect> drain() {
+    public List<OwnerEffect> drainEffects() {
         List<OwnerEffect> drained = List.copyOf(effects);
         effects.clear();
         return drained;
@@ -82,7 +84,7 @@
     }
 
     /** The replica is complete as of a request that was sent at this time. */
-    public void confirmed(long sentAt) {
+    public void onReplicaConfirmed(long sentAt) {
         leases.onReplicaConfirmed(sentAt);
     }
 
@@ -90,12 +92,12 @@
      * Sets whether the process is late with its work. Probes then go out one at a time: nearly every worker shows by its next
      * heartbeat what the probe would tell, and heartbeats and users wait for the same processor.
      */
-    public void lagging(boolean late) {
+    public void setLagging(boolean late) {
         requests.setLagging(late);
     }
 
     /** The difference between the time of day, which job records carry, and the steady clock. */
-    public void wallClock(long offset) {
+    public void setWallClockOffset(long offset) {
         bids.setWallClockOffset(offset);
     }
 
@@ -147,12 +149,12 @@
     }
 
     /** Whether no worker can reach this controller, as far as it can tell; its partitions are better off elsewhere. */
-    public boolean isolatedFromWorkers() {
+    public boolean isIsolatedFromWorkers() {
         return reachability.isIsolatedFromWorkers();
     }
 
     /** Milliseconds until bids that were put off are due, or -1 if there are none. */
-    public long nextOffer(long now) {
+    public long msUntilNextBids(long now) {
         return bids.msUntilDue(now);
     }
 
--- a/src/main/java/garnetscale/core/partition/TerminationProof.java
+++ b/src/main/java/garnetscale/core/partition/TerminationProof.java
@@ -72,7 +72,7 @@
     /** The latest time at which the worker may still have a lease. */
     private long leaseEnd(MachineView machine, OwnedPartition owned) {
         return machine.tokenSeenAt >= 0
-                ? Math.max(machine.acknowledgedAt, machine.tokenSeenAt) + config.silentMs()
-                : Math.max(owned.since() + config.fenceMs(), machine.acknowledgedAt + config.silentMs());
+                ? Math.max(machine.acknowledgedAt, machine.tokenSeenAt) + config.workerExpiryMs()
+                : Math.max(owned.since() + config.fencingDelayMs(), machine.acknowledgedAt + config.workerExpiryMs());
     }
 }
--- a/src/main/java/garnetscale/core/partition/WorkerMessageHandler.java
+++ b/src/main/java/garnetscale/core/partition/WorkerMessageHandler.java
@@ -1,5 +1,7 @@
 package garnetscale.core.partition;
 
+import garnetscale.core.cluster.FencingTokens;
+import garnetscale.core.cluster.PartitionMap;
 import garnetscale.core.machine.WorkerCommand;
 import garnetscale.core.machine.WorkerHeartbeat;
 import java.util.List;
--- a/src/main/java/garnetscale/core/partition/WorkerProbes.java
+++ b/src/main/java/garnetscale/core/partition/WorkerProbes.java
@@ -1,6 +1,7 @@
 package garnetscale.core.partition;
 
 import garnetscale.core.SchedulerConfig;
+import garnetscale.core.cluster.PartitionMap;
 import garnetscale.core.machine.MachineAddress;
 import java.util.List;
 import java.util.Map;
--- a/src/main/java/garnetscale/core/queue/JobOrder.java
+++ b/src/main/java/garnetscale/core/queue/JobOrder.java
@@ -37,7 +37,7 @@
 
     /** Takes the deadline objectives and the cancellation time from the configuration. */
     public JobOrder(SchedulerConfig config) {
-        starvationLimitS = STARVATION_LIMIT * config.cancelMs() / 1000.0;
+        starvationLimitS = STARVATION_LIMIT * config.cancellationDeadlineMs() / 1000.0;
         for (SchedulerConfig.ServiceLevelObjective objective : config.objectives()) {
             if (objective.kind() == SchedulerConfig.ObjectiveKind.DEADLINE) {
                 deadlinesByClass.put(objective.jobClass(), objective);
@@ -63,7 +63,8 @@
             // Nothing of it has started: to the head of its priority, and once it has waited twice as long, of all.
             return (waitedS > 2 * starvationLimitS ? 0 : spec.priority().ordinal()) * PRIORITY_WEIGHT - waitedS;
         }
-        double workS = Math.max(MIN_WORK_S, spec.estimateS() * Math.max(1, job.unstarted()) * Math.max(1, spec.cpus()));
+        double workS =
+                Math.max(MIN_WORK_S, spec.estimateS() * Math.max(1, job.unstartedCount()) * Math.max(1, spec.cpus()));
         double agedWorkS = Math.min(MAX_AGED_WORK_S, workS / (1 + waitedS / workS));
         return spec.priority().ordinal() * PRIORITY_WEIGHT
                 + missedDeadlines(spec, waitedS) * MISSED_DEADLINE_WEIGHT
--- a/src/main/java/garnetscale/core/queue/JobQueue.java
+++ b/src/main/java/garnetscale/core/queue/JobQueue.java
@@ -21,7 +21,7 @@
         record KeyedJob(double key, JobView job) {}
         List<KeyedJob> keyed = new ArrayList<>();
         for (JobView job : all) {
-            if (job.live() && job.unstarted() > 0) {
+            if (job.isLive() && job.unstartedCount() > 0) {
                 keyed.add(new KeyedJob(order.key(job, nowMs), job));
             }
         }
--- a/src/main/java/garnetscale/core/state/Bucket.java
+++ b/src/main/java/garnetscale/core/state/Bucket.java
@@ -1,6 +1,6 @@
 package garnetscale.core.state;
 
-import garnetscale.core.partition.PartitionMap;
+import garnetscale.core.cluster.PartitionMap;
 
 /**
  * A part of the snapshot, by the hash of the machines and finished sets in it. The root of a shard holds all of the shard; a
--- a/src/main/java/garnetscale/core/state/ClusterState.java
+++ b/src/main/java/garnetscale/core/state/ClusterState.java
@@ -1,9 +1,9 @@
 package garnetscale.core.state;
 
+import garnetscale.core.cluster.ControllerInfo;
+import garnetscale.core.cluster.LeaderInfo;
+import garnetscale.core.cluster.PartitionLease;
 import garnetscale.core.machine.MachineType;
-import garnetscale.core.partition.ControllerInfo;
-import garnetscale.core.partition.LeaderInfo;
-import garnetscale.core.partition.PartitionLease;
 import garnetscale.core.upgrade.ClusterVersion;
 import java.util.Collection;
 import java.util.HashMap;
@@ -44,7 +44,7 @@
                     value == null ? null : Records.partition(value));
         } else if (key.startsWith(Keys.NODE)) {
             String name = key.substring(Keys.NODE.length());
-            putOrRemove(controllers, name, value == null ? null : Records.node(name, value));
+            putOrRemove(controllers, name, value == null ? null : Records.controller(name, value));
         } else if (key.equals(Keys.LEADER)) {
             leader = value == null ? null : Records.leader(value);
         } else if (key.equals(Keys.TERM)) {
--- a/src/main/java/garnetscale/core/state/Compaction.java
+++ b/src/main/java/garnetscale/core/state/Compaction.java
@@ -41,7 +41,7 @@
         boolean maySplit = limits.layout() >= Layouts.SPLIT_SNAPSHOT;
         if (!maySplit && isSplit) {
             convert(due);
-        } else if (maySplit && limits.splitsAny() && !isSplit && !log.isFull()) {
+        } else if (maySplit && limits.forcesSplit() && !isSplit && !log.isFull()) {
             compactInParts(log.snapshot().oldest(), true);
         } else if (due != null && maySplit && (isSplit || !log.isFull())) {
             // The first split needs an entry, and so a log that isn't full.
--- a/src/main/java/garnetscale/core/state/JobView.java
+++ b/src/main/java/garnetscale/core/state/JobView.java
@@ -82,7 +82,7 @@
     }
 
     /** Whether the job is neither done nor cancelled. */
-    public boolean live() {
+    public boolean isLive() {
         return !job.state().isTerminal();
     }
 
@@ -97,7 +97,7 @@
     }
 
     /** How many tasks are neither finished nor placed. */
-    public int unstarted() {
+    public int unstartedCount() {
         return job.spec().tasks() - progress.finishedCount - progress.placedCount;
     }
 
--- a/src/main/java/garnetscale/core/state/Keys.java
+++ b/src/main/java/garnetscale/core/state/Keys.java
@@ -7,7 +7,7 @@
 public final class Keys {
 
     /** The prefix of all keys that controllers replicate. */
-    public static final String MIRRORED = "g/";
+    public static final String REPLICATED = "g/";
     /** The leader; attached to its lease. */
     public static final String LEADER = "g/leader";
     /** The highest term that was given out. */
@@ -49,7 +49,7 @@
     }
 
     /** The key of a live controller; attached to its lease. */
-    public static String node(String name) {
+    public static String controller(String name) {
         return NODE + name;
     }
 }
--- a/src/main/java/garnetscale/core/state/LogWriter.java
+++ b/src/main/java/garnetscale/core/state/LogWriter.java
@@ -15,9 +15,9 @@
      * @param valueBytes bytes of one value
      * @param ops        puts and deletes
      * @param layout     the layout that may be written
-     * @param splitsAny  whether a shard has to be split in any case, so that controllers of the first layout stay out
+     * @param forcesSplit  whether a shard has to be split in any case, so that controllers of the first layout stay out
      */
-    public record Limits(int valueBytes, int ops, int layout, boolean splitsAny) {}
+    public record Limits(int valueBytes, int ops, int layout, boolean forcesSplit) {}
 
     /** What a transaction may hold in all. */
     static final int TRANSACTION_BYTES = 64 * 1024;
@@ -68,7 +68,7 @@
     }
 
     /** Whether it compacts anything, so that the transaction is worth sending without an entry. */
-    public boolean folds() {
+    public boolean compacts() {
         return !compaction.puts().isEmpty() || !compaction.deletes().isEmpty();
     }
 
@@ -78,12 +78,12 @@
     }
 
     /** Takes so many bytes of the entry. */
-    public void take(int bytes) {
+    public void reserve(int bytes) {
         bytesLeft -= bytes;
     }
 
     /** Bytes of a machine's change by itself. */
-    public int sizeOfRow(String machine, String zone) {
+    public int sizeOfMachine(String machine, String zone) {
         return LogSizes.emptyMachine(machine, zone);
     }
 
--- a/src/main/java/garnetscale/core/state/Records.java
+++ b/src/main/java/garnetscale/core/state/Records.java
@@ -1,13 +1,13 @@
 package garnetscale.core.state;
 
+import garnetscale.core.cluster.ControllerInfo;
+import garnetscale.core.cluster.LeaderInfo;
+import garnetscale.core.cluster.PartitionLease;
 import garnetscale.core.job.JobRecord;
 import garnetscale.core.job.JobSpec;
 import garnetscale.core.job.JobState;
 import garnetscale.core.job.Priority;
 import garnetscale.core.machine.MachineType;
-import garnetscale.core.partition.ControllerInfo;
-import garnetscale.core.partition.LeaderInfo;
-import garnetscale.core.partition.PartitionLease;
 import garnetscale.core.upgrade.ClusterVersion;
 import garnetscale.core.upgrade.VersionRange;
 import java.util.ArrayList;
@@ -116,7 +116,7 @@
     }
 
     /** The value of a live controller; its name is in the key. */
-    public static Map<String, Object> node(ControllerInfo controller) {
+    public static Map<String, Object> controller(ControllerInfo controller) {
         return Map.of(
                 "i",
                 controller.incarnation(),
@@ -128,7 +128,7 @@
                 controller.layouts().latest());
     }
 
-    static ControllerInfo node(String name, Object value) {
+    static ControllerInfo controller(String name, Object value) {
         Map<?, ?> fields = (Map<?, ?>) value;
         // A controller from before there were versions publishes none.
         VersionRange layouts = fields.containsKey("l")
--- a/src/main/java/garnetscale/core/state/StateReplica.java
+++ b/src/main/java/garnetscale/core/state/StateReplica.java
@@ -1,10 +1,10 @@
 package garnetscale.core.state;
 
+import garnetscale.core.cluster.ControllerInfo;
+import garnetscale.core.cluster.LeaderInfo;
+import garnetscale.core.cluster.PartitionLease;
 import garnetscale.core.machine.MachineType;
 import garnetscale.core.machine.Placement;
-import garnetscale.core.partition.ControllerInfo;
-import garnetscale.core.partition.LeaderInfo;
-import garnetscale.core.partition.PartitionLease;
 import garnetscale.core.upgrade.ClusterVersion;
 import garnetscale.core.upgrade.VersionRange;
 import java.util.Collection;
@@ -47,12 +47,12 @@
     }
 
     /** Whether it holds a complete copy. */
-    public boolean loaded() {
+    public boolean isLoaded() {
         return revision >= 0;
     }
 
     /** Whether entries of the work log or pages of its snapshot are missing: only a new listing helps. */
-    public boolean inconsistent() {
+    public boolean isInconsistent() {
         return log.isInconsistent();
     }
 
@@ -106,7 +106,7 @@
     }
 
     /** The zone of a machine that has a record, else null. */
-    public String placedZone(String machine) {
+    public String zoneOfMachine(String machine) {
         return machine(machine).zone();
     }
 
@@ -116,7 +116,7 @@
     }
 
     /** Machines whose records changed since the last call. */
-    public Set<String> takeChanged() {
+    public Set<String> takeChangedMachines() {
         return machines.takeChanged();
     }
 
@@ -133,12 +133,12 @@
     }
 
     /** A live controller, or null. */
-    public ControllerInfo node(String name) {
+    public ControllerInfo controller(String name) {
         return cluster.controller(name);
     }
 
     /** Live controllers, by name. */
-    public Collection<ControllerInfo> nodes() {
+    public Collection<ControllerInfo> controllers() {
         return cluster.controllers();
     }
 
--- a/src/main/java/garnetscale/core/upgrade/UpgradeCoordinator.java
+++ b/src/main/java/garnetscale/core/upgrade/UpgradeCoordinator.java
@@ -1,7 +1,7 @@
 package garnetscale.core.upgrade;
 
 import garnetscale.core.Times;
-import garnetscale.core.partition.ControllerInfo;
+import garnetscale.core.cluster.ControllerInfo;
 import garnetscale.core.state.Keys;
 import garnetscale.core.state.Records;
 import garnetscale.core.state.StateReplica;
@@ -56,9 +56,9 @@
             return;
         }
         observedAt = now;
-        firstSeenAt.keySet().removeIf(process -> replica.nodes().stream()
+        firstSeenAt.keySet().removeIf(process -> replica.controllers().stream()
                 .noneMatch(node -> processOf(node).equals(process)));
-        replica.nodes().forEach(node -> firstSeenAt.putIfAbsent(processOf(node), now));
+        replica.controllers().forEach(node -> firstSeenAt.putIfAbsent(processOf(node), now));
     }
 
     /** The transaction that activates the next version, once more is stored than the present one can soon hold; else null. */
@@ -82,17 +82,17 @@
         ClusterVersion version = replica.version();
         int next = version.active() + 1;
         boolean supportedByAny =
-                replica.nodes().stream().anyMatch(node -> node.layouts().contains(next));
+                replica.controllers().stream().anyMatch(node -> node.layouts().contains(next));
         if (!supportedByAny) {
             return new UpgradeDecision.Done(version);
         }
-        for (ControllerInfo node : replica.nodes()) {
+        for (ControllerInfo node : replica.controllers()) {
             if (!node.layouts().contains(next)) {
                 return new UpgradeDecision.Refused(
                         "controller " + node.name() + " supports " + node.layouts() + " and not " + next);
             }
         }
-        for (ControllerInfo node : replica.nodes()) {
+        for (ControllerInfo node : replica.controllers()) {
             long upMs = now - firstSeenAt.getOrDefault(processOf(node), now);
             if (upMs < settleMs) {
                 return new UpgradeDecision.Refused("controller " + node.name() + " has been there for " + upMs + " of "
@@ -100,8 +100,8 @@
             }
         }
         Transaction transaction = guardedTransaction();
-        replica.nodes().forEach(node -> {
-            String key = Keys.node(node.name());
+        replica.controllers().forEach(node -> {
+            String key = Keys.controller(node.name());
             transaction.guard(key, replica.modRevision(key));
         });
         return commit(transaction, version.activated(next));
--- a/src/main/java/garnetscale/net/HttpResult.java
+++ b/src/main/java/garnetscale/net/HttpResult.java
@@ -43,7 +43,7 @@
     }
 
     /** Whether the request may have been carried out without anybody here knowing it. */
-    public boolean maybe() {
+    public boolean mayHaveBeenApplied() {
         return outcome == Outcome.NO_ANSWER
                 || outcome == Outcome.TOO_LONG
                 || outcome == Outcome.ANSWERED && status >= HttpStatus.SERVER_ERROR && status != HttpStatus.UNAVAILABLE;
--- a/src/main/java/garnetscale/net/TokenBucket.java
+++ b/src/main/java/garnetscale/net/TokenBucket.java
@@ -58,7 +58,7 @@
     }
 
     /** How many tokens come in a second. */
-    public double perS() {
+    public double ratePerS() {
         return perS;
     }
 
--- a/src/test/java/garnetscale/cli/OperatorCommandTest.java
+++ b/src/test/java/garnetscale/cli/OperatorCommandTest.java
@@ -7,14 +7,14 @@
 import garnetscale.controller.ClusterInspector;
 import garnetscale.core.SchedulerConfig;
 import garnetscale.core.TestConfig;
+import garnetscale.core.cluster.ControllerInfo;
+import garnetscale.core.cluster.LeaderInfo;
+import garnetscale.core.cluster.PartitionLease;
+import garnetscale.core.cluster.PartitionMap;
 import garnetscale.core.job.JobRecord;
 import garnetscale.core.job.JobState;
 import garnetscale.core.job.TestJob;
 import garnetscale.core.leader.Leader;
-import garnetscale.core.partition.ControllerInfo;
-import garnetscale.core.partition.LeaderInfo;
-import garnetscale.core.partition.PartitionLease;
-import garnetscale.core.partition.PartitionMap;
 import garnetscale.core.state.Keys;
 import garnetscale.core.state.Layouts;
 import garnetscale.core.state.Records;
@@ -64,14 +64,17 @@
     @BeforeEach
     void start() {
         state.commit(new Transaction()
-                .put(Keys.node("n0"), Records.node(new ControllerInfo("n0", lease, "a", Layouts.SUPPORTED)), lease)
+                .put(
+                        Keys.controller("n0"),
+                        Records.controller(new ControllerInfo("n0", lease, "a", Layouts.SUPPORTED)),
+                        lease)
                 .put(Keys.LEADER, Records.leader(new LeaderInfo("n0", lease, 3)), lease)
                 .put(Keys.partition("a/0"), Records.partition(new PartitionLease("n0", lease, 17)))
                 .put(
                         Keys.job("wk-1"),
                         Records.job(new JobRecord(
                                 TestJob.named("wk-1").team("red").tasks(5).build(), JobState.LIVE, 0))));
-        replica.reset(state.list(Keys.MIRRORED, null, 100), state.revision());
+        replica.reset(state.list(Keys.REPLICATED, null, 100), state.revision());
         leader.onLeaseGranted(lease);
         ClusterInspector inspector = new ClusterInspector(
                 config,
@@ -81,7 +84,7 @@
                         leader,
                         () -> now,
                         () -> new ClusterInspector.ProcessView(true, 0, Map.of()),
-                        job -> job.unstarted() + " tasks wait for room",
+                        job -> job.unstartedCount() + " tasks wait for room",
                         (id, found) -> found.accept(
                                 true, id.equals("wk-0") ? new Records.TerminalJob(JobState.DONE, 4, 4, "red") : null)));
         ChannelFuture listening = new PeerLinks(
@@ -115,7 +118,7 @@
 
     private void commit(Transaction transaction) {
         assertEquals(200, state.commit(transaction));
-        replica.advance(state.changes(Keys.MIRRORED, replica.revision()), state.revision());
+        replica.advance(state.changes(Keys.REPLICATED, replica.revision()), state.revision());
     }
 
     @Test
--- a/src/test/java/garnetscale/config/FeaturesFileTest.java
+++ b/src/test/java/garnetscale/config/FeaturesFileTest.java
@@ -43,7 +43,8 @@
                 read(
                         "[staged_upgrade]\nenabled = true\nsettle = 3\nlatest = 1\n[shared_sockets]\nenabled = true\nfrom = 0.75\n"));
         assertEquals(
-                new Features(false, Features.SETTLE, Layouts.SUPPORTED, 0.95, BalanceSettings.OFF),
+                new Features(
+                        false, Features.DEFAULT_ACTIVATION_DELAY_LEASES, Layouts.SUPPORTED, 0.95, BalanceSettings.OFF),
                 read("[shared_sockets]\nenabled = true\n"));
         assertEquals(
                 new BalanceSettings(true, 1, BalanceSettings.MOVING),
@@ -53,7 +54,8 @@
     @Test
     void theShippedFileIsGood() throws Settings.Faults {
         assertEquals(
-                new Features(true, Features.SETTLE, Layouts.SUPPORTED, 0.95, BalanceSettings.OFF),
+                new Features(
+                        true, Features.DEFAULT_ACTIVATION_DELAY_LEASES, Layouts.SUPPORTED, 0.95, BalanceSettings.OFF),
                 FeaturesFile.read(Path.of("deploy", "features.toml")));
     }
 
--- a/src/test/java/garnetscale/config/SettingsTest.java
+++ b/src/test/java/garnetscale/config/SettingsTest.java
@@ -71,7 +71,8 @@
         assertEquals(2, s.config().controllers().size());
         assertEquals(Double.POSITIVE_INFINITY, s.config().teams().get("t").cpusMax());
         assertEquals(2.0, s.config().teams().get("t").gpusMax());
-        assertTrue(s.config().graceMs() + s.config().leaseMs() < s.config().cancelMs());
+        assertTrue(
+                s.config().graceMs() + s.config().workerLeaseMs() < s.config().cancellationDeadlineMs());
     }
 
     @Test
--- a/src/test/java/garnetscale/controller/ClusterInspectorJsonTest.java
+++ b/src/test/java/garnetscale/controller/ClusterInspectorJsonTest.java
@@ -4,16 +4,16 @@
 
 import garnetscale.core.SchedulerConfig;
 import garnetscale.core.TestConfig;
+import garnetscale.core.cluster.ControllerInfo;
+import garnetscale.core.cluster.LeaderInfo;
+import garnetscale.core.cluster.PartitionLease;
+import garnetscale.core.cluster.PartitionMap;
 import garnetscale.core.job.JobRecord;
 import garnetscale.core.job.JobState;
 import garnetscale.core.job.TaskId;
 import garnetscale.core.job.TestJob;
 import garnetscale.core.leader.Leader;
 import garnetscale.core.machine.Placement;
-import garnetscale.core.partition.ControllerInfo;
-import garnetscale.core.partition.LeaderInfo;
-import garnetscale.core.partition.PartitionLease;
-import garnetscale.core.partition.PartitionMap;
 import garnetscale.core.state.Keys;
 import garnetscale.core.state.Layouts;
 import garnetscale.core.state.LogWriter;
@@ -54,7 +54,7 @@
                     leader,
                     () -> 0,
                     () -> new ClusterInspector.ProcessView(true, 7, Map.of("reads", Map.of("per_s", 2.5))),
-                    job -> job.unstarted() == 0 ? null : "waits",
+                    job -> job.unstartedCount() == 0 ? null : "waits",
                     (id, found) -> found.accept(
                             !id.equals("wk-9"),
                             id.equals("wk-0") ? new Records.TerminalJob(JobState.DONE, 4, 4, "red") : null)));
@@ -62,11 +62,14 @@
     @BeforeEach
     void store() {
         state.commit(new Transaction()
-                .put(Keys.node("n0"), Records.node(new ControllerInfo("n0", lease, "a", Layouts.SUPPORTED)), lease)
+                .put(
+                        Keys.controller("n0"),
+                        Records.controller(new ControllerInfo("n0", lease, "a", Layouts.SUPPORTED)),
+                        lease)
                 .put(Keys.LEADER, Records.leader(new LeaderInfo("n0", lease, 3)), lease)
                 .put(Keys.partition("a/0"), Records.partition(new PartitionLease("n0", lease, 17)))
                 .put(Keys.job("wk-1"), job("wk-1", 5)));
-        replica.reset(state.list(Keys.MIRRORED, null, 100), state.revision());
+        replica.reset(state.list(Keys.REPLICATED, null, 100), state.revision());
         leader.onLeaseGranted(lease);
     }
 
@@ -108,7 +111,7 @@
     @Test
     void unreadableState() {
         state.commit(new Transaction().put(Keys.VERSION, Records.version(new ClusterVersion(9, 1))));
-        replica.advance(state.changes(Keys.MIRRORED, replica.revision()), state.revision());
+        replica.advance(state.changes(Keys.REPLICATED, replica.revision()), state.revision());
         String json = ask(Kind.STATUS, "").json();
         String start = "{\"node\":\"n0\",\"complete\":false,\"unreadable\":\"" + replica.unreadable()
                 + "\",\"ready\":true,\"state_age_ms\":7,";
@@ -141,10 +144,10 @@
     private void place(String machine, Placement.Stop stop, int task) {
         Placement placement = new Placement(new TaskId("wk-1", task), task + 1, 1, stop);
         Transaction transaction = new Transaction();
-        new LogWriter(replica, config.valueBytes())
+        new LogWriter(replica, config.maxValueBytes())
                 .write(transaction, Map.of(machine, new MachineRecord("a", List.of(placement), Map.of())), Map.of());
         assertEquals(200, state.commit(transaction));
-        replica.advance(state.changes(Keys.MIRRORED, replica.revision()), state.revision());
+        replica.advance(state.changes(Keys.REPLICATED, replica.revision()), state.revision());
     }
 
     @Test
--- a/src/test/java/garnetscale/controller/JobApiTest.java
+++ b/src/test/java/garnetscale/controller/JobApiTest.java
@@ -36,53 +36,53 @@
 
     /** Plays many days, none of which may break a rule; returns how often what came about in all of them. */
     private static Map<String, Integer> days(double answerLost, double late, Consumer<ScriptedCluster> script) {
-        Map<String, Integer> met = new TreeMap<>();
+        Map<String, Integer> occurrences = new TreeMap<>();
         for (long seed = 1; seed <= SEEDS; seed++) {
             ScriptedCluster cluster = day(seed, answerLost, late, script);
             assertEquals(List.of(), cluster.violations, "seed " + seed);
-            cluster.met.forEach((what, times) -> met.merge(what, times, Integer::sum));
+            cluster.occurrences.forEach((what, times) -> occurrences.merge(what, times, Integer::sum));
         }
-        return met;
+        return occurrences;
     }
 
-    private static void assertMet(Map<String, Integer> met, int times, String... events) {
+    private static void assertMet(Map<String, Integer> occurrences, int times, String... events) {
         for (String event : events) {
-            assertTrue(met.getOrDefault(event, 0) >= times, event + ": " + met);
+            assertTrue(occurrences.getOrDefault(event, 0) >= times, event + ": " + occurrences);
         }
     }
 
     /** Right after a job was accepted, ended or confirmed as cancelled, looked up at all controllers. */
     @Test
     void closeLooksAreNeverAnsweredWithSomethingOlder() {
-        Map<String, Integer> met = days(0, 0, cluster -> {});
-        assertMet(met, 10_000, "close look");
-        assertMet(met, 2000, "asked where the replica was behind");
-        assertMet(met, 100, "told done", "told withdrawn on cancelling");
-        assertMet(met, 50, "told done on cancelling");
+        Map<String, Integer> occurrences = days(0, 0, cluster -> {});
+        assertMet(occurrences, 10_000, "close look");
+        assertMet(occurrences, 2000, "asked where the replica was behind");
+        assertMet(occurrences, 100, "told done", "told withdrawn on cancelling");
+        assertMet(occurrences, 50, "told done on cancelling");
     }
 
     /** Only the answer is lost, while the other controllers read what was written. */
     @Test
     void aTransactionWhoseAnswerIsLostIsReadAgain() {
-        Map<String, Integer> met = days(0.3, 0, cluster -> {});
-        assertMet(met, 500, "carried out, answer lost");
-        assertMet(met, 50, "told withdrawn on cancelling", "told done on cancelling");
+        Map<String, Integer> occurrences = days(0.3, 0, cluster -> {});
+        assertMet(occurrences, 500, "carried out, answer lost");
+        assertMet(occurrences, 50, "told withdrawn on cancelling", "told done on cancelling");
     }
 
     /** Carried out seconds later, after newer ones: an ended job isn't begun again, and a done one isn't cancelled. */
     @Test
     void aLateTransactionChangesNothingThatWasDecided() {
-        Map<String, Integer> met = days(0.1, 0.3, cluster -> {});
-        assertMet(met, 50, "carried out late", "late and overtaken", "told withdrawn on cancelling");
+        Map<String, Integer> occurrences = days(0.1, 0.3, cluster -> {});
+        assertMet(occurrences, 50, "carried out late", "late and overtaken", "told withdrawn on cancelling");
     }
 
     /** The state service is down twice, so that requests are cut off at any point of an answer. */
     @Test
     void anOutageBringsRefusalsAndNoGuesses() {
-        Map<String, Integer> met = days(0.1, 0.1, cluster -> {
+        Map<String, Integer> occurrences = days(0.1, 0.1, cluster -> {
             cluster.at(5000, () -> cluster.failingUntil = cluster.now + 4000);
             cluster.at(15_000, () -> cluster.failingUntil = cluster.now + 3000);
         });
-        assertMet(met, SEEDS * JOBS / 2, "accepted");
+        assertMet(occurrences, SEEDS * JOBS / 2, "accepted");
     }
 }
--- a/src/test/java/garnetscale/controller/ScriptedCluster.java
+++ b/src/test/java/garnetscale/controller/ScriptedCluster.java
@@ -92,14 +92,15 @@
         if (luck < answerLost) {
             at(networkDelay(), () -> {
                 if (state.commit(transaction) == 200) {
-                    met("carried out, answer lost");
+                    countOccurrence("carried out, answer lost");
                 }
             });
             at(2000, () -> done.accept(TransactionOutcome.MAYBE, -1L));
         } else if (luck < answerLost + late) {
             at(
                     2000 + random.nextInt(10_000),
-                    () -> met(state.commit(transaction) == 200 ? "carried out late" : "late and overtaken"));
+                    () -> countOccurrence(
+                            state.commit(transaction) == 200 ? "carried out late" : "late and overtaken"));
             at(2000, () -> done.accept(TransactionOutcome.MAYBE, -1L));
         } else {
             at(networkDelay(), () -> {
@@ -175,7 +176,7 @@
         AnswerHistory.Before before = history.before(id);
         String request = method + " " + path + " at " + controller.name + ", " + now;
         if (before.progress() != AnswerHistory.Progress.NOTHING && controller.replica.revision() < state.revision()) {
-            met("asked where the replica was behind");
+            countOccurrence("asked where the replica was behind");
         }
         boolean[] answered = new boolean[1];
         controller.jobApi.handle(method, path, body, reply -> {
@@ -202,10 +203,10 @@
             } else if (reply.status() == 503) {
                 at(1000, () -> submit(id, team, cpus));
             } else {
-                met("accepted");
+                countOccurrence("accepted");
                 lookClosely(id);
                 if (random.nextInt(3) == 0) {
-                    met("cancelled at once");
+                    countOccurrence("cancelled at once");
                     cancel(id);
                 }
                 at(random.nextInt(2000), () -> poll(id));
@@ -220,7 +221,7 @@
             if (reply.status() == 503) {
                 at(1000, () -> cancel(id));
             } else if (reply.status() == 200) {
-                met("told " + AnswerHistory.stateOf(reply) + " on cancelling");
+                countOccurrence("told " + AnswerHistory.stateOf(reply) + " on cancelling");
                 lookClosely(id);
             } else if (known) {
                 violations.add("cancel of " + id + " answered " + reply.status());
@@ -231,7 +232,7 @@
     void poll(String id) {
         request(anyController(), "GET", path(id), null, id, reply -> {
             if (reply.status() == 200 && !AnswerHistory.stateOf(reply).equals("pending")) {
-                met("told " + AnswerHistory.stateOf(reply));
+                countOccurrence("told " + AnswerHistory.stateOf(reply));
                 lookClosely(id);
             } else {
                 at(300 + random.nextInt(600), () -> poll(id));
@@ -253,7 +254,7 @@
         for (ScriptedController controller : controllers) {
             for (int i = 0; i < 3; i++) {
                 at(random.nextInt(12), () -> {
-                    met("close look");
+                    countOccurrence("close look");
                     lookOnce(controller, id);
                 });
             }
--- a/src/test/java/garnetscale/controller/ScriptedController.java
+++ b/src/test/java/garnetscale/controller/ScriptedController.java
@@ -79,7 +79,7 @@
         };
         cluster.at(timeoutMs, () -> once.accept(HttpResult.NO_ANSWER));
         if (path.startsWith("/keys?") && path.contains("&since=")) {
-            cluster.met("listed in several pages");
+            cluster.countOccurrence("listed in several pages");
         }
         boolean write = path.equals("/multi");
         double luck = write ? cluster.random.nextDouble() : 1;
@@ -89,9 +89,10 @@
                 delayed ? 2000 + cluster.random.nextInt((int) MAX_DELAY_MS) : cluster.networkDelay(),
                 () -> arrive(method, path, body, reply -> {
                     if (delayed) {
-                        cluster.met(reply.status() == 200 ? "carried out late" : "late and overtaken");
+                        cluster.countOccurrence(reply.status() == 200 ? "carried out late" : "late and overtaken");
                     } else if (lost) {
-                        cluster.met(reply.status() == 200 ? "carried out, answer lost" : "refused, answer lost");
+                        cluster.countOccurrence(
+                                reply.status() == 200 ? "carried out, answer lost" : "refused, answer lost");
                     } else {
                         cluster.at(
                                 cluster.networkDelay(),
@@ -108,7 +109,7 @@
         }
         cluster.service.handle(method.name(), path, body, reply -> {
             if (path.startsWith("/follow") && isRefused()) {
-                cluster.met("a watch hung open through a refusal");
+                cluster.countOccurrence("a watch hung open through a refusal");
                 cluster.at(refusalEnds() - cluster.now + 1, () -> arrive(method, path, body, answer));
             } else {
                 answer.accept(reply);
@@ -120,13 +121,13 @@
     // ---- what the link tells its controller
 
     @Override
-    public void advanced() {
+    public void onReplicaAdvanced() {
         // The job API reads the replica when it needs to.
     }
 
     /** By now the replica must hold all that the state service had when the request was sent. */
     @Override
-    public void confirmed(long sentAt) {
+    public void onReplicaConfirmed(long sentAt) {
         confirmedAt = Math.max(confirmedAt, sentAt);
         if (sentAt > cluster.now || replica.revision() < cluster.revisionAt(sentAt)) {
             cluster.violations.add(name + " at " + cluster.now + " takes itself for complete as of " + sentAt
@@ -135,11 +136,11 @@
         if (isRefused() && sentAt >= refusalBegan) {
             cluster.violations.add(name + " is confirmed by a request that was sent while it was refused");
         }
-        cluster.met("confirmed");
+        cluster.countOccurrence("confirmed");
     }
 
     @Override
-    public void leased(long lease) {
-        cluster.met(lease < 0 ? "lease lost" : "lease");
+    public void onLeaseGranted(long lease) {
+        cluster.countOccurrence(lease < 0 ? "lease lost" : "lease");
     }
 }
--- a/src/test/java/garnetscale/controller/StateLinkRelistTest.java
+++ b/src/test/java/garnetscale/controller/StateLinkRelistTest.java
@@ -30,17 +30,17 @@
         private final List<Long> sentAt = new ArrayList<>();
 
         @Override
-        public void advanced() {
+        public void onReplicaAdvanced() {
             // Only confirmations matter here.
         }
 
         @Override
-        public void confirmed(long sentAtMs) {
+        public void onReplicaConfirmed(long sentAtMs) {
             sentAt.add(sentAtMs);
         }
 
         @Override
-        public void leased(long lease) {
+        public void onLeaseGranted(long lease) {
             // As above.
         }
     }
--- a/src/test/java/garnetscale/controller/StateLinkTest.java
+++ b/src/test/java/garnetscale/controller/StateLinkTest.java
@@ -57,7 +57,7 @@
 
     @Test
     void aViewIsCompleteAsOfTheSendingOfWhatConfirmsIt() {
-        Map<String, Integer> met = new TreeMap<>();
+        Map<String, Integer> occurrences = new TreeMap<>();
         for (long seed = 1; seed <= SEEDS; seed++) {
             ScriptedCluster cluster = day(seed);
             ScriptedController leader = cluster.controllers.get(0);
@@ -69,11 +69,11 @@
             assertEquals(List.of(), cluster.violations, "seed " + seed);
             cluster.controllers.forEach(controller ->
                     assertTrue(cluster.now - controller.confirmedAt < 2000, "confirmed again once all is well"));
-            cluster.met.forEach((what, times) -> met.merge(what, times, Integer::sum));
+            cluster.occurrences.forEach((what, times) -> occurrences.merge(what, times, Integer::sum));
         }
         for (String what : List.of("a watch hung open through a refusal", "listed in several pages", "lease lost")) {
-            assertTrue(met.getOrDefault(what, 0) >= SEEDS, what + ": " + met);
+            assertTrue(occurrences.getOrDefault(what, 0) >= SEEDS, what + ": " + occurrences);
         }
-        assertTrue(met.get("confirmed") > 60 * SEEDS, met.toString());
+        assertTrue(occurrences.get("confirmed") > 60 * SEEDS, occurrences.toString());
     }
 }
--- a/src/test/java/garnetscale/controller/StateLinkVersionTest.java
+++ b/src/test/java/garnetscale/controller/StateLinkVersionTest.java
@@ -31,17 +31,17 @@
 
     private static final class Silent implements StateLink.Listener {
         @Override
-        public void advanced() {
+        public void onReplicaAdvanced() {
             // Only what is sent matters here.
         }
 
         @Override
-        public void confirmed(long sentAt) {
+        public void onReplicaConfirmed(long sentAt) {
             // As above.
         }
 
         @Override
-        public void leased(long lease) {
+        public void onLeaseGranted(long lease) {
             // As above.
         }
     }
@@ -51,7 +51,12 @@
     private final StateReplica replica = new StateReplica(first);
     private final StateLink link = new StateLink(
             TestConfig.small()
-                    .features(new Features(false, Features.SETTLE, first, Features.NEVER, BalanceSettings.OFF))
+                    .features(new Features(
+                            false,
+                            Features.DEFAULT_ACTIVATION_DELAY_LEASES,
+                            first,
+                            Features.NEVER,
+                            BalanceSettings.OFF))
                     .build(),
             io,
             new SplittableRandom(1),
@@ -85,7 +90,7 @@
         assertEquals(MOD_REVISION, guards(io.take("/multi")).get(Keys.VERSION));
         link.submit(new Transaction().put("a/b", Map.of()), (result, revision) -> {});
         assertEquals(MOD_REVISION, guards(io.take("/multi")).get(Keys.VERSION));
-        link.lead(new Transaction().put("a/b", Map.of()), (result, revision) -> {});
+        link.sendAsLeader(new Transaction().put("a/b", Map.of()), (result, revision) -> {});
         assertEquals(MOD_REVISION, guards(io.take("/multi")).get(Keys.VERSION));
     }
 
@@ -102,7 +107,7 @@
         Map<String, ?> change =
                 Map.of("set", Keys.VERSION, "v", Records.version(new ClusterVersion(2, 1)), "stamp", 12);
         io.take("/follow").done().accept(ok(Map.of("ledger", 12, "log", List.of(change))));
-        assertFalse(replica.loaded());
+        assertFalse(replica.isLoaded());
         io.calls.clear();
         List<TransactionOutcome> results = new ArrayList<>();
         link.send(new Transaction().put("a/b", Map.of()), (result, revision) -> results.add(result));
@@ -112,10 +117,10 @@
         io.runTimers();
         assertFalse(io.isAsked("/holds"), "its lease isn't renewed, so that others get its partitions");
         list(new ClusterVersion(2, 1));
-        assertFalse(replica.loaded());
+        assertFalse(replica.isLoaded());
         io.runTimers();
         list(new ClusterVersion(1, 1));
-        assertTrue(replica.loaded(), "back once the version before is active again");
+        assertTrue(replica.isLoaded(), "back once the version before is active again");
         io.runTimers();
         assertTrue(io.isAsked("/holds/5/touch"));
     }
--- a/src/test/java/garnetscale/core/ExplicitEqualityTest.java
+++ b/src/test/java/garnetscale/core/ExplicitEqualityTest.java
@@ -4,13 +4,13 @@
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 
 import garnetscale.core.bidding.Bid;
+import garnetscale.core.cluster.LeaderInfo;
 import garnetscale.core.job.TaskId;
 import garnetscale.core.machine.ExitCause;
 import garnetscale.core.machine.MachineAddress;
 import garnetscale.core.machine.Placement;
 import garnetscale.core.machine.TaskState;
 import garnetscale.core.machine.TaskStatus;
-import garnetscale.core.partition.LeaderInfo;
 import garnetscale.core.partition.MachineStatus;
 import garnetscale.peer.PeerMessage;
 import java.lang.reflect.Constructor;
--- a/src/test/java/garnetscale/core/balance/BalanceCostMeasurement.java
+++ b/src/test/java/garnetscale/core/balance/BalanceCostMeasurement.java
@@ -114,7 +114,7 @@
         measure("plan", size, 20, shown, () -> {
             LoadTracker tracker = new LoadTracker(5000);
             List<SourceMachine> machines = new ArrayList<>();
-            List<Offer> offers = new ArrayList<>();
+            List<DestinationBid> offers = new ArrayList<>();
             for (int i = 0; i < size; i++) {
                 boolean isLarge = i % 2 == 0;
                 MachineGroup group = new MachineGroup("a", isLarge ? "large" : "small");
@@ -129,7 +129,7 @@
                 }
                 machines.add(new SourceMachine(id, group, isLarge ? large : small, false, false, free, tasks));
                 if (!isLarge) {
-                    offers.add(new Offer(id, group, small, false, false, 2, 110));
+                    offers.add(new DestinationBid(id, group, small, false, false, 2, 110));
                 }
             }
             MoveBudget budget = new MoveBudget(BalanceSettings.MOVING, 10_000);
--- a/src/test/java/garnetscale/core/balance/MovePlannerTest.java
+++ b/src/test/java/garnetscale/core/balance/MovePlannerTest.java
@@ -29,7 +29,7 @@
     private final LoadTracker tracker = new LoadTracker(1000);
     private MoveBudget budget = new MoveBudget(0.1, LEASE);
     private final List<SourceMachine> machines = new ArrayList<>();
-    private final List<Offer> offers = new ArrayList<>();
+    private final List<DestinationBid> offers = new ArrayList<>();
     private long attempts;
 
     MovePlannerTest() {
@@ -45,7 +45,7 @@
     private void offer(String machine, int slots, double finishS) {
         tracker.update(0, machine, new MachineLoad(SMALLS, null, true, 8000, Map.of()));
         machines.add(new SourceMachine(machine, SMALLS, SMALL, false, false, new FreeCapacity(SMALL), List.of()));
-        offers.add(new Offer(machine, SMALLS, SMALL, false, false, slots, finishS));
+        offers.add(new DestinationBid(machine, SMALLS, SMALL, false, false, slots, finishS));
     }
 
     /** A large machine on which tasks of 8 CPUs run that will still take so long. */
@@ -109,7 +109,7 @@
         MachineGroup elsewhere = new MachineGroup("b", "small");
         tracker.update(0, "m-b", new MachineLoad(elsewhere, null, true, 8000, Map.of()));
         offers.clear();
-        offers.add(new Offer("m-b", elsewhere, SMALL, false, false, 1, 30));
+        offers.add(new DestinationBid("m-b", elsewhere, SMALL, false, false, 1, 30));
         large("m-large", null, false, task(Priority.NORMAL, 28, 0));
         assertEquals(1, planForBound().size());
         budget.reconcile(move -> true);
--- a/src/test/java/garnetscale/core/leader/AttemptNumbersTest.java
+++ b/src/test/java/garnetscale/core/leader/AttemptNumbersTest.java
@@ -8,8 +8,8 @@
 
 import garnetscale.core.SchedulerConfig;
 import garnetscale.core.TestConfig;
-import garnetscale.core.partition.FencingTokens;
-import garnetscale.core.partition.PartitionMap;
+import garnetscale.core.cluster.FencingTokens;
+import garnetscale.core.cluster.PartitionMap;
 import org.junit.jupiter.api.Test;
 
 /**
--- a/src/test/java/garnetscale/core/leader/BalancerTest.java
+++ b/src/test/java/garnetscale/core/leader/BalancerTest.java
@@ -11,6 +11,8 @@
 import garnetscale.core.balance.Move;
 import garnetscale.core.bidding.Bid;
 import garnetscale.core.bidding.BidBatch;
+import garnetscale.core.cluster.FencingTokens;
+import garnetscale.core.cluster.PartitionMap;
 import garnetscale.core.job.JobRecord;
 import garnetscale.core.job.JobSpec;
 import garnetscale.core.job.JobState;
@@ -21,9 +23,7 @@
 import garnetscale.core.machine.Placement;
 import garnetscale.core.machine.TaskState;
 import garnetscale.core.machine.TaskStatus;
-import garnetscale.core.partition.FencingTokens;
 import garnetscale.core.partition.MachineStatus;
-import garnetscale.core.partition.PartitionMap;
 import garnetscale.core.quota.QuotaUsage;
 import garnetscale.core.state.Keys;
 import garnetscale.core.state.Layouts;
@@ -49,7 +49,7 @@
             .teams(new SchedulerConfig.Team("red", 0, 100, 0, 0))
             .features(new Features(
                     false,
-                    Features.SETTLE,
+                    Features.DEFAULT_ACTIVATION_DELAY_LEASES,
                     Layouts.SUPPORTED,
                     Features.NEVER,
                     new BalanceSettings(true, BalanceSettings.MARGIN, BalanceSettings.MOVING)))
@@ -126,7 +126,7 @@
         publishRunning();
         bid(NOW);
         leader.plan(NOW);
-        assertEquals(List.of("wk-1"), leader.lateJobs());
+        assertEquals(List.of("wk-1"), leader.jobsWantingLateBids());
         assertEquals(List.of(), leader.recentMoves(), "nobody bids for it yet");
         bid(NOW + 500, lateBid());
         state.commit(leader.plan(NOW + 1000));
@@ -159,7 +159,7 @@
         TransactionDraft draft = new TransactionDraft(
                 replica,
                 QuotaUsage.of(config, replica),
-                new LogWriter.Limits(config.valueBytes(), config.transactionOps(), Layouts.FIRST, false));
+                new LogWriter.Limits(config.maxValueBytes(), config.maxTransactionOperations(), Layouts.FIRST, false));
         draft.place("m-000002", SMALL, "a", new Placement(new TaskId("wk-2", 0), 6, 1, Placement.Stop.KEEP), bound);
         state.commit(draft.toTransaction());
         bid(NOW, lateBid());
@@ -174,7 +174,7 @@
         publishStatus(late - 1000, "m-000001", LARGE, List.of(placedTask(TaskState.RUNNING)));
         bid(late, lateBid());
         leader.plan(late);
-        assertEquals(List.of("wk-1"), leader.lateJobs());
+        assertEquals(List.of("wk-1"), leader.jobsWantingLateBids());
         assertEquals(List.of(), leader.recentMoves(), "awarded 90 s ago, it has 23 s left");
     }
 
--- a/src/test/java/garnetscale/core/leader/ExitRecorderTest.java
+++ b/src/test/java/garnetscale/core/leader/ExitRecorderTest.java
@@ -54,14 +54,14 @@
     }
 
     private TransactionDraft draft() {
-        return draft(config.transactionOps());
+        return draft(config.maxTransactionOperations());
     }
 
     private TransactionDraft draft(int opLimit) {
         return new TransactionDraft(
                 replica,
                 QuotaUsage.of(config, replica),
-                new LogWriter.Limits(config.valueBytes(), opLimit, Layouts.FIRST, false));
+                new LogWriter.Limits(config.maxValueBytes(), opLimit, Layouts.FIRST, false));
     }
 
     private static MachineStatus status(List<TaskStatus> tasks, List<Long> terminated) {
@@ -131,7 +131,7 @@
         assertTrue(recorder.isTerminated(MACHINE));
         recordAndCommit();
         assertEquals(List.of(), replica.placements(MACHINE));
-        assertNull(replica.placedZone(MACHINE));
+        assertNull(replica.zoneOfMachine(MACHINE));
     }
 
     @Test
--- a/src/test/java/garnetscale/core/leader/LeaderElectionTest.java
+++ b/src/test/java/garnetscale/core/leader/LeaderElectionTest.java
@@ -5,7 +5,7 @@
 
 import garnetscale.core.SchedulerConfig;
 import garnetscale.core.TestConfig;
-import garnetscale.core.partition.PartitionMap;
+import garnetscale.core.cluster.PartitionMap;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
@@ -33,15 +33,15 @@
 
     @Test
     void aLeaderWhoseProcessRefusesLinksIsDeposedAtOnce() {
-        n1.suspect(20_000, "n0", true);
+        n1.onPeerReachability(20_000, "n0", true);
         assertNotNull(n1.election(20_100));
     }
 
     /** A packet filter between the controllers made each of them depose the other, in turn. */
     @Test
     void whoCanReachNobodyLeavesItToTheLease() {
-        n1.suspect(20_000, "n0", true);
-        n1.suspect(20_001, "n2", true);
+        n1.onPeerReachability(20_000, "n0", true);
+        n1.onPeerReachability(20_001, "n2", true);
         assertNull(n1.election(20_100));
         n1.onWorkerReachability(20_150, "n0", true);
         assertNotNull(n1.election(20_200), "a leader that no worker reaches is no loss");
@@ -49,12 +49,12 @@
 
     @Test
     void aSuspicionThatWasWrongIsNoReasonForAWhile() {
-        n1.suspect(20_000, "n0", true);
-        n1.suspect(20_500, "n0", false);
-        n1.suspect(21_000, "n0", true);
+        n1.onPeerReachability(20_000, "n0", true);
+        n1.onPeerReachability(20_500, "n0", false);
+        n1.onPeerReachability(21_000, "n0", true);
         assertNull(n1.election(21_100));
-        n1.suspect(22_000, "n0", false);
-        n1.suspect(50_000, "n0", true);
+        n1.onPeerReachability(22_000, "n0", false);
+        n1.onPeerReachability(50_000, "n0", true);
         assertNotNull(n1.election(50_100));
     }
 }
--- a/src/test/java/garnetscale/core/leader/LoadObserverTest.java
+++ b/src/test/java/garnetscale/core/leader/LoadObserverTest.java
@@ -13,10 +13,10 @@
 import garnetscale.core.balance.MachineGroup;
 import garnetscale.core.balance.UnknownReason;
 import garnetscale.core.bidding.BidBatch;
+import garnetscale.core.cluster.FencingTokens;
+import garnetscale.core.cluster.PartitionMap;
 import garnetscale.core.machine.MachineType;
-import garnetscale.core.partition.FencingTokens;
 import garnetscale.core.partition.MachineStatus;
-import garnetscale.core.partition.PartitionMap;
 import garnetscale.core.state.Keys;
 import garnetscale.core.state.Layouts;
 import garnetscale.core.state.Records;
@@ -39,7 +39,7 @@
             .zones(List.of("a", "b"))
             .features(new Features(
                     false,
-                    Features.SETTLE,
+                    Features.DEFAULT_ACTIVATION_DELAY_LEASES,
                     Layouts.SUPPORTED,
                     Features.NEVER,
                     new BalanceSettings(true, BalanceSettings.MARGIN, BalanceSettings.MOVING)))
--- a/src/test/java/garnetscale/core/leader/MachineEvaluatorTest.java
+++ b/src/test/java/garnetscale/core/leader/MachineEvaluatorTest.java
@@ -110,9 +110,9 @@
     void aSilentMachineWithoutPlacementsIsForgottenAfterTwoLeases() {
         machine("m-1", true);
         machine("m-2", false);
-        evaluator.evaluate(NOW + 2 * config.leaseMs());
+        evaluator.evaluate(NOW + 2 * config.workerLeaseMs());
         assertEquals(Set.of("m-1", "m-2"), context.machines().keySet());
-        evaluator.evaluate(NOW + 2 * config.leaseMs() + config.heartbeatIntervalMs());
+        evaluator.evaluate(NOW + 2 * config.workerLeaseMs() + config.heartbeatIntervalMs());
         assertEquals(Set.of("m-2"), context.machines().keySet());
     }
 }
--- a/src/test/java/garnetscale/core/leader/PartitionAssignerTest.java
+++ b/src/test/java/garnetscale/core/leader/PartitionAssignerTest.java
@@ -7,8 +7,8 @@
 
 import garnetscale.core.SchedulerConfig;
 import garnetscale.core.TestConfig;
-import garnetscale.core.partition.PartitionLease;
-import garnetscale.core.partition.PartitionMap;
+import garnetscale.core.cluster.PartitionLease;
+import garnetscale.core.cluster.PartitionMap;
 import garnetscale.core.state.Keys;
 import garnetscale.core.state.Layouts;
 import garnetscale.core.state.Records;
--- a/src/test/java/garnetscale/core/leader/ReplicatedState.java
+++ b/src/test/java/garnetscale/core/leader/ReplicatedState.java
@@ -2,9 +2,9 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import garnetscale.core.partition.ControllerInfo;
-import garnetscale.core.partition.LeaderInfo;
-import garnetscale.core.partition.PartitionLease;
+import garnetscale.core.cluster.ControllerInfo;
+import garnetscale.core.cluster.LeaderInfo;
+import garnetscale.core.cluster.PartitionLease;
 import garnetscale.core.state.Keys;
 import garnetscale.core.state.Layouts;
 import garnetscale.core.state.Records;
@@ -27,7 +27,7 @@
     /** Carries out the transaction, which must succeed. */
     void commit(Transaction transaction) {
         assertEquals(200, service.commit(transaction));
-        replica.advance(service.changes(Keys.MIRRORED, replica.revision()), service.revision());
+        replica.advance(service.changes(Keys.REPLICATED, replica.revision()), service.revision());
     }
 
     /** Adds a live controller that supports the present layouts. */
@@ -38,7 +38,7 @@
     /** Adds a live controller. */
     void join(String name, long incarnation, String zone, VersionRange layouts) {
         commit(new Transaction()
-                .put(Keys.node(name), Records.node(new ControllerInfo(name, incarnation, zone, layouts))));
+                .put(Keys.controller(name), Records.controller(new ControllerInfo(name, incarnation, zone, layouts))));
     }
 
     /** Makes a controller the leader. */
--- a/src/test/java/garnetscale/core/partition/CancellationMemoryTest.java
+++ b/src/test/java/garnetscale/core/partition/CancellationMemoryTest.java
@@ -20,7 +20,7 @@
     private long now;
 
     CancellationMemoryTest() {
-        owner.confirmed(0);
+        owner.onReplicaConfirmed(0);
     }
 
     /** The commands in the reply to a heartbeat that shows the task running. */
--- a/src/test/java/garnetscale/core/partition/HeartbeatReplyTest.java
+++ b/src/test/java/garnetscale/core/partition/HeartbeatReplyTest.java
@@ -4,6 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertInstanceOf;
 
 import garnetscale.core.TestConfig;
+import garnetscale.core.cluster.FencingTokens;
 import garnetscale.core.machine.WorkerCommand;
 import garnetscale.core.machine.WorkerHeartbeat;
 import java.util.List;
@@ -20,7 +21,7 @@
     @Test
     void anAcknowledgementStartsWhatIsPlaced() {
         fixture.placeTask();
-        owner.confirmed(0);
+        owner.onReplicaConfirmed(0);
         HeartbeatReply reply = owner.onHeartbeat(0, fixture.heartbeat(FIRST_TOKEN, List.of()));
         assertEquals(
                 new HeartbeatReply.Acknowledge(
@@ -30,7 +31,7 @@
 
     @Test
     void aCopyIsRejected() {
-        owner.confirmed(0);
+        owner.onReplicaConfirmed(0);
         WorkerHeartbeat heartbeat = fixture.heartbeat(FIRST_TOKEN, List.of());
         assertInstanceOf(HeartbeatReply.Acknowledge.class, owner.onHeartbeat(0, heartbeat));
         assertEquals(new HeartbeatReply.Reject("report overtaken"), owner.onHeartbeat(1, heartbeat));
@@ -38,7 +39,7 @@
 
     @Test
     void aTokenOfANewerTermIsRejected() {
-        owner.confirmed(0);
+        owner.onReplicaConfirmed(0);
         long newer = FencingTokens.firstToken(OwnerFixture.TERM + 1);
         assertEquals(
                 new HeartbeatReply.Reject("the worker has seen a newer term"),
@@ -47,7 +48,7 @@
 
     @Test
     void afterTheGraceEverythingIsRejected() {
-        owner.confirmed(0);
+        owner.onReplicaConfirmed(0);
         long grace = fixture.config.graceMs();
         assertInstanceOf(
                 HeartbeatReply.Acknowledge.class, owner.onHeartbeat(grace, fixture.heartbeat(FIRST_TOKEN, List.of())));
--- a/src/test/java/garnetscale/core/partition/MachineFencingTest.java
+++ b/src/test/java/garnetscale/core/partition/MachineFencingTest.java
@@ -4,6 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import garnetscale.core.cluster.FencingTokens;
 import org.junit.jupiter.api.Test;
 
 /** A start counts as superseded only once the worker has shown a token above every one that it was sent under. */
--- a/src/test/java/garnetscale/core/partition/OwnerFixture.java
+++ b/src/test/java/garnetscale/core/partition/OwnerFixture.java
@@ -3,6 +3,9 @@
 import garnetscale.core.SchedulerConfig;
 import garnetscale.core.TestConfig;
 import garnetscale.core.bidding.Estimator;
+import garnetscale.core.cluster.FencingTokens;
+import garnetscale.core.cluster.PartitionLease;
+import garnetscale.core.cluster.PartitionMap;
 import garnetscale.core.job.JobRecord;
 import garnetscale.core.job.JobState;
 import garnetscale.core.job.TaskId;
@@ -62,7 +65,7 @@
     OwnerFixture placeTask() {
         Placement placement = new Placement(TASK, ATTEMPT, 1, Placement.Stop.KEEP);
         Transaction transaction = new Transaction();
-        new LogWriter(replica, config.valueBytes())
+        new LogWriter(replica, config.maxValueBytes())
                 .write(transaction, Map.of(MACHINE, new MachineRecord("a", List.of(placement), Map.of())), Map.of());
         state.commit(transaction);
         refreshReplica();
@@ -70,7 +73,7 @@
     }
 
     private void refreshReplica() {
-        replica.reset(state.list(Keys.MIRRORED, null, LIST_LIMIT), state.revision());
+        replica.reset(state.list(Keys.REPLICATED, null, LIST_LIMIT), state.revision());
     }
 
     /** The worker's next heartbeat, of its first agent epoch. */
--- a/src/test/java/garnetscale/core/partition/PartitionOwnerBidTest.java
+++ b/src/test/java/garnetscale/core/partition/PartitionOwnerBidTest.java
@@ -18,10 +18,10 @@
     private int bids;
 
     private void heartbeat(long now, List<TaskStatus> tasks) {
-        owner.confirmed(now);
+        owner.onReplicaConfirmed(now);
         owner.onHeartbeat(now, fixture.heartbeat(OwnerFixture.FIRST_TOKEN, tasks));
         owner.tick(now);
-        for (OwnerEffect effect : owner.drain()) {
+        for (OwnerEffect effect : owner.drainEffects()) {
             if (effect instanceof OwnerEffect.SubmitBids submission) {
                 batches++;
                 bids = submission.batch().bids().size();
--- a/src/test/java/garnetscale/core/partition/TerminationProofTest.java
+++ b/src/test/java/garnetscale/core/partition/TerminationProofTest.java
@@ -62,7 +62,7 @@
 
     @Test
     void aMachineWithoutHeartbeatIsTerminatedAfterTheFence() {
-        long fence = OWNED_SINCE + fixture.config.fenceMs();
+        long fence = OWNED_SINCE + fixture.config.fencingDelayMs();
         assertEquals(NONE, provedAt(fence));
         assertEquals(PROVED, provedAt(fence + 1));
     }
@@ -73,7 +73,7 @@
         machine.lastHeartbeat = emptyHeartbeat(1, OwnerFixture.FIRST_TOKEN);
         machine.tokenSeenAt = OWNED_SINCE;
         machine.acknowledgedAt = acknowledgedAt;
-        long expiry = acknowledgedAt + fixture.config.silentMs();
+        long expiry = acknowledgedAt + fixture.config.workerExpiryMs();
         assertEquals(NONE, provedAt(expiry));
         assertEquals(PROVED, provedAt(expiry + 1));
     }
@@ -81,7 +81,7 @@
     @Test
     void withoutTheTokenAnEarlierOwnerMayHaveAcknowledgedItForTheGrace() {
         machine.lastHeartbeat = emptyHeartbeat(1, OwnerFixture.FIRST_TOKEN - 1);
-        long fence = OWNED_SINCE + fixture.config.fenceMs();
+        long fence = OWNED_SINCE + fixture.config.fencingDelayMs();
         assertEquals(NONE, provedAt(fence));
         assertEquals(PROVED, provedAt(fence + 1));
     }
--- a/src/test/java/garnetscale/core/sim/BalanceSimulationTest.java
+++ b/src/test/java/garnetscale/core/sim/BalanceSimulationTest.java
@@ -53,7 +53,7 @@
             onMove(move -> {
                 if (!done[0]) {
                     done[0] = true;
-                    cluster.met("failure during a move");
+                    cluster.countOccurrence("failure during a move");
                     run.accept(move);
                 }
             });
@@ -96,7 +96,9 @@
             swell(day.cluster());
             failure.accept(day);
             settle(day, seed);
-            assertTrue(day.cluster().met.getOrDefault("failure during a move", 0) > 0, "seed " + seed + ": no move");
+            assertTrue(
+                    day.cluster().occurrences.getOrDefault("failure during a move", 0) > 0,
+                    "seed " + seed + ": no move");
             days.add(day);
         }
         return days;
@@ -145,8 +147,8 @@
             }
         }))) {
             assertTrue(
-                    day.cluster().met.get("leader changed") >= 8,
-                    day.cluster().met.toString());
+                    day.cluster().occurrences.get("leader changed") >= 8,
+                    day.cluster().occurrences.toString());
             assertTrue(
                     day.history().mostWithin(QUIET) <= 16, day.history().moves.toString());
             assertTrue(
--- a/src/test/java/garnetscale/core/sim/ConcurrentCancellationTest.java
+++ b/src/test/java/garnetscale/core/sim/ConcurrentCancellationTest.java
@@ -32,7 +32,8 @@
                 if (cluster.random.nextInt(4) == 0) {
                     cluster.at(
                             at + cluster.random.nextInt(8000),
-                            () -> cluster.met(cluster.users.cancelAt("n1", id) ? "cancelled" : "over or refused"));
+                            () -> cluster.countOccurrence(
+                                    cluster.users.cancelAt("n1", id) ? "cancelled" : "over or refused"));
                 }
             }
             cluster.at(20_000, () -> cluster.state.late(20_000, 0.2, false));
@@ -62,7 +63,7 @@
                     }
                     cluster.at(
                             cluster.random.nextInt(300),
-                            () -> cluster.met(
+                            () -> cluster.countOccurrence(
                                     cluster.users.cancelAt("n" + cluster.random.nextInt(3), task.job())
                                             ? "cancelled while a start is on its way"
                                             : "over or refused"));
@@ -82,7 +83,7 @@
                 if (cluster.rules.isComplete(task.job()) && cluster.random.nextBoolean()) {
                     cluster.at(
                             cluster.random.nextInt(400),
-                            () -> cluster.met(
+                            () -> cluster.countOccurrence(
                                     cluster.users.cancelAt("n0", task.job())
                                             ? "cancelled before its end was stored"
                                             : "too late"));
@@ -115,7 +116,7 @@
             for (long time = 20_000; time < 60_000; time += 5000) {
                 cluster.at(time, () -> {
                     if (cluster.rules.used("red") + cluster.rules.used("blue") > 0.7 * 8 * cluster.workers.size()) {
-                        cluster.met("the cluster is full");
+                        cluster.countOccurrence("the cluster is full");
                     }
                 });
             }
--- a/src/test/java/garnetscale/core/sim/ConcurrentFailures.java
+++ b/src/test/java/garnetscale/core/sim/ConcurrentFailures.java
@@ -48,7 +48,7 @@
             cluster.run(FAILURES_END_MS);
             settle(cluster);
             assertEquals(List.of(), cluster.rules.violations, "seed " + seed);
-            cluster.met.forEach((event, times) -> occurred.merge(event, times, Integer::sum));
+            cluster.occurrences.forEach((event, times) -> occurred.merge(event, times, Integer::sum));
             occurred.merge("starts after a cancellation", cluster.rules.startsAfterCancel, Integer::sum);
             occurred.merge("starts", cluster.rules.starts, Integer::sum);
         }
@@ -111,7 +111,7 @@
             if (!cluster.rules.isCancelled(id)
                     && cluster.nodes.stream()
                             .anyMatch(node -> !node.name.equals(notAt) && cluster.users.cancelAt(node.name, id))) {
-                cluster.met(event);
+                cluster.countOccurrence(event);
             }
         }
     }
--- a/src/test/java/garnetscale/core/sim/ConcurrentLateHeartbeatTest.java
+++ b/src/test/java/garnetscale/core/sim/ConcurrentLateHeartbeatTest.java
@@ -71,7 +71,7 @@
                     cluster.network.cutMessagesTo(machine, SimulatedCluster.LEASE + 3000);
                     cluster.at(SimulatedCluster.LEASE + 4000, () -> {
                         if (cluster.worker(machine).model.agentEpoch() > agentEpoch) {
-                            cluster.met("copies of an earlier agent epoch");
+                            cluster.countOccurrence("copies of an earlier agent epoch");
                         }
                     });
                 });
--- a/src/test/java/garnetscale/core/sim/ConcurrentLateTransactionTest.java
+++ b/src/test/java/garnetscale/core/sim/ConcurrentLateTransactionTest.java
@@ -64,7 +64,7 @@
                         () -> cluster.crash(cluster.leader(), 300 + cluster.random.nextInt(3000)));
                 cluster.at(20_000, () -> cluster.rules.running().values().forEach(machine -> {
                     if (Integer.parseInt(machine.substring(2)) >= before) {
-                        cluster.met("a new machine has work");
+                        cluster.countOccurrence("a new machine has work");
                     }
                 }));
             });
--- a/src/test/java/garnetscale/core/sim/ConcurrentLeaderFailureTest.java
+++ b/src/test/java/garnetscale/core/sim/ConcurrentLeaderFailureTest.java
@@ -25,7 +25,7 @@
             cluster.rules.onDone = task -> {
                 if (leaders.computeIfAbsent(task.job(), key -> new HashSet<>()).add(cluster.leaderTerm() + "")
                         && leaders.get(task.job()).size() == 2) {
-                    cluster.met("a job's tasks ended under different leaders");
+                    cluster.countOccurrence("a job's tasks ended under different leaders");
                 }
             };
             for (int i = 0; i < 24; i++) {
@@ -77,7 +77,7 @@
                     for (int i = 0; i < cluster.nodes.size(); i++) {
                         cluster.crash("n" + i, i == first ? 300 : 6000 + cluster.random.nextInt(3000));
                     }
-                    cluster.met("all ended");
+                    cluster.countOccurrence("all ended");
                     cluster.at(7000 + cluster.random.nextInt(2000), () -> cluster.crash("n" + first, 400));
                     cluster.at(
                             2500,
@@ -103,7 +103,7 @@
                         cluster.crash(node.name, (int) SimulatedCluster.LEASE + 4000 + cluster.random.nextInt(4000)));
                 cluster.at(SimulatedCluster.LEASE + 3500, () -> {
                     if (cluster.rules.running().isEmpty()) {
-                        cluster.met("every agent epoch ended");
+                        cluster.countOccurrence("every agent epoch ended");
                     }
                 });
             });
--- a/src/test/java/garnetscale/core/sim/ConcurrentMachineFailureTest.java
+++ b/src/test/java/garnetscale/core/sim/ConcurrentMachineFailureTest.java
@@ -43,7 +43,7 @@
                     }
                     if (cluster.rules.used("red") + 2 > cluster.shape.red()
                             || cluster.rules.used("blue") + 2 > cluster.shape.blue()) {
-                        cluster.met("at a limit");
+                        cluster.countOccurrence("at a limit");
                     }
                     cancelRunning(cluster, "", hit::contains, "cancelled on a machine that can't be asked");
                     cluster.at(
@@ -75,7 +75,7 @@
             }
             cluster.at(40_000, () -> {
                 if (!cluster.rules.running().isEmpty()) {
-                    cluster.met("a zone is cut off with work in it");
+                    cluster.countOccurrence("a zone is cut off with work in it");
                 }
                 cluster.network.cutZone("b", SimulatedCluster.LEASE + 8000);
             });
@@ -143,7 +143,7 @@
                             cluster.network.cut(machine, ms);
                         }
                         if (cluster.rules.running().containsValue(machine)) {
-                            cluster.met("a machine with tasks is unreachable");
+                            cluster.countOccurrence("a machine with tasks is unreachable");
                         }
                     }
                     cluster.at(cluster.random.nextInt(1000), () -> cluster.crash(cluster.leader(), 2000));
@@ -163,7 +163,7 @@
                 cluster.at(time, () -> {
                     String machine = cluster.workers.get(cluster.random.nextInt(cluster.workers.size())).id;
                     cluster.hang(machine, 1000 + cluster.random.nextInt(8000));
-                    cluster.met("a machine hangs");
+                    cluster.countOccurrence("a machine hangs");
                     cancelRunning(
                             cluster,
                             "",
--- a/src/test/java/garnetscale/core/sim/ConcurrentOutageTest.java
+++ b/src/test/java/garnetscale/core/sim/ConcurrentOutageTest.java
@@ -37,7 +37,7 @@
                 });
                 cluster.at(8000, () -> cluster.rules.running().keySet().forEach(task -> {
                     if (cluster.rules.isCancelled(task.job())) {
-                        cluster.met("a cancelled task is kept alive by the old leader");
+                        cluster.countOccurrence("a cancelled task is kept alive by the old leader");
                     }
                 }));
             });
@@ -94,7 +94,7 @@
                 cluster.at(1000, () -> cluster.state.outage(SimulatedCluster.CANCEL + 12_000));
                 cluster.at(7000, () -> cluster.rules.running().keySet().forEach(task -> {
                     if (cluster.rules.isCancelled(task.job())) {
-                        cluster.met("still running 7 s after its cancellation");
+                        cluster.countOccurrence("still running 7 s after its cancellation");
                     }
                 }));
             });
@@ -137,7 +137,7 @@
             });
             cluster.at(40_000, () -> {
                 cluster.state.refuse(cluster.leader(), 6000);
-                cluster.met("refused amid slow answers");
+                cluster.countOccurrence("refused amid slow answers");
             });
             cluster.at(
                     42_000,
--- a/src/test/java/garnetscale/core/sim/SimulatedCluster.java
+++ b/src/test/java/garnetscale/core/sim/SimulatedCluster.java
@@ -1,10 +1,10 @@
 package garnetscale.core.sim;
 
 import garnetscale.core.Times;
+import garnetscale.core.cluster.PartitionMap;
 import garnetscale.core.job.TaskId;
 import garnetscale.core.machine.MachineType;
 import garnetscale.core.machine.WorkerHeartbeat;
-import garnetscale.core.partition.PartitionMap;
 import garnetscale.core.state.Keys;
 import garnetscale.core.state.Records;
 import garnetscale.core.state.StateReplica;
@@ -85,7 +85,7 @@
         this.state = new SimulatedStateService(this, shape.valueBytes());
         this.rules = new ProtocolRules(Map.of("red", shape.red(), "blue", shape.blue()), zones, CANCEL, () -> now);
         state.model.commit(new Transaction().put(Keys.TYPES, Records.types(shape.types())));
-        observer.reset(state.model.list(Keys.MIRRORED, null, 10), state.model.revision());
+        observer.reset(state.model.list(Keys.REPLICATED, null, 10), state.model.revision());
         rules.placed = (machine, attempt) ->
                 stored().placements(machine).stream().anyMatch(placement -> placement.attempt() == attempt);
         for (int i = 0; i < shape.nodes(); i++) {
@@ -123,7 +123,7 @@
 
     /** What is stored at this moment. */
     StateReplica stored() {
-        observer.advance(state.model.changes(Keys.MIRRORED, observer.revision()), state.model.revision());
+        observer.advance(state.model.changes(Keys.REPLICATED, observer.revision()), state.model.revision());
         return observer;
     }
 
@@ -143,7 +143,7 @@
         StateReplica stored = stored();
         if (stored.leader() != null && stored.leader().term() != ledTerm) {
             ledTerm = stored.leader().term();
-            met("leader changed");
+            countOccurrence("leader changed");
             deliverKept();
         }
         for (String partition : new PartitionMap(shape.config("n0")).all()) {
@@ -162,7 +162,7 @@
         for (WorkerHeartbeat heartbeat : kept) {
             for (SimulatedNode node : nodes) {
                 at(keptDelay + random.nextInt(400), () -> {
-                    met("old heartbeat at a new leader");
+                    countOccurrence("old heartbeat at a new leader");
                     node.onHeartbeat(heartbeat, reply -> {});
                 });
             }
--- a/src/test/java/garnetscale/core/sim/SimulatedNetwork.java
+++ b/src/test/java/garnetscale/core/sim/SimulatedNetwork.java
@@ -40,8 +40,13 @@
         List<String> inside = new ArrayList<>();
         List<String> outside = new ArrayList<>(List.of("state"));
         cluster.workers.forEach(worker -> (cluster.zoneOf(worker.id).equals(zone) ? inside : outside).add(worker.id));
-        cluster.nodes.forEach(node ->
-                (cluster.shape.config(node.name).zoneOfNode(node.name).equals(zone) ? inside : outside).add(node.name));
+        cluster.nodes.forEach(node -> (cluster.shape
+                                .config(node.name)
+                                .zoneOfController(node.name)
+                                .equals(zone)
+                        ? inside
+                        : outside)
+                .add(node.name));
         for (String insider : inside) {
             for (String outsider : outside) {
                 cut(insider + ">" + outsider, ms);
--- a/src/test/java/garnetscale/core/sim/SimulatedNode.java
+++ b/src/test/java/garnetscale/core/sim/SimulatedNode.java
@@ -3,6 +3,8 @@
 import garnetscale.core.SchedulerConfig;
 import garnetscale.core.balance.BalanceSettings;
 import garnetscale.core.bidding.Estimator;
+import garnetscale.core.cluster.LeaderInfo;
+import garnetscale.core.cluster.PartitionMap;
 import garnetscale.core.leader.Leader;
 import garnetscale.core.leader.TransactionPipeline;
 import garnetscale.core.machine.MachineAddress;
@@ -10,10 +12,8 @@
 import garnetscale.core.machine.WorkerCommand;
 import garnetscale.core.machine.WorkerHeartbeat;
 import garnetscale.core.partition.HeartbeatReply;
-import garnetscale.core.partition.LeaderInfo;
 import garnetscale.core.partition.MachineStatus;
 import garnetscale.core.partition.OwnerEffect;
-import garnetscale.core.partition.PartitionMap;
 import garnetscale.core.partition.PartitionOwner;
 import garnetscale.core.state.Layouts;
 import garnetscale.core.state.StateReplica;
@@ -74,7 +74,8 @@
         loop(
                 process,
                 1000,
-                () -> peers(node -> node.leader.onWorkerReachability(cluster.now, name, owner.isolatedFromWorkers())));
+                () -> peers(
+                        node -> node.leader.onWorkerReachability(cluster.now, name, owner.isIsolatedFromWorkers())));
         loop(process, 1000, () -> {
             if (leader.leadingTerm() >= 0) {
                 List<MachineAddress> machineDirectory = cluster.workers.stream()
@@ -82,7 +83,7 @@
                                 worker.id, worker.id, worker.model.heartbeat().zone()))
                         .toList();
                 peers(node -> node.owner.onMachineDirectory(
-                        machineDirectory, leader.lateJobs(), List.copyOf(leader.suspects())));
+                        machineDirectory, leader.jobsWantingLateBids(), List.copyOf(leader.quarantinedJobs())));
             }
         });
     }
@@ -123,12 +124,12 @@
     }
 
     private void work() {
-        if (!replica.loaded()) {
+        if (!replica.isLoaded()) {
             return;
         }
         stateLink.register();
         owner.tick(cluster.now);
-        owner.drain().forEach(this::carryOut);
+        owner.drainEffects().forEach(this::carryOut);
         if (!stateLink.hasLease()) {
             return;
         }
@@ -189,14 +190,14 @@
     }
 
     void onHeartbeat(WorkerHeartbeat heartbeat, Consumer<HeartbeatReply> answer) {
-        if (up && replica.loaded()) {
+        if (up && replica.isLoaded()) {
             HeartbeatReply reply = owner.onHeartbeat(cluster.now, heartbeat);
             cluster.decisions.onReply(cluster.now, name, heartbeat.machine(), reply);
             answer.accept(reply);
             if (reply instanceof HeartbeatReply.Acknowledge acknowledged) {
                 startsSent(heartbeat.machine(), acknowledged.commands());
             }
-            owner.drain().forEach(this::carryOut);
+            owner.drainEffects().forEach(this::carryOut);
         }
     }
 
--- a/src/test/java/garnetscale/core/sim/SimulatedStateLink.java
+++ b/src/test/java/garnetscale/core/sim/SimulatedStateLink.java
@@ -1,6 +1,6 @@
 package garnetscale.core.sim;
 
-import garnetscale.core.partition.ControllerInfo;
+import garnetscale.core.cluster.ControllerInfo;
 import garnetscale.core.state.KeyChange;
 import garnetscale.core.state.Keys;
 import garnetscale.core.state.Records;
@@ -57,7 +57,7 @@
 
     /** Watches for changes: answered when something has changed or its time is over; stays open while requests are refused. */
     void watch() {
-        if (!cluster.watches || !node.replica.loaded() || listing) {
+        if (!cluster.watches || !node.replica.isLoaded() || listing) {
             return;
         }
         int process = node.life;
@@ -72,8 +72,8 @@
                         answer -> cluster.network.send("state", node.name, () -> {
                             if (node.life == process && !listing) {
                                 node.replica.advance(answer.changes(), answer.revision());
-                                if (!node.replica.inconsistent()) {
-                                    node.owner.confirmed(sentAt);
+                                if (!node.replica.isInconsistent()) {
+                                    node.owner.onReplicaConfirmed(sentAt);
                                 }
                             }
                         })));
@@ -81,10 +81,10 @@
 
     private void hangOpen(long since, long until, Consumer<Answer> receiver) {
         List<KeyChange> changes =
-                cluster.state.refuses(node.name) ? List.of() : cluster.state.model.changes(Keys.MIRRORED, since);
+                cluster.state.refuses(node.name) ? List.of() : cluster.state.model.changes(Keys.REPLICATED, since);
         if (cluster.state.refuses(node.name) || changes.isEmpty() && cluster.now < until) {
             if (cluster.state.refuses(node.name)) {
-                cluster.met("a watch hung open through a refusal");
+                cluster.countOccurrence("a watch hung open through a refusal");
             }
             cluster.at(40, () -> hangOpen(since, until, receiver));
         } else {
@@ -95,7 +95,7 @@
     /** Asks for a lease, or renews it; forgets it when it has expired. */
     void renew() {
         if (node.replica.unreadable() != null) {
-            cluster.met("stood aside");
+            cluster.countOccurrence("stood aside");
             return;
         }
         if (lease < 0) {
@@ -133,7 +133,7 @@
         if (listing) {
             return;
         }
-        if (!node.replica.loaded() || node.replica.inconsistent()) {
+        if (!node.replica.isLoaded() || node.replica.isInconsistent()) {
             listing = true;
             page(cluster.now, null, new ArrayList<>(), -1);
             return;
@@ -141,13 +141,13 @@
         long sentAt = cluster.now;
         long since = node.replica.revision();
         ask(
-                () -> new Answer(cluster.state.model.changes(Keys.MIRRORED, since), cluster.state.model.revision()),
+                () -> new Answer(cluster.state.model.changes(Keys.REPLICATED, since), cluster.state.model.revision()),
                 new Answer(null, 0),
                 answer -> {
                     if (answer.changes() != null && !listing) {
                         node.replica.advance(answer.changes(), answer.revision());
-                        if (!node.replica.inconsistent()) {
-                            node.owner.confirmed(sentAt);
+                        if (!node.replica.isInconsistent()) {
+                            node.owner.onReplicaConfirmed(sentAt);
                         }
                     }
                 },
@@ -158,7 +158,7 @@
     private void page(long sentAt, String since, List<KeyChange> sofar, long first) {
         ask(
                 () -> new Answer(
-                        cluster.state.model.list(Keys.MIRRORED, since, SimulatedCluster.PAGE),
+                        cluster.state.model.list(Keys.REPLICATED, since, SimulatedCluster.PAGE),
                         cluster.state.model.revision()),
                 new Answer(null, 0),
                 answer -> {
@@ -174,8 +174,8 @@
                     }
                     listing = false;
                     node.replica.reset(sofar, revision);
-                    if (node.replica.loaded()) {
-                        node.owner.confirmed(sentAt);
+                    if (node.replica.isLoaded()) {
+                        node.owner.onReplicaConfirmed(sentAt);
                     }
                 },
                 () -> listing = false);
@@ -183,17 +183,17 @@
 
     /** Publishes this process under its lease, which makes it an owner and a candidate. */
     void register() {
-        ControllerInfo registered = node.replica.node(node.name);
+        ControllerInfo registered = node.replica.controller(node.name);
         if (lease >= 0 && (registered == null || registered.incarnation() != lease)) {
             commit(
                     new Transaction()
-                            .guard(Keys.node(node.name), node.replica.modRevision(Keys.node(node.name)))
+                            .guard(Keys.controller(node.name), node.replica.modRevision(Keys.controller(node.name)))
                             .put(
-                                    Keys.node(node.name),
-                                    Records.node(new ControllerInfo(
+                                    Keys.controller(node.name),
+                                    Records.controller(new ControllerInfo(
                                             node.name,
                                             lease,
-                                            cluster.shape.config(node.name).zoneOfNode(node.name),
+                                            cluster.shape.config(node.name).zoneOfController(node.name),
                                             node.layouts)),
                                     lease),
                     (outcome, revision) -> {});
@@ -205,7 +205,7 @@
 
     /** Commits a transaction; {@code done} is told the outcome and the revision, -1 when it isn't known. */
     void commit(Transaction transaction, BiConsumer<TransactionOutcome, Long> done) {
-        if (!node.replica.loaded()) {
+        if (!node.replica.isLoaded()) {
             done.accept(TransactionOutcome.REFUSED, -1L);
             return;
         }
@@ -215,7 +215,7 @@
             int process = node.life;
             cluster.at(
                     cluster.state.lateAtOnce ? 1 + cluster.random.nextInt(5) : 2000 + cluster.random.nextInt(10_000),
-                    () -> cluster.met(
+                    () -> cluster.countOccurrence(
                             cluster.now >= cluster.state.outageUntil && cluster.state.commit(node, transaction) == 200
                                     ? "carried out without an answer"
                                     : "late and overtaken"));
--- a/src/test/java/garnetscale/core/sim/SimulatedStateService.java
+++ b/src/test/java/garnetscale/core/sim/SimulatedStateService.java
@@ -62,7 +62,7 @@
         }
         int next = cluster.stored().version().active();
         if (next > active) {
-            cluster.stored().nodes().stream()
+            cluster.stored().controllers().stream()
                     .filter(node -> !node.layouts().contains(next))
                     .forEach(
                             node -> cluster.rules.violations.add(cluster.now + " activated " + next + " over " + node));
--- a/src/test/java/garnetscale/core/sim/SimulatedWorker.java
+++ b/src/test/java/garnetscale/core/sim/SimulatedWorker.java
@@ -38,7 +38,7 @@
         SimulatedNode node = cluster.nodes.get(target % cluster.nodes.size());
         copyOrKeep(heartbeat);
         if (cluster.now < cluster.network.muteUntil.getOrDefault(id, 0L)) {
-            cluster.met("a machine that reaches no controller");
+            cluster.countOccurrence("a machine that reaches no controller");
             retryElsewhere(RETRY_MS);
             return;
         }
--- a/src/test/java/garnetscale/core/sim/UpgradeSimulationTest.java
+++ b/src/test/java/garnetscale/core/sim/UpgradeSimulationTest.java
@@ -28,7 +28,7 @@
     private static final VersionRange NEW = Layouts.SUPPORTED;
 
     private final List<String> jobs = new ArrayList<>();
-    private final Map<String, Integer> met = new TreeMap<>();
+    private final Map<String, Integer> occurrences = new TreeMap<>();
 
     private SimulatedCluster day(long seed) {
         jobs.clear();
@@ -70,7 +70,7 @@
             });
         }
         play(cluster);
-        cluster.met.forEach((what, times) -> met.merge(what, times, Integer::sum));
+        cluster.occurrences.forEach((what, times) -> occurrences.merge(what, times, Integer::sum));
         return cluster;
     }
 
@@ -80,15 +80,15 @@
             cluster.run(t);
             ClusterVersion version = cluster.stored().version();
             if (version.active() > before.active()) {
-                cluster.met("activated");
+                cluster.countOccurrence("activated");
             } else if (version.active() < before.active()) {
-                cluster.met("deactivated");
+                cluster.countOccurrence("deactivated");
             }
             if (cluster.stored().layout() > version.active()) {
-                cluster.met("seen while it was converted back");
+                cluster.countOccurrence("seen while it was converted back");
             }
             if (version.active() > Layouts.FIRST && cluster.stored().layout() > Layouts.FIRST) {
-                cluster.met("seen in the second layout");
+                cluster.countOccurrence("seen in the second layout");
             }
             before = version;
         }
@@ -96,7 +96,7 @@
 
     private void ask(SimulatedCluster cluster, UpgradeStep step) {
         if (cluster.upgrade(step) instanceof UpgradeDecision.Refused) {
-            cluster.met(step + " refused");
+            cluster.countOccurrence(step + " refused");
         }
     }
 
@@ -149,7 +149,7 @@
                 "seen in the second layout",
                 "ACTIVATE refused",
                 "DEACTIVATE refused")) {
-            assertTrue(met.getOrDefault(what, 0) >= SEEDS / 2, what + " came about too seldom: " + met);
+            assertTrue(occurrences.getOrDefault(what, 0) >= SEEDS / 2, what + " came about too seldom: " + occurrences);
         }
     }
 }
--- a/src/test/java/garnetscale/core/state/LargeClusterFixture.java
+++ b/src/test/java/garnetscale/core/state/LargeClusterFixture.java
@@ -152,7 +152,7 @@
     /** Whoever lists now has to see what the leader sees. */
     void assertReadAlike(String when) {
         StateReplica fresh = listAtOnce();
-        assertTrue(fresh.loaded(), when);
+        assertTrue(fresh.isLoaded(), when);
         assertEquals(seen(leader), seen(fresh), when);
     }
 }
--- a/src/test/java/garnetscale/core/state/LayoutChangeTest.java
+++ b/src/test/java/garnetscale/core/state/LayoutChangeTest.java
@@ -38,7 +38,7 @@
         for (int i = 0; i < 2 * WorkLog.FIRST_CAPACITY; i++) {
             cluster.write(List.of(shard.get(i % shard.size())));
             StateReplica fresh = cluster.listAtOnce();
-            assertTrue(fresh.loaded(), "entry " + i);
+            assertTrue(fresh.isLoaded(), "entry " + i);
             assertEquals(seen(leader), seen(fresh), "entry " + i);
         }
         assertEquals(0, leader.log().snapshot().pages(root));
--- a/src/test/java/garnetscale/core/state/LogFixture.java
+++ b/src/test/java/garnetscale/core/state/LogFixture.java
@@ -27,7 +27,7 @@
         for (JobSpec job : jobs) {
             state.commit(new Transaction().put(Keys.job(job.id()), Records.job(new JobRecord(job, JobState.LIVE, 0))));
         }
-        leader.reset(list(Keys.MIRRORED), state.revision());
+        leader.reset(list(Keys.REPLICATED), state.revision());
     }
 
     /** Every key under a prefix, as of one moment. */
@@ -47,13 +47,13 @@
 
     /** Brings a replica up to date by a watch. */
     void follow(StateReplica replica) {
-        replica.advance(state.changes(Keys.MIRRORED, replica.revision()), state.revision());
+        replica.advance(state.changes(Keys.REPLICATED, replica.revision()), state.revision());
     }
 
     /** A new replica that lists everything as of one moment. */
     StateReplica listAtOnce() {
         StateReplica replica = new StateReplica();
-        replica.reset(list(Keys.MIRRORED), state.revision());
+        replica.reset(list(Keys.REPLICATED), state.revision());
         return replica;
     }
 
@@ -68,7 +68,7 @@
         String since = null;
         List<KeyChange> page;
         do {
-            page = state.list(Keys.MIRRORED, since, pageKeys);
+            page = state.list(Keys.REPLICATED, since, pageKeys);
             listed.addAll(page);
             since = page.isEmpty() ? null : page.get(page.size() - 1).key();
             for (int i = random.nextInt(3); i > 0; i--) {
@@ -77,7 +77,7 @@
         } while (page.size() == pageKeys);
         StateReplica replica = new StateReplica();
         replica.reset(listed, first);
-        if (!replica.loaded()) {
+        if (!replica.isLoaded()) {
             return null;
         }
         follow(replica);
--- a/src/test/java/garnetscale/core/state/SplitSnapshotTest.java
+++ b/src/test/java/garnetscale/core/state/SplitSnapshotTest.java
@@ -49,11 +49,11 @@
             }
             StateReplica lister = cluster.listInPages();
             cluster.follow(follower);
-            assertFalse(follower.inconsistent(), "round " + round);
+            assertFalse(follower.isInconsistent(), "round " + round);
             assertEquals(seen(leader), seen(follower), "follower in round " + round);
             if (lister != null) {
                 listings++;
-                assertFalse(lister.inconsistent(), "round " + round);
+                assertFalse(lister.isInconsistent(), "round " + round);
                 assertEquals(seen(leader), seen(lister), "lister in round " + round);
             }
         }
@@ -113,8 +113,8 @@
         }
         StateReplica replica = new StateReplica();
         replica.reset(stored, ((Number) kept.get("ledger")).longValue());
-        assertTrue(replica.loaded(), replica.unreadable());
-        assertEquals(VersionRange.FIRST, replica.node("n0").layouts());
+        assertTrue(replica.isLoaded(), replica.unreadable());
+        assertEquals(VersionRange.FIRST, replica.controller("n0").layouts());
         Map<?, ?> expected = (Map<?, ?>) kept.get("expected");
         assertEquals(((Number) expected.get("sequence")).longValue(), replica.sequence());
         assertEquals(expected.get("placements"), placementsOf(replica));
@@ -128,7 +128,7 @@
         StateModel taken = new StateModel();
         taken.commit(everything);
         StateReplica follower = new StateReplica();
-        follower.reset(taken.list(Keys.MIRRORED, null, 100_000), taken.revision());
+        follower.reset(taken.list(Keys.REPLICATED, null, 100_000), taken.revision());
         for (int i = 0; i < 3 * WorkLog.FIRST_CAPACITY; i++) {
             LogWriter log =
                     new LogWriter(follower, new LogWriter.Limits(VALUE_BYTES, OPS, Layouts.SPLIT_SNAPSHOT, false));
@@ -138,11 +138,11 @@
                     Map.of("m-999999", new MachineRecord("a", List.of(), Map.of("img", (double) i))),
                     Map.of());
             assertEquals(200, taken.commit(transaction));
-            follower.advance(taken.changes(Keys.MIRRORED, follower.revision()), taken.revision());
+            follower.advance(taken.changes(Keys.REPLICATED, follower.revision()), taken.revision());
         }
         assertEquals(Layouts.SPLIT_SNAPSHOT, follower.layout());
         StateReplica fresh = new StateReplica();
-        fresh.reset(taken.list(Keys.MIRRORED, null, 100_000), taken.revision());
+        fresh.reset(taken.list(Keys.REPLICATED, null, 100_000), taken.revision());
         Map<String, List<String>> after = placementsOf(fresh);
         after.remove("m-999999");
         assertEquals(expected.get("placements"), after);
@@ -152,7 +152,7 @@
     @Test
     void aListingWithoutOneOfTheBucketsIsInconsistent() {
         cluster.fill();
-        List<KeyChange> all = cluster.list(Keys.MIRRORED);
+        List<KeyChange> all = cluster.list(Keys.REPLICATED);
         List<KeyChange> buckets = all.stream()
                 .filter(page -> page.key().startsWith(Keys.SNAPSHOT)
                         && !SnapshotIndex.bucketOf(page.key()).isRoot())
@@ -165,9 +165,9 @@
             // Where an older bucket above it is still stored, the entries since then are needed, and there or missing.
             boolean isBehind = replica.sequence() < leader.sequence();
             assertTrue(
-                    replica.inconsistent() || isBehind || seen(replica).equals(seen(leader)),
+                    replica.isInconsistent() || isBehind || seen(replica).equals(seen(leader)),
                     "without " + missed.key());
-            inconsistent += replica.inconsistent() ? 1 : 0;
+            inconsistent += replica.isInconsistent() ? 1 : 0;
         }
         assertTrue(inconsistent > WorkLog.SHARDS, "only " + inconsistent + " were inconsistent");
     }
--- a/src/test/java/garnetscale/core/state/StoredFormsTest.java
+++ b/src/test/java/garnetscale/core/state/StoredFormsTest.java
@@ -3,6 +3,9 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import garnetscale.ExpectedForms;
+import garnetscale.core.cluster.ControllerInfo;
+import garnetscale.core.cluster.LeaderInfo;
+import garnetscale.core.cluster.PartitionLease;
 import garnetscale.core.job.JobRecord;
 import garnetscale.core.job.JobSpec;
 import garnetscale.core.job.JobState;
@@ -10,9 +13,6 @@
 import garnetscale.core.job.TaskId;
 import garnetscale.core.machine.MachineType;
 import garnetscale.core.machine.Placement;
-import garnetscale.core.partition.ControllerInfo;
-import garnetscale.core.partition.LeaderInfo;
-import garnetscale.core.partition.PartitionLease;
 import garnetscale.core.upgrade.ClusterVersion;
 import garnetscale.core.upgrade.VersionRange;
 import java.util.ArrayList;
@@ -106,7 +106,7 @@
         EXPECTED.checkTree(
                 "keys",
                 List.of(
-                        Keys.MIRRORED,
+                        Keys.REPLICATED,
                         Keys.LEADER,
                         Keys.TERM,
                         Keys.TYPES,
@@ -116,7 +116,7 @@
                         Keys.job(JOB),
                         Keys.terminalJob(JOB),
                         Keys.partition("a/0"),
-                        Keys.node("n-0")));
+                        Keys.controller("n-0")));
         assertEquals(JOB, Keys.terminalJobOfKey(Keys.terminalJob(JOB)));
     }
 
@@ -194,8 +194,8 @@
     @Test
     void node() {
         ControllerInfo node = new ControllerInfo("n-0", 7, "a", new VersionRange(1, 2));
-        EXPECTED.checkTree("node", Records.node(node));
-        assertEquals(node, Records.node("n-0", Records.node(node)));
+        EXPECTED.checkTree("node", Records.controller(node));
+        assertEquals(node, Records.controller("n-0", Records.controller(node)));
     }
 
     @Test
--- a/src/test/java/garnetscale/core/state/WorkLogTest.java
+++ b/src/test/java/garnetscale/core/state/WorkLogTest.java
@@ -70,7 +70,7 @@
         for (int tries = 0; tries < MAX_LISTINGS; tries++) {
             StateReplica replica = log.listInPages(PAGE_KEYS, this::write);
             if (replica != null) {
-                assertFalse(replica.inconsistent());
+                assertFalse(replica.isInconsistent());
                 return replica;
             }
         }
@@ -98,7 +98,7 @@
                 write();
             }
             log.follow(follower);
-            assertFalse(follower.inconsistent());
+            assertFalse(follower.isInconsistent());
             assertEquals(seen(leader), seen(follower), "follower in round " + round);
             StateReplica lister = list();
             assertEquals(seen(leader), seen(lister), "lister in round " + round);
@@ -115,9 +115,9 @@
         long from = follower.revision();
         write();
         write();
-        List<KeyChange> changes = log.state.changes(Keys.MIRRORED, from);
+        List<KeyChange> changes = log.state.changes(Keys.REPLICATED, from);
         follower.advance(changes.subList(changes.size() - 1, changes.size()), log.state.revision());
-        assertTrue(follower.inconsistent());
+        assertTrue(follower.isInconsistent());
     }
 
     /** The largest records that the limits allow still make values and transactions that the service takes. */
--- a/src/test/java/garnetscale/core/trace/TraceCluster.java
+++ b/src/test/java/garnetscale/core/trace/TraceCluster.java
@@ -3,13 +3,13 @@
 import garnetscale.core.SchedulerConfig;
 import garnetscale.core.TestConfig;
 import garnetscale.core.bidding.Bid;
+import garnetscale.core.cluster.ControllerInfo;
 import garnetscale.core.job.JobRecord;
 import garnetscale.core.job.JobSpec;
 import garnetscale.core.job.JobState;
 import garnetscale.core.job.TaskId;
 import garnetscale.core.machine.MachineType;
 import garnetscale.core.machine.WorkerHeartbeat;
-import garnetscale.core.partition.ControllerInfo;
 import garnetscale.core.partition.HeartbeatReply;
 import garnetscale.core.partition.OwnerEffect;
 import garnetscale.core.state.Keys;
@@ -93,11 +93,11 @@
     void start(String name) {
         TraceNode node = new TraceNode(name, config(name), line -> say(name + " logs: " + line));
         node.lease = state.grant(now, 1_000_000_000);
-        String zone = node.config.zoneOfNode(name);
+        String zone = node.config.zoneOfController(name);
         state.commit(new Transaction()
                 .put(
-                        Keys.node(name),
-                        Records.node(new ControllerInfo(name, node.lease, zone, Layouts.SUPPORTED)),
+                        Keys.controller(name),
+                        Records.controller(new ControllerInfo(name, node.lease, zone, Layouts.SUPPORTED)),
                         node.lease));
         node.owner.onLeaseGranted(node.lease);
         node.leader.onLeaseGranted(node.lease);
@@ -123,12 +123,12 @@
     }
 
     private void sync(TraceNode node) {
-        if (node.replica.loaded()) {
-            node.replica.advance(state.changes(Keys.MIRRORED, node.replica.revision()), state.revision());
+        if (node.replica.isLoaded()) {
+            node.replica.advance(state.changes(Keys.REPLICATED, node.replica.revision()), state.revision());
         } else {
-            node.replica.reset(state.list(Keys.MIRRORED, null, 1000), state.revision());
+            node.replica.reset(state.list(Keys.REPLICATED, null, 1000), state.revision());
         }
-        node.owner.confirmed(now);
+        node.owner.onReplicaConfirmed(now);
     }
 
     void startWorker(String id, String zone) {
@@ -149,7 +149,7 @@
     /** What a node that starts now would read. */
     private StateReplica stored() {
         StateReplica replica = new StateReplica();
-        replica.reset(state.list(Keys.MIRRORED, null, 1000), state.revision());
+        replica.reset(state.list(Keys.REPLICATED, null, 1000), state.revision());
         return replica;
     }
 
@@ -182,7 +182,8 @@
     /** The node's own leader publishes late and suspect jobs to it. */
     void publishMachineDirectory(String name) {
         TraceNode node = nodes.get(name);
-        node.owner.onMachineDirectory(List.of(), node.leader.lateJobs(), List.copyOf(node.leader.suspects()));
+        node.owner.onMachineDirectory(
+                List.of(), node.leader.jobsWantingLateBids(), List.copyOf(node.leader.quarantinedJobs()));
     }
 
     void isolate(String worker) {
@@ -235,7 +236,7 @@
         if (tick) {
             node.owner.tick(now);
         }
-        for (OwnerEffect effect : node.owner.drain()) {
+        for (OwnerEffect effect : node.owner.drainEffects()) {
             if (effect instanceof OwnerEffect.SendCommands send) {
                 say(node.name + " commands " + send.machine() + " " + TraceText.fencingToken(send.fencingToken()) + " "
                         + TraceText.commands(send.commands()));
--- a/src/test/java/garnetscale/core/trace/TraceNode.java
+++ b/src/test/java/garnetscale/core/trace/TraceNode.java
@@ -2,9 +2,9 @@
 
 import garnetscale.core.SchedulerConfig;
 import garnetscale.core.bidding.Estimator;
+import garnetscale.core.cluster.PartitionMap;
 import garnetscale.core.leader.Leader;
 import garnetscale.core.leader.TransactionPipeline;
-import garnetscale.core.partition.PartitionMap;
 import garnetscale.core.partition.PartitionOwner;
 import garnetscale.core.state.StateReplica;
 import java.util.function.Consumer;
