--- a/src/test/java/garnetscale/core/upgrade/UpgradeCluster.java
+++ b/src/test/java/garnetscale/core/upgrade/UpgradeCluster.java
@@ -1,7 +1,7 @@
 package garnetscale.core.upgrade;
 
-import garnetscale.core.partition.ControllerInfo;
-import garnetscale.core.partition.LeaderInfo;
+import garnetscale.core.cluster.ControllerInfo;
+import garnetscale.core.cluster.LeaderInfo;
 import garnetscale.core.state.Keys;
 import garnetscale.core.state.Records;
 import garnetscale.core.state.StateReplica;
@@ -40,15 +40,15 @@
         end(name);
         Controller controller = new Controller(name, supported);
         list(controller);
-        if (controller.replica.loaded()) {
+        if (controller.replica.isLoaded()) {
             long lease = state.grant(0, Long.MAX_VALUE / 4);
             leases.put(name, lease);
             commit(
                     controller,
                     new Transaction()
                             .put(
-                                    Keys.node(name),
-                                    Records.node(new ControllerInfo(name, lease, "a", supported)),
+                                    Keys.controller(name),
+                                    Records.controller(new ControllerInfo(name, lease, "a", supported)),
                                     lease));
             follow(controller);
         }
@@ -74,17 +74,17 @@
 
     /** Sends a change as every controller does: it fails unless the version is the one that the sender knows. */
     int commit(Controller by, Transaction transaction) {
-        return by.replica.loaded() ? state.commit(by.replica.guardVersion(transaction)) : 0;
+        return by.replica.isLoaded() ? state.commit(by.replica.guardVersion(transaction)) : 0;
     }
 
     void list(Controller controller) {
-        controller.replica.reset(state.list(Keys.MIRRORED, null, Integer.MAX_VALUE), state.revision());
+        controller.replica.reset(state.list(Keys.REPLICATED, null, Integer.MAX_VALUE), state.revision());
     }
 
     void follow(Controller controller) {
         StateReplica replica = controller.replica;
-        if (replica.loaded()) {
-            replica.advance(state.changes(Keys.MIRRORED, replica.revision()), state.revision());
+        if (replica.isLoaded()) {
+            replica.advance(state.changes(Keys.REPLICATED, replica.revision()), state.revision());
         } else {
             list(controller);
         }
--- a/src/test/java/garnetscale/core/upgrade/UpgradeCoordinatorTest.java
+++ b/src/test/java/garnetscale/core/upgrade/UpgradeCoordinatorTest.java
@@ -112,11 +112,11 @@
     void anOldControllerThatJoinsMeanwhileStandsAside() {
         Transaction activation = transaction(UpgradeStep.ACTIVATE);
         UpgradeCluster.Controller old = cluster.start("n1", OLD);
-        assertTrue(old.replica.loaded());
+        assertTrue(old.replica.isLoaded());
         assertEquals(200, cluster.commit(leader, activation));
         assertEquals(409, cluster.commit(old, job("wk-1")), "it hasn't seen the switch, and writes nothing");
         cluster.follow(old);
-        assertFalse(old.replica.loaded());
+        assertFalse(old.replica.isLoaded());
         assertEquals(
                 "g/version as of revision " + cluster.state.get(Keys.VERSION).modRevision()
                         + ": version 2, and this controller supports 1 to 1",
@@ -126,7 +126,7 @@
         settle();
         carryOut(UpgradeStep.DEACTIVATE);
         cluster.follow(old);
-        assertTrue(old.replica.loaded(), "and is back once the version before is active again");
+        assertTrue(old.replica.isLoaded(), "and is back once the version before is active again");
         assertEquals(200, cluster.commit(old, job("wk-1")));
     }
 
@@ -156,13 +156,13 @@
         cluster.follow(leader);
         assertNotNull(leader.replica.unreadable());
         assertTrue(leader.replica.unreadable().startsWith("g/j/wk-2 as of revision "), leader.replica.unreadable());
-        assertFalse(leader.replica.loaded());
+        assertFalse(leader.replica.isLoaded());
         cluster.list(leader);
-        assertFalse(leader.replica.loaded());
+        assertFalse(leader.replica.isLoaded());
         cluster.state.commit(job("wk-2")
                 .guard(Keys.job("wk-2"), cluster.state.get(Keys.job("wk-2")).modRevision()));
         cluster.list(leader);
-        assertTrue(leader.replica.loaded(), "readable again, and so is everything");
+        assertTrue(leader.replica.isLoaded(), "readable again, and so is everything");
         assertNotNull(leader.replica.job("wk-1"));
     }
 }
--- a/src/test/java/garnetscale/core/upgrade/UpgradePropertiesTest.java
+++ b/src/test/java/garnetscale/core/upgrade/UpgradePropertiesTest.java
@@ -104,20 +104,20 @@
         switch (kind) {
             case FOLLOW -> {
                 cluster.follow(controller);
-                if (controller.replica.loaded()) {
+                if (controller.replica.isLoaded()) {
                     controller.upgrades.observe(now);
                 }
             }
             case ELECT -> cluster.elect(controller);
             case SEND_AGAIN -> List.copyOf(sent).forEach(s -> commit(cluster, s));
             case WRITE -> {
-                if (controller.replica.loaded()) {
+                if (controller.replica.isLoaded()) {
                     JobRecord record = new JobRecord(TestJob.named(job).build(), JobState.LIVE, 0);
                     send(cluster, controller, new Transaction().put(Keys.job(job), Records.job(record)), sent);
                 }
             }
             default -> {
-                boolean leads = controller.replica.loaded()
+                boolean leads = controller.replica.isLoaded()
                         && controller.replica.leader() != null
                         && controller.replica.leader().node().equals(controller.name);
                 if (leads
--- a/src/test/java/garnetscale/net/HttpClientTest.java
+++ b/src/test/java/garnetscale/net/HttpClientTest.java
@@ -47,7 +47,7 @@
         assertEquals(MAX_BODY, get(host, "/short").body().length);
         HttpResult tooLong = get(host, "/long");
         assertEquals(HttpResult.Outcome.TOO_LONG, tooLong.outcome());
-        assertTrue(tooLong.maybe(), "it was carried out");
+        assertTrue(tooLong.mayHaveBeenApplied(), "it was carried out");
         assertEquals(MAX_BODY, get(host, "/short").body().length);
     }
 
--- a/src/test/java/garnetscale/timeline/Timeline.java
+++ b/src/test/java/garnetscale/timeline/Timeline.java
@@ -22,7 +22,7 @@
     public long now;
 
     /** How often each event occurred that a scenario is steered into. */
-    public final Map<String, Integer> met = new TreeMap<>();
+    public final Map<String, Integer> occurrences = new TreeMap<>();
 
     private final PriorityQueue<Event> events = new PriorityQueue<>();
     private long order;
@@ -55,7 +55,7 @@
     }
 
     /** Counts an event that a scenario is steered into. */
-    public void met(String what) {
-        met.merge(what, 1, Integer::sum);
+    public void countOccurrence(String what) {
+        occurrences.merge(what, 1, Integer::sum);
     }
 }
