--- a/src/main/java/garnetscale/cli/Main.java
+++ b/src/main/java/garnetscale/cli/Main.java
@@ -1,6 +1,7 @@
 package garnetscale.cli;
 
 import garnetscale.config.FeaturesFile;
+import garnetscale.config.InvalidConfigurationException;
 import garnetscale.config.Settings;
 import garnetscale.controller.ControllerNode;
 import garnetscale.core.Features;
@@ -67,7 +68,7 @@
         }
 
         private interface Reader {
-            Object read(Path file) throws Settings.Faults;
+            Object read(Path file) throws InvalidConfigurationException;
         }
 
         private static boolean check(Path file, Reader reader) {
@@ -75,15 +76,15 @@
                 reader.read(file);
                 System.out.println(file + ": good");
                 return true;
-            } catch (Settings.Faults e) {
+            } catch (InvalidConfigurationException e) {
                 print(file, e);
                 return false;
             }
         }
     }
 
-    private static void print(Path file, Settings.Faults faults) {
-        faults.faults().forEach(fault -> System.err.println(file + ": " + fault));
+    private static void print(Path file, InvalidConfigurationException faults) {
+        faults.problems().forEach(fault -> System.err.println(file + ": " + fault));
     }
 
     @Override
@@ -103,7 +104,7 @@
             Features enabledFeatures = features == null ? Features.NONE : FeaturesFile.read(features);
             currentFile = config;
             settings = Settings.read(config, enabledFeatures);
-        } catch (Settings.Faults e) {
+        } catch (InvalidConfigurationException e) {
             print(currentFile, e);
             return BAD_INPUT;
         }
--- a/src/main/java/garnetscale/config/FeaturesFile.java
+++ b/src/main/java/garnetscale/config/FeaturesFile.java
@@ -1,15 +1,9 @@
 package garnetscale.config;
 
-import com.fasterxml.jackson.core.JsonParser;
-import com.fasterxml.jackson.core.JsonProcessingException;
-import com.fasterxml.jackson.dataformat.toml.TomlFactory;
 import garnetscale.core.Features;
 import garnetscale.core.balance.BalanceSettings;
 import garnetscale.core.state.Layouts;
 import garnetscale.core.upgrade.VersionRange;
-import garnetscale.wire.Trees;
-import java.io.IOException;
-import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -24,50 +18,49 @@
 public final class FeaturesFile {
 
     private static final String ENABLED = "enabled";
-    private static final double LEAST_SETTLE = 0.5;
-    private static final double MOST_SETTLE = 100;
-    private static final double LEAST_FROM = 0.5;
-    private static final double FROM = 0.95;
-    private static final double MOST_MARGIN = 10;
-    private static final double MOST_MOVING = 0.25;
+    private static final double MIN_SETTLE = 0.5;
+    private static final double MAX_SETTLE = 100;
+    private static final double MIN_FROM = 0.5;
+    private static final double DEFAULT_FROM = 0.95;
+    private static final double MAX_MARGIN = 10;
+    private static final double MAX_MOVING = 0.25;
 
     private final Map<?, ?> root;
-    private final Set<Object> known = new HashSet<>();
-    private final List<String> faults = new ArrayList<>();
+    private final Set<Object> knownFeatures = new HashSet<>();
+    private final List<String> problems = new ArrayList<>();
 
     private FeaturesFile(Map<?, ?> root) {
         this.root = root;
     }
 
-    /** Reads a file; each fault names the key and what may stand there. */
-    public static Features read(Path file) throws Settings.Faults {
-        try (JsonParser parser = new TomlFactory().createParser(Files.readString(file))) {
-            return new FeaturesFile((Map<?, ?>) Trees.read(parser)).features();
-        } catch (JsonProcessingException e) {
-            throw new Settings.Faults(List.of("not TOML: " + e.getOriginalMessage() + Settings.at(e)));
-        } catch (IOException e) {
-            throw new Settings.Faults(List.of("can't be read: " + e));
-        }
+    /**
+     * Reads a file.
+     *
+     * @throws InvalidConfigurationException if it can't be read, or names an unknown feature or key, or a value out of range;
+     *     each problem names the key and what may stand there
+     */
+    public static Features read(Path file) throws InvalidConfigurationException {
+        return new FeaturesFile((Map<?, ?>) TomlFile.read(file)).features();
     }
 
-    private Features features() throws Settings.Faults {
+    private Features features() throws InvalidConfigurationException {
         Table upgrade = table("staged_upgrade");
         boolean automatic = upgrade.isEnabled();
-        double settle = upgrade.number("settle", LEAST_SETTLE, MOST_SETTLE, Features.DEFAULT_ACTIVATION_DELAY_LEASES);
+        double settle = upgrade.number("settle", MIN_SETTLE, MAX_SETTLE, Features.DEFAULT_ACTIVATION_DELAY_LEASES);
         int latest = upgrade.whole("latest", Layouts.SUPPORTED.oldest(), Layouts.SUPPORTED.latest());
-        upgrade.end();
+        upgrade.rejectUnknownKeys();
         Table sharedSockets = table("shared_sockets");
         boolean shared = sharedSockets.isEnabled();
-        double from = sharedSockets.number("from", LEAST_FROM, 1, FROM);
-        sharedSockets.end();
+        double from = sharedSockets.number("from", MIN_FROM, 1, DEFAULT_FROM);
+        sharedSockets.rejectUnknownKeys();
         BalanceSettings balance = balance();
         for (Object name : root.keySet()) {
-            if (!known.contains(name)) {
-                faults.add(name + " is no feature; there are " + String.join(", ", sortedNames()));
+            if (!knownFeatures.contains(name)) {
+                problems.add(name + " is no feature; there are " + String.join(", ", sortedNames()));
             }
         }
-        if (!faults.isEmpty()) {
-            throw new Settings.Faults(faults);
+        if (!problems.isEmpty()) {
+            throw new InvalidConfigurationException(problems);
         }
         VersionRange layouts = new VersionRange(Layouts.SUPPORTED.oldest(), latest);
         return new Features(automatic, settle, layouts, shared ? from : Features.NEVER, balance);
@@ -76,21 +69,21 @@
     private BalanceSettings balance() {
         Table table = table("balance");
         boolean enabled = table.isEnabled();
-        double margin = table.number("margin", 0, MOST_MARGIN, BalanceSettings.MARGIN);
-        double moving = table.number("moving", 0, MOST_MOVING, BalanceSettings.MOVING);
-        table.end();
+        double margin = table.number("margin", 0, MAX_MARGIN, BalanceSettings.MARGIN);
+        double moving = table.number("moving", 0, MAX_MOVING, BalanceSettings.MOVING);
+        table.rejectUnknownKeys();
         return enabled ? new BalanceSettings(true, margin, moving) : BalanceSettings.OFF;
     }
 
     private List<String> sortedNames() {
-        return known.stream().map(String::valueOf).sorted().toList();
+        return knownFeatures.stream().map(String::valueOf).sorted().toList();
     }
 
     private Table table(String name) {
-        known.add(name);
+        knownFeatures.add(name);
         Object value = root.get(name);
         if (value != null && !(value instanceof Map<?, ?>)) {
-            faults.add(name + " is not a table");
+            problems.add(name + " is not a table");
         }
         return new Table(name, value instanceof Map<?, ?> map ? map : Map.of());
     }
@@ -100,7 +93,7 @@
 
         private final String name;
         private final Map<?, ?> values;
-        private final List<String> asked = new ArrayList<>();
+        private final List<String> knownKeys = new ArrayList<>();
 
         Table(String name, Map<?, ?> values) {
             this.name = name;
@@ -108,45 +101,45 @@
         }
 
         boolean isEnabled() {
-            asked.add(ENABLED);
+            knownKeys.add(ENABLED);
             Object value = values.get(ENABLED);
             if (value instanceof Boolean enabled) {
                 return enabled;
             }
             if (value != null) {
-                faults.add(name + "." + ENABLED + " must be true or false");
+                problems.add(name + "." + ENABLED + " must be true or false");
             } else if (!values.isEmpty()) {
-                faults.add(name + "." + ENABLED + " is missing; it is true or false");
+                problems.add(name + "." + ENABLED + " is missing; it is true or false");
             }
             return false;
         }
 
         /** A version, the latest one where nothing is said. */
-        int whole(String key, int least, int most) {
-            double value = number(key, least, most, most);
+        int whole(String key, int min, int max) {
+            double value = number(key, min, max, max);
             if (value != Math.rint(value)) {
-                faults.add(name + "." + key + " must be a whole number from " + least + " to " + most);
+                problems.add(name + "." + key + " must be a whole number from " + min + " to " + max);
             }
             return (int) value;
         }
 
-        double number(String key, double least, double most, double otherwise) {
-            asked.add(key);
+        double number(String key, double min, double max, double defaultValue) {
+            knownKeys.add(key);
             Object value = values.get(key);
             if (value == null) {
-                return otherwise;
+                return defaultValue;
             }
-            if (value instanceof Number n && n.doubleValue() >= least && n.doubleValue() <= most) {
-                return n.doubleValue();
+            if (value instanceof Number number && number.doubleValue() >= min && number.doubleValue() <= max) {
+                return number.doubleValue();
             }
-            faults.add(name + "." + key + " must be a number from " + least + " to " + most);
-            return otherwise;
+            problems.add(name + "." + key + " must be a number from " + min + " to " + max);
+            return defaultValue;
         }
 
-        void end() {
+        void rejectUnknownKeys() {
             for (Object key : values.keySet()) {
-                if (!asked.contains(key)) {
-                    faults.add(name + "." + key + " is unknown; there are " + String.join(", ", asked));
+                if (!knownKeys.contains(key)) {
+                    problems.add(name + "." + key + " is unknown; there are " + String.join(", ", knownKeys));
                 }
             }
         }
--- a/src/test/java/garnetscale/cli/OperatorSurfaceTest.java
+++ b/src/test/java/garnetscale/cli/OperatorSurfaceTest.java
@@ -3,6 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import garnetscale.ExpectedForms;
+import garnetscale.config.InvalidConfigurationException;
 import garnetscale.config.Settings;
 import java.io.IOException;
 import java.io.PrintWriter;
@@ -80,20 +81,20 @@
     }
 
     /** What becomes of the complete settings without one of their lines. */
-    private String without(int number) throws IOException, Settings.Faults {
+    private String without(int number) throws IOException, InvalidConfigurationException {
         List<String> lines = new ArrayList<>(COMPLETE.lines().toList());
         lines.remove(number);
         Settings complete = Settings.read(file(COMPLETE));
         try {
             Settings rest = Settings.read(file(String.join("\n", lines)));
             return rest.equals(complete) ? "ignored" : "optional";
-        } catch (Settings.Faults faults) {
-            return String.join("; ", faults.faults());
+        } catch (InvalidConfigurationException faults) {
+            return String.join("; ", faults.problems());
         }
     }
 
     @Test
-    void settingsKeys() throws IOException, Settings.Faults {
+    void settingsKeys() throws IOException, InvalidConfigurationException {
         List<String> lines = COMPLETE.lines().toList();
         String table = "";
         for (int number = 0; number < lines.size(); number++) {
@@ -111,8 +112,8 @@
     void missingSettings() throws IOException {
         try {
             Settings.read(file("[[members]]\n[[facts.teams]]\n"));
-        } catch (Settings.Faults faults) {
-            EXPECTED.check("settings missing", String.join("; ", faults.faults()));
+        } catch (InvalidConfigurationException faults) {
+            EXPECTED.check("settings missing", String.join("; ", faults.problems()));
             return;
         }
         throw new AssertionError("settings without a single key were read");
--- a/src/test/java/garnetscale/config/FeaturesFileTest.java
+++ b/src/test/java/garnetscale/config/FeaturesFileTest.java
@@ -20,16 +20,17 @@
     @TempDir
     Path dir;
 
-    private Features read(String text) throws IOException, Settings.Faults {
+    private Features read(String text) throws IOException, InvalidConfigurationException {
         return FeaturesFile.read(Files.writeString(dir.resolve("features.toml"), text));
     }
 
     private List<String> faults(String text) {
-        return assertThrows(Settings.Faults.class, () -> read(text)).faults();
+        return assertThrows(InvalidConfigurationException.class, () -> read(text))
+                .problems();
     }
 
     @Test
-    void whatIsNotNamedIsOff() throws IOException, Settings.Faults {
+    void whatIsNotNamedIsOff() throws IOException, InvalidConfigurationException {
         assertEquals(Features.NONE, read("# nothing\n"));
         assertEquals(
                 Features.NONE,
@@ -37,7 +38,7 @@
     }
 
     @Test
-    void featuresAreReadWithTheirSettings() throws IOException, Settings.Faults {
+    void featuresAreReadWithTheirSettings() throws IOException, InvalidConfigurationException {
         assertEquals(
                 new Features(true, 3, new VersionRange(1, 1), 0.75, BalanceSettings.OFF),
                 read(
@@ -52,7 +53,7 @@
     }
 
     @Test
-    void theShippedFileIsGood() throws Settings.Faults {
+    void theShippedFileIsGood() throws InvalidConfigurationException {
         assertEquals(
                 new Features(
                         true, Features.DEFAULT_ACTIVATION_DELAY_LEASES, Layouts.SUPPORTED, 0.95, BalanceSettings.OFF),
@@ -96,6 +97,6 @@
 
     @Test
     void aFileThatIsNotThereIsAFault() {
-        assertThrows(Settings.Faults.class, () -> FeaturesFile.read(dir.resolve("none.toml")));
+        assertThrows(InvalidConfigurationException.class, () -> FeaturesFile.read(dir.resolve("none.toml")));
     }
 }
--- a/src/test/java/garnetscale/config/SettingsTest.java
+++ b/src/test/java/garnetscale/config/SettingsTest.java
@@ -57,16 +57,17 @@
     @TempDir
     Path dir;
 
-    private Settings read(String text) throws IOException, Settings.Faults {
+    private Settings read(String text) throws IOException, InvalidConfigurationException {
         return Settings.read(Files.writeString(dir.resolve("s.toml"), text));
     }
 
     private List<String> faults(String text) {
-        return assertThrows(Settings.Faults.class, () -> read(text)).faults();
+        return assertThrows(InvalidConfigurationException.class, () -> read(text))
+                .problems();
     }
 
     @Test
-    void readsWhatItNeedsAndIgnoresTheRest() throws IOException, Settings.Faults {
+    void readsWhatItNeedsAndIgnoresTheRest() throws IOException, InvalidConfigurationException {
         Settings s = read(GOOD);
         assertEquals(2, s.config().controllers().size());
         assertEquals(Double.POSITIVE_INFINITY, s.config().teams().get("t").cpusMax());
@@ -76,7 +77,7 @@
     }
 
     @Test
-    void theExampleIsGood() throws Settings.Faults {
+    void theExampleIsGood() throws InvalidConfigurationException {
         Settings example = Settings.read(Path.of("deploy", "settings.example.toml"));
         assertEquals(2, example.config().controllers().size());
     }
