--- a/src/main/java/garnetscale/core/autoscaling/StuckInstances.java
+++ b/src/main/java/garnetscale/core/autoscaling/StuckInstances.java
@@ -109,8 +109,8 @@
         if (ageS <= BOOT_RATIO * bootS + BOOT_SLACK_S) {
             return false;
         }
-        log.accept(
-                "deleting machine that doesn't finish booting, machine=" + instance.id() + " ageS=" + Math.round(ageS));
+        log.accept("deleting machine that doesn't finish booting, machine=" + instance.id() + " age_s="
+                + Math.round(ageS));
         return true;
     }
 
@@ -132,7 +132,7 @@
         boolean forGood = silentMs > config.fencingDelayMs() + 2 * config.workerLeaseMs()
                 || few && !replica.placements(id).isEmpty() && silentMs > config.workerLeaseMs() / 4;
         if (forGood) {
-            log.accept("deleting silent machine, machine=" + id + " silentMs=" + silentMs);
+            log.accept("deleting silent machine, machine=" + id + " silent_ms=" + silentMs);
         }
         return forGood;
     }
--- a/src/main/java/garnetscale/core/leader/Balancer.java
+++ b/src/main/java/garnetscale/core/leader/Balancer.java
@@ -106,10 +106,10 @@
     /** Takes back what was decided in a transaction that wasn't applied; called before each draft. */
     void reconcile() {
         for (Move move : budget.reconcile(this::isUnchanged)) {
-            log.accept("moving task, task=" + move.task() + ", machine=" + move.machine() + ", from=" + move.from()
-                    + ", to=" + move.to() + ", for_job="
-                    + (move.beneficiary() == null ? NO_BENEFICIARY : move.beneficiary()) + ", gain_cpu_s="
-                    + Math.round(move.gainCpuS()) + ", disruption_cpu_s=" + Math.round(move.disruptionCpuS()));
+            log.accept("moving task, task=" + move.task() + " machine=" + move.machine() + " from=" + move.from()
+                    + " to=" + move.to() + " for_job="
+                    + (move.beneficiary() == null ? NO_BENEFICIARY : move.beneficiary()) + " gain_cpu_s="
+                    + Math.round(move.gainCpuS()) + " disruption_cpu_s=" + Math.round(move.disruptionCpuS()));
         }
     }
 
--- a/src/main/java/garnetscale/core/leader/DrainStops.java
+++ b/src/main/java/garnetscale/core/leader/DrainStops.java
@@ -57,8 +57,8 @@
                 boolean writesCheckpoint = spec.writesCheckpoints() && leftS > spec.checkpointWriteS();
                 Placement.Stop stop = writesCheckpoint ? Placement.Stop.CHECKPOINT : Placement.Stop.NOW;
                 cycle.draft().stop(machine.id, placement, stop);
-                log.accept("stopping task: its machine is about to be evicted, task=" + placement.task() + ", machine="
-                        + machine.id + ", eviction_in_s=" + Math.round(leftS));
+                log.accept("stopping task: its machine is about to be evicted, task=" + placement.task() + " machine="
+                        + machine.id + " eviction_in_s=" + Math.round(leftS));
             }
         }
     }
--- a/src/main/java/garnetscale/core/leader/ExitRecorder.java
+++ b/src/main/java/garnetscale/core/leader/ExitRecorder.java
@@ -145,7 +145,7 @@
 
     private void free(String machine, Placement placement, TransactionDraft draft) {
         draft.free(machine, placement);
-        log.accept("freed placement of a terminated task, task=" + placement.task() + ", machine=" + machine);
+        log.accept("freed placement of a terminated task, task=" + placement.task() + " machine=" + machine);
     }
 
     private static List<Exit> oldestFirst(Long2ObjectHashMap<Exit> exits) {
--- a/src/main/java/garnetscale/core/leader/LateBidStops.java
+++ b/src/main/java/garnetscale/core/leader/LateBidStops.java
@@ -48,8 +48,8 @@
                 && LateBids.accepts(remainingS, bid.finishS())
                 && cycle.draft().hasRoomForChange()) {
             cycle.draft().stop(machine.id, placement, job.spec());
-            log.accept("stopping task: a late bid is better, task=" + placement.task() + ", machine=" + machine.id
-                    + ", bidder=" + bid.machine() + ", improvement_percent="
+            log.accept("stopping task: a late bid is better, task=" + placement.task() + " machine=" + machine.id
+                    + " bidder=" + bid.machine() + " improvement_percent="
                     + Math.round(100 * LateBids.improvement(remainingS, bid.finishS())));
         }
     }
--- a/src/main/java/garnetscale/core/leader/LeaderElection.java
+++ b/src/main/java/garnetscale/core/leader/LeaderElection.java
@@ -153,7 +153,7 @@
             return null;
         }
         candidateFrom = now + PAUSE_AFTER_RESIGNING * patienceMs;
-        log.accept("resigning leadership: no machine sends heartbeats, term=" + term + ", machines=" + machines.size());
+        log.accept("resigning leadership: no machine sends heartbeats, term=" + term + " machines=" + machines.size());
         return resignation();
     }
 
--- a/src/main/java/garnetscale/core/leader/MachineEvaluator.java
+++ b/src/main/java/garnetscale/core/leader/MachineEvaluator.java
@@ -82,7 +82,7 @@
             double factor = estimator.machineFactor(machine.id);
             if (factor > SLOW_FACTOR) {
                 running.forEach(task -> jobs.add(task.job().id()));
-                decommission(machine, "it is slower than its peers", ", factor=" + Math.round(10 * factor) / 10.0);
+                decommission(machine, "it is slower than its peers", " factor=" + Math.round(10 * factor) / 10.0);
             }
         }
         jobsOnSlowMachines = jobs;
@@ -124,8 +124,8 @@
             }
             return;
         }
-        log.accept("task ended early, task=" + placement.task() + ", machine=" + machineId + ", cause=" + status.cause()
-                + ", checkpointed=" + status.checkpointed());
+        log.accept("task ended early, task=" + placement.task() + " machine=" + machineId + " cause=" + status.cause()
+                + " checkpointed=" + status.checkpointed());
         if (machine == null) {
             return;
         }
@@ -146,8 +146,8 @@
         if (!failures.recordFailure(now, task, machine.id)) {
             recordMachineFailure(now, machine, task);
         } else if (!wasQuarantined) {
-            log.accept("quarantined job: it fails on every machine and is retried rarely, job=" + task.job() + ", task="
-                    + task + ", machine=" + machine.id);
+            log.accept("quarantined job: it fails on every machine and is retried rarely, job=" + task.job() + " task="
+                    + task + " machine=" + machine.id);
             machines.values().forEach(this::uncordon);
             hasNewlyQuarantined = true;
         }
--- a/src/main/java/garnetscale/core/leader/PartitionAssigner.java
+++ b/src/main/java/garnetscale/core/leader/PartitionAssigner.java
@@ -146,7 +146,7 @@
         transaction.put(
                 Keys.partition(partition),
                 Records.partition(new PartitionLease(owner.name(), owner.incarnation(), term)));
-        log.accept("leasing partition, partition=" + partition + ", owner=" + owner.name() + ", term=" + term);
+        log.accept("leasing partition, partition=" + partition + " owner=" + owner.name() + " term=" + term);
     }
 
     /** A controller that says so itself is believed at once, as long as another one may do better. */
--- a/src/main/java/garnetscale/core/leader/PreemptionStops.java
+++ b/src/main/java/garnetscale/core/leader/PreemptionStops.java
@@ -99,8 +99,8 @@
             }
             int stopped = preemption.makeRoom(job, waitingTasks(cycle, job), isUrgent, isGuaranteed);
             if (stopped > 0) {
-                log.accept("preempting tasks, tasks=" + stopped + ", for_job="
-                        + job.spec().id() + ", team=" + job.spec().team());
+                log.accept("preempting tasks, tasks=" + stopped + " for_job="
+                        + job.spec().id() + " team=" + job.spec().team());
                 preempted += stopped;
             }
         }
--- a/src/main/java/garnetscale/core/leader/UpgradePlanner.java
+++ b/src/main/java/garnetscale/core/leader/UpgradePlanner.java
@@ -59,8 +59,8 @@
         UpgradeStep step = requested;
         requested = null;
         if (coordinator.decide(now, step) instanceof UpgradeDecision.Commit commit) {
-            log.accept("changing cluster version by request, step=" + step + ", active="
-                    + commit.next().active() + ", floor=" + commit.next().floor());
+            log.accept("changing cluster version by request, step=" + step + " active="
+                    + commit.next().active() + " floor=" + commit.next().floor());
             return commit.transaction();
         }
         return null;
--- a/src/main/java/garnetscale/core/state/FreeCapacityCache.java
+++ b/src/main/java/garnetscale/core/state/FreeCapacityCache.java
@@ -25,6 +25,7 @@
     }
 
     /** The free capacity of a machine by the replica; shared, and so not to be altered. */
+    @SuppressWarnings("ReferenceEquality") // The replica replaces the list with every change and never alters it.
     public FreeCapacity of(String machine, MachineType type) {
         List<Placement> placements = replica.placements(machine);
         Cached cached = cache.get(machine);
--- a/src/main/java/garnetscale/wire/Trees.java
+++ b/src/main/java/garnetscale/wire/Trees.java
@@ -57,8 +57,8 @@
             }
             case VALUE_STRING -> parser.getText();
             case VALUE_NUMBER_INT, VALUE_NUMBER_FLOAT -> parser.getNumberValue();
-            case VALUE_TRUE -> Boolean.TRUE;
-            case VALUE_FALSE -> Boolean.FALSE;
+            case VALUE_TRUE -> true;
+            case VALUE_FALSE -> false;
             case VALUE_NULL -> null;
             default -> throw new IOException("not in the protocol: " + token);
         };
--- a/src/test/java/garnetscale/core/leader/BalancerTest.java
+++ b/src/test/java/garnetscale/core/leader/BalancerTest.java
@@ -138,7 +138,7 @@
         assertEquals(
                 1,
                 log.stream()
-                        .filter(line -> line.startsWith("moving task, ") && line.contains(", machine=m-000001, "))
+                        .filter(line -> line.startsWith("moving task, ") && line.contains(" machine=m-000001 "))
                         .count(),
                 log.toString());
     }
--- a/src/test/java/garnetscale/core/sim/MoveHistory.java
+++ b/src/test/java/garnetscale/core/sim/MoveHistory.java
@@ -19,7 +19,7 @@
 
     /** The log line of a stored move; the job that gets the room, or none where the task itself ends earlier. */
     private static final Pattern MOVED = Pattern.compile(
-            "moving task, task=(\\S+)/(\\d+), machine=(\\S+), from=.*, for_job=(?:none|(\\S+)), gain_cpu_s=.*");
+            "moving task, task=(\\S+)/(\\d+) machine=(\\S+) from=.* for_job=(?:none|(\\S+)) gain_cpu_s=.*");
 
     /** A stop of a task on a machine; {@code endsAt}: when it would have ended there, by what truly ran. */
     record Moved(TaskId task, String machine, String beneficiary, long at, long endsAt) {}
