--- a/src/main/java/garnetscale/core/queue/JobQueue.java
+++ b/src/main/java/garnetscale/core/queue/JobQueue.java
@@ -13,12 +13,13 @@
  */
 public final class JobQueue {
 
+    /** A job with its sort key, which is computed once. */
+    private record KeyedJob(double key, JobView job) {}
+
     private JobQueue() {}
 
     /** Returns the live jobs with unstarted tasks, as a new list in the order that all queues share; ties go by job id. */
     public static List<JobView> sort(Iterable<JobView> all, JobOrder order, long nowMs) {
-        // The sort key is computed once for each job.
-        record KeyedJob(double key, JobView job) {}
         List<KeyedJob> keyed = new ArrayList<>();
         for (JobView job : all) {
             if (job.isLive() && job.unstartedCount() > 0) {
--- a/src/test/java/garnetscale/cli/MixedVersionsTest.java
+++ b/src/test/java/garnetscale/cli/MixedVersionsTest.java
@@ -71,15 +71,15 @@
     }
 
     /** Starts a controller with a program that supports these versions; the one before it ends. */
-    private void start(int i, VersionRange layouts) throws Exception {
-        if (nodes[i] != null) {
-            nodes[i].stop().awaitUninterruptibly();
+    private void start(int node, VersionRange layouts) throws Exception {
+        if (nodes[node] != null) {
+            nodes[node].stop().awaitUninterruptibly();
         }
-        Path file = dir.resolve("node-" + i + ".toml");
-        Files.writeString(file, LoopbackDemo.settings(i, listen, back, state, cloud));
-        nodes[i] = new ControllerNode(
+        Path file = dir.resolve("node-" + node + ".toml");
+        Files.writeString(file, LoopbackDemo.settings(node, listen, back, state, cloud));
+        nodes[node] = new ControllerNode(
                 Settings.read(file, new Features(false, 0.5, layouts, Features.NEVER, BalanceSettings.OFF)));
-        nodes[i].start();
+        nodes[node].start();
     }
 
     @AfterEach
@@ -94,16 +94,16 @@
 
     // ---- operators
 
-    private PeerMessage.OperatorResponse ask(int i, PeerMessage.OperatorRequest.Kind kind, String argument) {
+    private PeerMessage.OperatorResponse ask(int node, PeerMessage.OperatorRequest.Kind kind, String argument) {
         try {
-            return new OperatorClient(back[i], TIMEOUT_MS).ask(new PeerMessage.OperatorRequest(kind, argument));
+            return new OperatorClient(back[node], TIMEOUT_MS).ask(new PeerMessage.OperatorRequest(kind, argument));
         } catch (IOException e) {
             return new PeerMessage.OperatorResponse(Outcome.REFUSED, "{}");
         }
     }
 
-    private Map<?, ?> status(int i) {
-        return tree(ask(i, PeerMessage.OperatorRequest.Kind.STATUS, ""));
+    private Map<?, ?> status(int node) {
+        return tree(ask(node, PeerMessage.OperatorRequest.Kind.STATUS, ""));
     }
 
     private static Map<?, ?> tree(PeerMessage.OperatorResponse answer) {
@@ -115,10 +115,10 @@
     }
 
     /** Asks a controller until it shows what is waited for; the test's time limit ends it otherwise. */
-    private void await(int i, Predicate<Map<?, ?>> shown) {
-        Map<?, ?> status = status(i);
+    private void await(int node, Predicate<Map<?, ?>> shown) {
+        Map<?, ?> status = status(node);
         while (!shown.test(status)) {
-            status = status(i);
+            status = status(node);
         }
     }
 
@@ -145,9 +145,9 @@
 
     // ---- users
 
-    private HttpResult call(int i, HttpMethod method, String path, byte[] body) {
+    private HttpResult call(int node, HttpMethod method, String path, byte[] body) {
         CompletableFuture<HttpResult> result = new CompletableFuture<>();
-        loop.next().execute(() -> http.call(listen[i], method, path, body, TIMEOUT_MS, result::complete));
+        loop.next().execute(() -> http.call(listen[node], method, path, body, TIMEOUT_MS, result::complete));
         return result.join();
     }
 
@@ -166,9 +166,9 @@
         for (String id : jobs) {
             Object mood = null;
             for (int i = 0; !"done".equals(mood); i = 1 - i) {
-                HttpResult r = call(i, HttpMethod.GET, "/v2/runs/" + id, null);
-                assertTrue(!r.is(404), id + " is forgotten");
-                mood = r.is(200) ? Cbor.readMap(r.body()).get("mood") : mood;
+                HttpResult result = call(i, HttpMethod.GET, "/v2/runs/" + id, null);
+                assertTrue(!result.is(404), id + " is forgotten");
+                mood = result.is(200) ? Cbor.readMap(result.body()).get("mood") : mood;
             }
         }
     }
--- a/src/test/java/garnetscale/config/SettingsTest.java
+++ b/src/test/java/garnetscale/config/SettingsTest.java
@@ -68,12 +68,13 @@
 
     @Test
     void readsWhatItNeedsAndIgnoresTheRest() throws IOException, InvalidConfigurationException {
-        Settings s = read(GOOD);
-        assertEquals(2, s.config().controllers().size());
-        assertEquals(Double.POSITIVE_INFINITY, s.config().teams().get("t").cpusMax());
-        assertEquals(2.0, s.config().teams().get("t").gpusMax());
-        assertTrue(
-                s.config().graceMs() + s.config().workerLeaseMs() < s.config().cancellationDeadlineMs());
+        Settings settings = read(GOOD);
+        assertEquals(2, settings.config().controllers().size());
+        assertEquals(
+                Double.POSITIVE_INFINITY, settings.config().teams().get("t").cpusMax());
+        assertEquals(2.0, settings.config().teams().get("t").gpusMax());
+        assertTrue(settings.config().graceMs() + settings.config().workerLeaseMs()
+                < settings.config().cancellationDeadlineMs());
     }
 
     @Test
--- a/src/test/java/garnetscale/core/sim/BalanceMeasurement.java
+++ b/src/test/java/garnetscale/core/sim/BalanceMeasurement.java
@@ -87,8 +87,8 @@
             (task.job().contains("bound") ? boundWaits : flexibleWaits).add(wait);
         };
         cluster.rules.onDone = task -> ended.put(task.job(), cluster.now);
-        for (int i = 0; i < SWELLS; i++) {
-            swell(cluster, submitted, i, failures);
+        for (int index = 0; index < SWELLS; index++) {
+            swell(cluster, submitted, index, failures);
         }
         List<Double> ratios = new ArrayList<>();
         for (long t = SAMPLE_MS; t < END; t += SAMPLE_MS) {
@@ -114,21 +114,22 @@
                                 .count());
     }
 
-    private static void swell(SimulatedCluster cluster, Map<String, Long> submitted, int i, boolean failures) {
-        long at = FIRST + i * APART;
+    private static void swell(SimulatedCluster cluster, Map<String, Long> submitted, int index, boolean failures) {
+        long at = FIRST + index * APART;
         cluster.at(at, () -> {
-            submitted.put("wk-flex" + i, cluster.now);
-            cluster.users.submit("wk-flex" + i, "blue", 36 + cluster.random.nextInt(9), 4, 120);
+            submitted.put("wk-flex" + index, cluster.now);
+            cluster.users.submit("wk-flex" + index, "blue", 36 + cluster.random.nextInt(9), 4, 120);
         });
         cluster.at(at + 8000 + cluster.random.nextInt(8000), () -> {
-            submitted.put("wk-bound" + i, cluster.now);
-            cluster.users.submit("wk-bound" + i, "red", Priority.HIGH, 9 + cluster.random.nextInt(4), 12, 30, false);
+            submitted.put("wk-bound" + index, cluster.now);
+            cluster.users.submit(
+                    "wk-bound" + index, "red", Priority.HIGH, 9 + cluster.random.nextInt(4), 12, 30, false);
         });
         if (failures) {
             cluster.at(
                     at + 14_000 + cluster.random.nextInt(8000),
                     () -> cluster.crash(
-                            i % 2 == 0 ? cluster.leader() : cluster.ownerOf(cluster.workers.get(0).id), 4000));
+                            index % 2 == 0 ? cluster.leader() : cluster.ownerOf(cluster.workers.get(0).id), 4000));
         }
     }
 
--- a/src/test/java/garnetscale/core/state/SplitSnapshotTest.java
+++ b/src/test/java/garnetscale/core/state/SplitSnapshotTest.java
@@ -161,7 +161,11 @@
         int inconsistent = 0;
         for (KeyChange missed : buckets) {
             StateReplica replica = new StateReplica();
-            replica.reset(all.stream().filter(listed -> listed != missed).toList(), cluster.state.revision());
+            replica.reset(
+                    all.stream()
+                            .filter(listed -> !listed.key().equals(missed.key()))
+                            .toList(),
+                    cluster.state.revision());
             // Where an older bucket above it is still stored, the entries since then are needed, and there or missing.
             boolean isBehind = replica.sequence() < leader.sequence();
             assertTrue(
--- a/src/test/java/garnetscale/core/upgrade/UpgradePropertiesTest.java
+++ b/src/test/java/garnetscale/core/upgrade/UpgradePropertiesTest.java
@@ -44,6 +44,7 @@
         SEND_AGAIN
     }
 
+    /** Something that happens to one controller of a random history. */
     record Event(Kind kind, int controller) {}
 
     /** Versions that became active, over all tries. */
--- a/src/test/java/garnetscale/wire/CodecExamplesTest.java
+++ b/src/test/java/garnetscale/wire/CodecExamplesTest.java
@@ -24,11 +24,11 @@
 class CodecExamplesTest {
 
     private static Map<String, Object> map(Object... pairs) {
-        Map<String, Object> m = new LinkedHashMap<>();
+        Map<String, Object> body = new LinkedHashMap<>();
         for (int i = 0; i < pairs.length; i += 2) {
-            m.put((String) pairs[i], pairs[i + 1]);
+            body.put((String) pairs[i], pairs[i + 1]);
         }
-        return m;
+        return body;
     }
 
     private static Map<String, Object> hello() {
@@ -80,13 +80,13 @@
     @Test
     void reportsThatAreNotReports() {
         for (String field : List.of("hive", "shift", "tick", "chores")) {
-            Map<String, Object> m = hello();
-            m.remove(field);
-            assertThrows(IOException.class, () -> WorkerCodec.heartbeat(Cbor.write(m)), field);
+            Map<String, Object> body = hello();
+            body.remove(field);
+            assertThrows(IOException.class, () -> WorkerCodec.heartbeat(Cbor.write(body)), field);
         }
-        Map<String, Object> m = hello();
-        m.put("chores", List.of(map("chore", "wk-1", "try", 1, "mood", "running")));
-        assertThrows(IOException.class, () -> WorkerCodec.heartbeat(Cbor.write(m)));
+        Map<String, Object> body = hello();
+        body.put("chores", List.of(map("chore", "wk-1", "try", 1, "mood", "running")));
+        assertThrows(IOException.class, () -> WorkerCodec.heartbeat(Cbor.write(body)));
     }
 
     @Test
--- a/src/test/java/garnetscale/wire/UserCodecTest.java
+++ b/src/test/java/garnetscale/wire/UserCodecTest.java
@@ -19,32 +19,32 @@
 class UserCodecTest {
 
     private static Map<String, Object> example() {
-        Map<String, Object> m = new LinkedHashMap<>();
-        m.put("id", "wk-000412");
-        m.put("herd", "train");
-        m.put("crew", "vision");
-        m.put("shape", "array");
-        m.put("rank", "high");
-        m.put("chores", 16);
-        m.put("cpus", 8.0);
-        m.put("gpus", 1.0);
-        m.put("ram_gb", 64.0);
-        m.put("seed", "img-07");
-        m.put("image_gb", 6.2);
-        m.put("breeds", List.of("g8"));
-        m.put("field", null);
-        m.put("same_place", true);
-        m.put("apart", false);
-        m.put("windfall", true);
-        m.put("guess_s", 240.0);
-        m.put("pin_s", 30.0);
-        m.put("stash_s", 4.0);
-        m.put("due_s", 900.0);
-        return m;
+        Map<String, Object> body = new LinkedHashMap<>();
+        body.put("id", "wk-000412");
+        body.put("herd", "train");
+        body.put("crew", "vision");
+        body.put("shape", "array");
+        body.put("rank", "high");
+        body.put("chores", 16);
+        body.put("cpus", 8.0);
+        body.put("gpus", 1.0);
+        body.put("ram_gb", 64.0);
+        body.put("seed", "img-07");
+        body.put("image_gb", 6.2);
+        body.put("breeds", List.of("g8"));
+        body.put("field", null);
+        body.put("same_place", true);
+        body.put("apart", false);
+        body.put("windfall", true);
+        body.put("guess_s", 240.0);
+        body.put("pin_s", 30.0);
+        body.put("stash_s", 4.0);
+        body.put("due_s", 900.0);
+        return body;
     }
 
-    private static JobSpec read(Map<String, Object> m) throws IOException {
-        return UserCodec.job(Cbor.readMap(Cbor.write(m)));
+    private static JobSpec read(Map<String, Object> body) throws IOException {
+        return UserCodec.job(Cbor.readMap(Cbor.write(body)));
     }
 
     @Test
@@ -75,11 +75,11 @@
 
     @Test
     void nullAndMissingAreTheSameWhereNullIsAllowed() throws IOException {
-        Map<String, Object> m = example();
-        m.remove("breeds");
-        m.remove("due_s");
-        m.put("unheard_of", "ignored");
-        JobSpec job = read(m);
+        Map<String, Object> body = example();
+        body.remove("breeds");
+        body.remove("due_s");
+        body.put("unheard_of", "ignored");
+        JobSpec job = read(body);
         assertNull(job.types());
         assertNull(job.deadlineS());
     }
@@ -105,10 +105,10 @@
         "pin_s,-0.1"
     })
     void namesTheFieldThatIsAtFault(String field, String value) {
-        Map<String, Object> m = example();
-        m.put(field, typed(value));
-        IOException e = assertThrows(IOException.class, () -> read(m));
-        assertEquals(field, e.getMessage().split(" ")[0]);
+        Map<String, Object> body = example();
+        body.put(field, typed(value));
+        IOException exception = assertThrows(IOException.class, () -> read(body));
+        assertEquals(field, exception.getMessage().split(" ")[0]);
     }
 
     private static Object typed(String value) {
