--- a/src/test/java/garnetscale/core/sim/ProtocolRules.java
+++ b/src/test/java/garnetscale/core/sim/ProtocolRules.java
@@ -4,6 +4,7 @@
 import garnetscale.core.job.TaskId;
 import garnetscale.emulator.WorkerModel;
 import java.util.ArrayList;
+import java.util.Collections;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.List;
@@ -97,7 +98,7 @@
 
     /** Tasks that run now, and where. */
     Map<TaskId, String> running() {
-        return Map.copyOf(running);
+        return Collections.unmodifiableMap(new HashMap<>(running));
     }
 
     boolean isCancelled(String job) {
