--- a/src/main/java/garnetscale/controller/CloudLink.java
+++ b/src/main/java/garnetscale/controller/CloudLink.java
@@ -16,23 +16,23 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Carries out the autoscaler's calls to the cloud, one at a time and never above the cloud's rate limit. Tells the autoscaler
- * of the answers first, then the listener. Lives on the event loop.
+ * Carries out the autoscaler's calls to the cloud, one at a time and never above the cloud's rate limit. Passes each answer to
+ * the autoscaler first, then to the listener. Confined to the event loop.
  */
 final class CloudLink {
 
     private static final Logger LOG = LoggerFactory.getLogger(CloudLink.class);
     private static final long TIMEOUT_MS = 5000;
 
-    /** Learns what the cloud answered. */
+    /** Receives the cloud's answers. */
     interface Listener {
-        /** The machine types that the cloud has. */
+        /** Called with the machine types that the cloud offers. */
         void onTypes(List<MachineType> types);
 
-        /** The cloud has confirmed that the machine is deleted or has failed: nothing runs on it any more. */
+        /** Called when the cloud has confirmed that a machine is deleted or has failed: nothing runs on it any more. */
         void onTerminated(String machine);
 
-        /** All pages of the list of instances have come. */
+        /** Called when all pages of the list of instances have arrived. */
         void onListed();
     }
 
@@ -50,12 +50,12 @@
         this.spacingMs = autoscaler.spacingMs() + config.wallClockErrorMs();
     }
 
-    /** Whether a call may be made now. */
+    /** Returns whether a call may be made now. */
     boolean ready(long now) {
         return !callPending && now - calledAt >= spacingMs;
     }
 
-    /** Makes a call; only while {@link #ready}. */
+    /** Makes a call; allowed only while {@link #ready}. */
     void call(long now, CloudCall call, Listener listener) {
         callPending = true;
         calledAt = now;
@@ -95,7 +95,7 @@
         });
     }
 
-    /** One without an answer may still be carried out; its instances then show in the list. */
+    /** Requests instances. A request without an answer may still be carried out; its instances then show in the list. */
     private void scaleOut(CloudCall.ScaleOut call) {
         send(HttpMethod.POST, "/machines", CloudCodec.scaleOut(call), new AnswerHandler() {
             @Override
@@ -120,14 +120,14 @@
         });
     }
 
-    /** What is done with the answer to one call. */
+    /** Handles the answer to one call. */
     private interface AnswerHandler {
-        /** The call was carried out; the exception says that the answer's body is malformed. */
+        /** Handles the answer to a call that was carried out; throws if the answer's body is malformed. */
         void onOk(byte[] body) throws IOException;
 
-        /** The call was refused or not answered. */
+        /** Handles a call that was refused or not answered. */
         default void onFailed() {
-            // Most calls are simply made again by the autoscaler.
+            // Nothing to do for most calls: the autoscaler makes them again.
         }
     }
 
--- a/src/main/java/garnetscale/controller/ClusterInspector.java
+++ b/src/main/java/garnetscale/controller/ClusterInspector.java
@@ -24,19 +24,19 @@
 import java.util.function.Supplier;
 
 /**
- * Answers operators from what this controller knows. It only reads the replica; an upgrade step alone changes anything, and
- * does so through the leader. Lives on the event loop.
+ * Answers operators' requests from the replica and the roles of this controller. Requests only read the replica, except upgrade
+ * steps, whose changes are made by the leader. Confined to the event loop.
  */
 public final class ClusterInspector implements PeerLinks.Inspector {
 
     private static final String NOT_COMPLETE = "this controller's replica isn't complete";
 
     /**
-     * What the inspector asks of the process that it is in.
+     * The parts of its process that the inspector uses.
      *
-     * @param clock         milliseconds of the steady clock
-     * @param process       the state of the process itself
-     * @param waitingReason why a job's tasks wait, or null when none does
+     * @param clock         returns the milliseconds of the steady clock
+     * @param process       returns the state of the process itself
+     * @param waitingReason returns why tasks of a job wait, or null when none does
      */
     public record Sources(
             StateReplica replica,
@@ -50,14 +50,14 @@
      * The state of the process that answers.
      *
      * @param ready      whether it takes requests
-     * @param stateAgeMs how long ago it sent its last request that the state service answered
-     * @param rateLimits what it may send to the state service now and in a second, by kind of request
+     * @param stateAgeMs milliseconds since it sent the newest request as of which its replica is complete
+     * @param rateLimits how much it may send to the state service now and in a second, by kind of request
      */
     public record ProcessView(boolean ready, long stateAgeMs, Map<String, Object> rateLimits) {}
 
-    /** Finds out how a job ended that the replica doesn't hold. */
+    /** Looks up the end of jobs that the replica doesn't contain. */
     public interface TerminalJobs {
-        /** Calls back once, at once or later, on the event loop. */
+        /** Looks up a job, and calls back exactly once on the event loop, immediately or later. */
         void lookUp(String job, TerminalJobCallback found);
     }
 
@@ -66,7 +66,7 @@
     private final Sources sources;
     private final StateReplica replica;
 
-    /** An inspector of one controller. */
+    /** Creates the inspector of one controller. */
     public ClusterInspector(SchedulerConfig config, PartitionMap partitions, Sources sources) {
         this.config = config;
         this.partitions = partitions;
--- a/src/main/java/garnetscale/controller/ControllerContext.java
+++ b/src/main/java/garnetscale/controller/ControllerContext.java
@@ -7,7 +7,7 @@
 import garnetscale.core.state.StateReplica;
 import io.netty.channel.EventLoop;
 
-/** What the parts of one controller process share; all of it is touched on its event loop alone. */
+/** The objects that the parts of one controller process share; all are confined to its event loop. */
 record ControllerContext(
         SchedulerConfig config,
         EventLoop eventLoop,
--- a/src/main/java/garnetscale/controller/ControllerNode.java
+++ b/src/main/java/garnetscale/controller/ControllerNode.java
@@ -31,8 +31,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * One controller process: builds the core's roles and the links around them, starts and stops them, and runs their cycles. All
- * of it runs on one event loop; nothing else touches the core's objects.
+ * One controller process: creates the core's roles and the links around them, starts and stops them, and runs their cycles. All
+ * of this runs on one event loop; the core's objects are used on no other thread.
  */
 public final class ControllerNode implements StateLink.Listener {
 
@@ -43,7 +43,7 @@
     private static final int STATE_CONNECTIONS = 6;
 
     private final Settings settings;
-    private final EventLoopGroup loop;
+    private final EventLoopGroup eventLoopGroup;
     private final EventLoop eventLoop;
     private final EventLoopProfile profile = new EventLoopProfile();
     private final EventLoopPacer pacer;
@@ -56,12 +56,12 @@
     private boolean serverOpened;
     private boolean isolatedFromWorkers;
 
-    /** Builds the process; nothing is sent or listened for before {@link #start}. */
+    /** Creates the process; it neither sends nor listens before {@link #start}. */
     public ControllerNode(Settings settings) {
         SchedulerConfig config = settings.config();
         this.settings = settings;
-        this.loop = new NioEventLoopGroup(1, new DefaultThreadFactory("loop"));
-        this.eventLoop = loop.next();
+        this.eventLoopGroup = new NioEventLoopGroup(1, new DefaultThreadFactory("loop"));
+        this.eventLoop = eventLoopGroup.next();
         this.pacer = new EventLoopPacer(config, eventLoop, this::runRequestedCycle);
         StateReplica replica = new StateReplica(config.features().layouts());
         PartitionMap partitions = new PartitionMap(config);
@@ -76,19 +76,19 @@
                 new Autoscaler(config, replica, LOG::info));
         this.state = new StateLink(config, stateIo(), new SplittableRandom(), replica, this);
         CloudLink cloud = new CloudLink(
-                config, new HttpClient(loop, 1, CONNECT_TIMEOUT_MS), settings.cloud(), context.autoscaler());
+                config, new HttpClient(eventLoopGroup, 1, CONNECT_TIMEOUT_MS), settings.cloud(), context.autoscaler());
         PeerHeartbeats peerHeartbeats = new PeerHeartbeats();
         ProcessStatus status = new ProcessStatus(replica, context.owner(), state, peerHeartbeats);
         JobApi jobApi = new JobApi(config, replica, state, status::waitingReason, this::onJobCancelled);
         ClusterInspector inspector = inspector(partitions, status, jobApi);
-        this.peers = new PeerMessageHandler(loop, context, state, jobApi, peerHeartbeats, inspector);
+        this.peers = new PeerMessageHandler(eventLoopGroup, context, state, jobApi, peerHeartbeats, inspector);
         ConnectionLimiter connections =
                 new ConnectionLimiter(config.maxConnections(), config.features().closeConnectionsFrom());
-        this.effects =
-                new OwnerEffectExecutor(context, new HttpClient(loop, 1, connections, CONNECT_TIMEOUT_MS), peers);
+        this.effects = new OwnerEffectExecutor(
+                context, new HttpClient(eventLoopGroup, 1, connections, CONNECT_TIMEOUT_MS), peers);
         this.leadership = new LeadershipLoop(context, state, cloud, peers, effects, jobApi);
-        this.server =
-                new HttpServer(loop, connections, config.maxConnections(), new RequestRouter(context, status, jobApi));
+        this.server = new HttpServer(
+                eventLoopGroup, connections, config.maxConnections(), new RequestRouter(context, status, jobApi));
     }
 
     private ClusterInspector inspector(PartitionMap partitions, ProcessStatus status, JobApi jobApi) {
@@ -105,7 +105,7 @@
     }
 
     private StateLink.Io stateIo() {
-        HttpClient http = new HttpClient(loop, STATE_CONNECTIONS, CONNECT_TIMEOUT_MS);
+        HttpClient http = new HttpClient(eventLoopGroup, STATE_CONNECTIONS, CONNECT_TIMEOUT_MS);
         return new StateLink.Io() {
             @Override
             public long now() {
@@ -113,8 +113,8 @@
             }
 
             @Override
-            public void after(long ms, Runnable run) {
-                eventLoop.schedule(run, ms, TimeUnit.MILLISECONDS);
+            public void after(long ms, Runnable task) {
+                eventLoop.schedule(task, ms, TimeUnit.MILLISECONDS);
             }
 
             @Override
@@ -133,8 +133,10 @@
     // ---- start and stop
 
     /**
-     * Starts; throws when an address is in use. Users and workers are let in only once the replica is complete: before that
-     * there is nothing to tell them, and after an end of all controllers every worker asks once a second.
+     * Starts the process. The address for users and workers is opened only once the replica is complete: before that no request
+     * can be answered, and after all controllers have stopped every worker sends a request once a second.
+     *
+     * @throws IOException if an address is in use
      */
     public void start() throws IOException {
         requireFree(settings.listen());
@@ -142,7 +144,7 @@
         eventLoop.execute(() -> {
             state.start();
             peers.connect();
-            // With a fixed delay: after a standstill a fixed rate would make up for every run that it missed.
+            // With a fixed delay: after a stall, a fixed rate would make up for every missed run.
             every(EventLoopPacer.TICK_MS, this::runCycle);
             every(PeerHeartbeats.INTERVAL_MS, peers::sendHeartbeats);
             every(PROFILE_INTERVAL_MS, () -> LOG.info("event loop profile, {}", profile.takeSummary()));
@@ -153,7 +155,7 @@
         eventLoop.scheduleWithFixedDelay(action, intervalMs, intervalMs, TimeUnit.MILLISECONDS);
     }
 
-    /** Opens and closes the address for users and workers, so that one in use is known at once. */
+    /** Opens and closes the address for users and workers, so that an address in use is detected at the start. */
     private static void requireFree(String address) throws IOException {
         try (ServerSocketChannel probe = ServerSocketChannel.open()) {
             probe.setOption(StandardSocketOptions.SO_REUSEADDR, true);
@@ -171,7 +173,7 @@
         }
     }
 
-    /** Lets users and workers in; tried again where the address was taken meanwhile. */
+    /** Opens the address for users and workers; retries if it has been taken since the start. */
     private void openServer() {
         server.listen(settings.listen()).addListener((ChannelFutureListener) listening -> {
             if (!listening.isSuccess()) {
@@ -185,10 +187,10 @@
         });
     }
 
-    /** Ends all that the process does; the future completes when it has. */
+    /** Stops the process; the future completes when it has stopped. */
     public Future<?> stop() {
         eventLoop.execute(state::stop);
-        return loop.shutdownGracefully(0, 0, TimeUnit.SECONDS);
+        return eventLoopGroup.shutdownGracefully(0, 0, TimeUnit.SECONDS);
     }
 
     // ---- events
@@ -229,7 +231,7 @@
         runCycle();
     }
 
-    @SuppressWarnings("IllegalCatch") // One cycle that trips a fault mustn't end the process's tick.
+    @SuppressWarnings("IllegalCatch") // An exception in one cycle mustn't end the periodic cycles.
     private void runCycle() {
         if (!context.replica().isLoaded()) {
             return;
@@ -244,7 +246,7 @@
             publishReachability();
             profile.run(EventLoopProfile.Activity.LEADER, () -> leadership.run(now));
         } catch (RuntimeException e) {
-            LOG.error("cycle failed, the next one goes on", e);
+            LOG.error("cycle failed, later cycles still run", e);
         }
         pacer.pauseAfterCycle(now);
         long nextBidsMs = context.owner().msUntilNextBids(EventLoopPacer.now());
@@ -260,7 +262,7 @@
         context.leader().setWallClockOffset(offset);
     }
 
-    /** Tells the leader and all peers when workers stop or begin to reach this process. */
+    /** Reports to the leader role and to all peers when workers stop or start reaching this process. */
     private void publishReachability() {
         boolean isolated = context.owner().isIsolatedFromWorkers();
         if (isolated == isolatedFromWorkers) {
@@ -269,7 +271,7 @@
         isolatedFromWorkers = isolated;
         if (isolated) {
             LOG.warn(
-                    "isolated from workers, gives up its partitions, node={}",
+                    "isolated from workers, giving up partitions, node={}",
                     context.config().self());
         } else {
             LOG.info(
--- a/src/main/java/garnetscale/controller/EventLoopPacer.java
+++ b/src/main/java/garnetscale/controller/EventLoopPacer.java
@@ -6,37 +6,37 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Decides when the next cycle of the event loop runs, and when the leader may plan again. Messages that come close together
- * are handled in one cycle, and long cycles are followed by long pauses, so that requests get their part of the processor.
- * Lives on the event loop.
+ * Decides when the next cycle of the event loop runs, and when the leader may plan again. Messages that arrive close together
+ * are handled in one cycle, and long cycles are followed by long pauses, so that requests get their share of the processor.
+ * Confined to the event loop.
  */
 final class EventLoopPacer {
 
-    /** A cycle runs at least this often, in milliseconds. */
+    /** The longest interval between cycles. */
     static final long TICK_MS = 250;
 
     /**
-     * What happens within a 300th of a heartbeat interval is handled in one cycle, and a plan follows another after an 80th at
-     * the soonest: news comes by heartbeats, and the more machines there are the more each cycle and plan goes over.
+     * Events within a 300th of a heartbeat interval are handled in one cycle, and plans are at least an 80th of it apart. New
+     * information arrives by heartbeats, and each cycle and plan goes over more the more machines there are.
      */
     private static final long CYCLES_PER_HEARTBEAT_INTERVAL = 300;
 
     private static final long PLANS_PER_HEARTBEAT_INTERVAL = 80;
     private static final long MIN_CYCLE_DELAY_MS = 4;
-    /** Plans in a bidding window; each goes through all jobs that wait. */
+    /** Limit on the plans in a bidding window; each plan goes through all waiting jobs. */
     private static final int PLANS_PER_WINDOW = 10;
-    /** After an empty plan the next one waits this many times as long: batches rarely come alone. */
+    /** Factor on the interval between plans after an empty one: batches rarely arrive alone. */
     private static final long IDLE_BACKOFF = 3;
-    /** The pause after a cycle, in multiples of the time that it took. */
+    /** Length of the pause after a cycle, as a multiple of the cycle's duration. */
     private static final long PAUSE_FACTOR = 3;
 
     private static final long MAX_PAUSE_MS = TICK_MS / 2;
-    /** A process whose cycles come later than this part of a heartbeat interval lags. */
-    private static final long LAG_PER_HEARTBEAT_INTERVAL = 50;
+    /** The process lags when a cycle starts later, after it was due, than a heartbeat interval divided by this. */
+    private static final long MAX_LAGS_PER_HEARTBEAT_INTERVAL = 50;
 
-    /** What is run when a requested cycle is due. */
+    /** The action to run when a requested cycle is due. */
     interface Cycle {
-        /** Runs one cycle; {@code lagging} tells whether it comes much later than it was due. */
+        /** Runs one cycle; {@code lagging} says whether it starts much later than it was due. */
         void run(boolean lagging);
     }
 
@@ -58,15 +58,15 @@
         this.cycleDelayMs = Math.max(MIN_CYCLE_DELAY_MS, heartbeatMs / CYCLES_PER_HEARTBEAT_INTERVAL);
         this.planIntervalMs =
                 Math.max(config.bidWindowMs() / PLANS_PER_WINDOW, heartbeatMs / PLANS_PER_HEARTBEAT_INTERVAL);
-        this.maxLagMs = heartbeatMs / LAG_PER_HEARTBEAT_INTERVAL;
+        this.maxLagMs = heartbeatMs / MAX_LAGS_PER_HEARTBEAT_INTERVAL;
     }
 
-    /** The steady clock of the process, in milliseconds; all times of its parts are of this clock. */
+    /** Returns the milliseconds of the process's steady clock; all times within the process are of this clock. */
     static long now() {
         return System.nanoTime() / 1_000_000;
     }
 
-    /** Has a cycle run soon. */
+    /** Requests a cycle soon; requests before it runs lead to a single cycle. */
     void requestCycle() {
         if (!cycleRequested) {
             cycleRequested = true;
@@ -82,7 +82,7 @@
         }
     }
 
-    /** Has a cycle run at a time at which something comes due by itself. */
+    /** Requests a cycle at a time when something becomes due without any message. */
     void requestCycleAt(long at) {
         if (wakeAt < now() || wakeAt > at) {
             wakeAt = at;
@@ -90,22 +90,22 @@
         }
     }
 
-    /** A cycle that began at this time is over: the longer it took, the longer the pause until the next. */
+    /** Sets the pause after a cycle that began at {@code startedAt}: the longer the cycle took, the longer the pause. */
     void pauseAfterCycle(long startedAt) {
         pauseUntil = now() + Math.min(MAX_PAUSE_MS, PAUSE_FACTOR * (now() - startedAt));
     }
 
-    /** The earliest time of the leader's next plan. */
+    /** Returns the earliest time of the leader's next plan. */
     long nextPlanAt() {
         return plannedAt + planIntervalMs * (lastPlanEmpty ? IDLE_BACKOFF : 1);
     }
 
-    /** The leader begins to plan. */
+    /** Records that the leader begins to plan. */
     void planStarted(long now) {
         plannedAt = now;
     }
 
-    /** The leader has planned; {@code empty} tells whether there was nothing to change. */
+    /** Records that the leader has planned; {@code empty} says whether there was nothing to change. */
     void planEnded(boolean empty) {
         lastPlanEmpty = empty;
     }
--- a/src/main/java/garnetscale/controller/EventLoopProfile.java
+++ b/src/main/java/garnetscale/controller/EventLoopProfile.java
@@ -4,12 +4,12 @@
 import java.util.Locale;
 
 /**
- * Counts what the event loop's time is spent on, by activity: always on, and logged now and then. What Netty, the garbage
- * collector and the compiler take is the rest of the process's time and isn't in here. Lives on the event loop.
+ * Measures the event loop's time by activity. It is always on and logged periodically. The time of Netty, the garbage collector
+ * and the JIT compiler, which is the rest of the process's time, isn't included. Confined to the event loop.
  */
 final class EventLoopProfile {
 
-    /** What the event loop works on; work inside other work counts for the inner activity alone. */
+    /** Activities of the event loop; the time of nested work counts only for the inner activity. */
     enum Activity {
         HEARTBEATS,
         USERS,
@@ -29,7 +29,7 @@
     private Activity current;
     private long since;
 
-    /** Runs the work, and counts its time for the activity. */
+    /** Runs the work and adds its time to the activity. */
     void run(Activity activity, Runnable work) {
         long now = System.nanoTime();
         if (current != null) {
@@ -49,7 +49,7 @@
         }
     }
 
-    /** Runs and milliseconds of each activity since the last call, as {@code activity=runs activity_ms=time}. */
+    /** Returns runs and milliseconds of each activity since the last call, as {@code activity=runs activity_ms=time}. */
     String takeSummary() {
         StringBuilder line = new StringBuilder();
         for (Activity activity : ACTIVITIES) {
--- a/src/main/java/garnetscale/controller/JobApi.java
+++ b/src/main/java/garnetscale/controller/JobApi.java
@@ -14,28 +14,28 @@
 import java.util.function.Function;
 
 /**
- * The job API for users: submit, look up and cancel. No answer is older than one that any controller has given before: what
- * isn't final is answered only from a replica that was brought up to date after the request came, and what can't be is refused
- * at once with 503. Lives on the event loop.
+ * The job API for users: submit, look up and cancel. No answer shows an older state than an earlier answer of any controller: a
+ * state that isn't final is answered only from a replica that was synced after the request arrived. A request for which that
+ * isn't possible is refused at once with 503. Confined to the event loop.
  */
 final class JobApi {
 
-    /** Where the paths of the API begin. */
+    /** The prefix of the API's paths. */
     static final String PATH = "/v2/runs";
 
     private static final String CANCEL = "/cancel";
     private static final String GET = "GET";
     private static final String POST = "POST";
 
-    /** The state service as users' requests need it. */
+    /** Access to the state service for users' requests. */
     interface Store extends TerminalJobIndex.Store {
-        /** Whether it refuses or doesn't answer, by the last requests. */
+        /** Returns whether the service has lately been refusing requests or leaving them unanswered. */
         boolean failing();
 
-        /** Calls back once the replica is as new as a request sent after this call; false when it can't be. */
+        /** Calls back with true once the replica is as new as a request sent after this call, or with false if it can't be. */
         void sync(Consumer<Boolean> done);
 
-        /** Sends a transaction, or refuses it at once when the limits are used up. */
+        /** Sends a transaction, or refuses it at once when the limit on writes is used up. */
         void submit(Transaction transaction, BiConsumer<TransactionOutcome, Long> done);
     }
 
@@ -45,10 +45,10 @@
     private final JobCancellation cancellation;
 
     /**
-     * The API over one replica.
+     * Creates the API over one replica.
      *
-     * @param waitingReason why a job's tasks wait, for its user, or null when none does
-     * @param onCancelled   takes the id of each job whose cancellation is stored
+     * @param waitingReason returns why tasks of a job wait, for its user, or null when none does
+     * @param onCancelled   receives the id of each job whose cancellation is stored
      */
     JobApi(
             SchedulerConfig config,
@@ -96,12 +96,12 @@
         return JobReplies.error(HttpStatus.METHOD_NOT_ALLOWED, "only " + allowed);
     }
 
-    /** Looks up how a job ended that the replica doesn't hold. */
+    /** Looks up the end of a job that the replica doesn't contain. */
     void lookUpTerminal(String id, TerminalJobCallback found) {
-        lookup.lookUpRecord(id, found);
+        lookup.lookUpTerminalRecord(id, found);
     }
 
-    /** The leader saw that the job's end is stored: its users needn't wait for the state service any more. */
+    /** Caches the end of a job, which the leader saw stored: its users needn't wait for the state service any more. */
     void onTerminated(String id, Records.TerminalJob job) {
         terminalJobs.remember(id, job);
     }
--- a/src/main/java/garnetscale/controller/JobCancellation.java
+++ b/src/main/java/garnetscale/controller/JobCancellation.java
@@ -13,13 +13,13 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Cancels jobs for their users. Done and cancelled exclude each other: both are written over the same key, guarded by its
- * revision, so that only one of them can win. Lives on the event loop.
+ * Cancels jobs for their users. A job can't end both as done and as cancelled: both transactions change the job's key and are
+ * guarded by its revision, so that only one of them is applied. Confined to the event loop.
  */
 final class JobCancellation {
 
     private static final Logger LOG = LoggerFactory.getLogger(JobCancellation.class);
-    /** Attempts after the first; each begins with an up-to-date replica. */
+    /** Limit on the attempts after the first; each attempt syncs the replica before it stores the cancellation. */
     private static final int MAX_RETRIES = 3;
 
     private final StateReplica replica;
@@ -41,7 +41,7 @@
         this.onCancelled = onCancelled;
     }
 
-    /** Cancels a live job, and answers with the state that it is in then. */
+    /** Cancels a job if it is live, and answers with its resulting state. */
     void cancel(String id, Consumer<Reply> answer) {
         attempt(id, 0, answer);
     }
@@ -52,7 +52,7 @@
             answer.accept(terminal);
             return;
         }
-        if (!admission.admits(RequestAdmission.ALL) || retries > MAX_RETRIES) {
+        if (!admission.admits(RequestAdmission.FULL_SHARE) || retries > MAX_RETRIES) {
             answer.accept(JobReplies.stateServiceUnavailable());
             return;
         }
--- a/src/main/java/garnetscale/controller/JobDetails.java
+++ b/src/main/java/garnetscale/controller/JobDetails.java
@@ -6,10 +6,13 @@
 import java.util.List;
 
 /**
- * The answer to {@code job} for a job that the replica holds.
+ * The answer to the operators' command {@code job} for a job in the replica.
  *
- * @param reason why its tasks wait, or null when none does
- * @param moves  its tasks that were stopped lately to run elsewhere; left out of the answer when empty
+ * @param finished number of finished tasks
+ * @param placed   number of tasks with a placement
+ * @param waiting  number of tasks without a placement
+ * @param reason   why tasks wait, or null when none does
+ * @param moves    recent stops of its tasks in order to run them elsewhere; left out of the answer when empty
  */
 record JobDetails(
         String id,
@@ -24,15 +27,15 @@
         List<PlacementRow> placements,
         List<MoveRow> moves) {
 
-    /** One placement; {@code zone} is that of the machine's record, or null. */
+    /** One placement; {@code zone} is the zone in the machine's record, or null if there is none. */
     record PlacementRow(int task, String machine, String zone, Placement.Stop stop) {}
 
     /**
      * One move.
      *
-     * @param from          the machine, and its group in parentheses
-     * @param to            the group that bid for the task
-     * @param beneficiary   the job that got the room, or {@code itself}
+     * @param from           the machine that the task was on, and its group in parentheses
+     * @param to             the group that bid for the task
+     * @param beneficiary    the job that got the freed capacity, or {@code itself}
      * @param gainCpuS       expected gain in whole CPU-seconds
      * @param disruptionCpuS expected loss in whole CPU-seconds
      */
--- a/src/main/java/garnetscale/controller/JobLookup.java
+++ b/src/main/java/garnetscale/controller/JobLookup.java
@@ -9,22 +9,22 @@
 import java.util.function.Function;
 
 /**
- * Finds the state of a job for users and operators. A state that may still change is read only from a replica that was brought
- * up to date after the request came. Lives on the event loop.
+ * Looks up the state of jobs for users and operators. A state that may still change is read only from a replica that was synced
+ * after the request arrived. Confined to the event loop.
  */
 final class JobLookup {
 
-    /** What a look-up found. */
+    /** The result of a look-up. */
     sealed interface Result {}
 
-    /** The job is there; {@code reply} tells its user of its state. */
+    /** The job was found; {@code reply} is the answer to its user. */
     record Found(Reply reply) implements Result {}
 
-    /** There is no state to tell. */
+    /** No state was found. */
     enum Missing implements Result {
-        /** No job of this id was accepted before the request came. */
+        /** No job of this id was accepted before the request arrived. */
         ABSENT,
-        /** Nobody can tell now. */
+        /** The state can't be determined now. */
         UNKNOWN
     }
 
@@ -47,22 +47,22 @@
         this.waitingReason = waitingReason;
     }
 
-    /** Whether a job of this id was accepted, by what this process holds; false doesn't mean that there is none. */
+    /** Returns whether this process knows of an accepted job of this id; there may be one that it doesn't know of. */
     boolean isKnown(String id) {
         return terminalJobs.cached(id) != null || replica.job(id) != null;
     }
 
-    /** Answers with the job's state, or with 404. */
+    /** Answers with the job's state, with 404 if there is no such job, or with 503 if the state is unknown. */
     void reply(String id, Consumer<Reply> answer) {
         lookUp(id, result -> answer.accept(replyOf(result)));
     }
 
-    /** Answers with the state of a job that was accepted: that it can't be found now is no reason for 404. */
+    /** Answers with the state of a job that was accepted, or with 503: even if it isn't found now, 404 would be wrong. */
     void replyForAccepted(String id, Consumer<Reply> answer) {
         lookUp(id, result -> answer.accept(result instanceof Found found ? found.reply() : JobReplies.stateUnknown()));
     }
 
-    /** The answer to somebody who asked for the job. */
+    /** Returns the answer to a request for the job. */
     static Reply replyOf(Result result) {
         if (result instanceof Found found) {
             return found.reply();
@@ -70,27 +70,27 @@
         return result == Missing.ABSENT ? JobReplies.noSuchJob() : JobReplies.stateUnknown();
     }
 
-    /** The reply for a job that is known here to be terminal, or null. */
+    /** Returns the reply for a job that is cached as terminal, or null if it isn't. */
     Reply terminalReply(String id) {
         Records.TerminalJob job = terminalJobs.cached(id);
         return job == null ? null : JobReplies.terminal(id, job);
     }
 
-    /** The reply for a job that the replica holds. */
+    /** Returns the reply for a job in the replica. */
     Reply replyOf(JobView job) {
         return job.job().state() == JobState.CANCELLED
                 ? JobReplies.cancelled(job)
                 : JobReplies.live(job, waitingReason.apply(job));
     }
 
-    /** Looks a job up in an up-to-date replica, or else among the terminal jobs. */
+    /** Looks up a job in an up-to-date replica, then among the terminal jobs. */
     void lookUp(String id, Consumer<Result> found) {
         Reply terminal = terminalReply(id);
         if (terminal != null) {
             found.accept(new Found(terminal));
             return;
         }
-        if (!admission.admits(RequestAdmission.LOOKUPS)) {
+        if (!admission.admits(RequestAdmission.LOOKUP_SHARE)) {
             found.accept(Missing.UNKNOWN);
             return;
         }
@@ -106,12 +106,14 @@
                 found.accept(new Found(replyOf(job)));
                 return;
             }
-            // The replica didn't hold it as of a moment after the request: it is terminal, or was never accepted.
+            // The replica is complete as of a moment after the request and doesn't contain the job: the job is
+            // terminal, or
+            // was never accepted.
             lookUpTerminal(id, found);
         });
     }
 
-    /** Looks a job up that an up-to-date replica doesn't hold. */
+    /** Looks up a job that an up-to-date replica doesn't contain. */
     void lookUpTerminal(String id, Consumer<Result> found) {
         admission.begin();
         terminalJobs.lookUp(id, (known, job) -> {
@@ -126,12 +128,12 @@
         });
     }
 
-    /** Looks up for an operator how a job ended that the replica doesn't hold. */
-    void lookUpRecord(String id, TerminalJobCallback found) {
+    /** Looks up, for an operator, the end of a job that the replica doesn't contain. */
+    void lookUpTerminalRecord(String id, TerminalJobCallback found) {
         Records.TerminalJob cached = terminalJobs.cached(id);
         if (cached != null) {
             found.accept(true, cached);
-        } else if (!admission.admits(RequestAdmission.LOOKUPS)) {
+        } else if (!admission.admits(RequestAdmission.LOOKUP_SHARE)) {
             found.accept(false, null);
         } else {
             terminalJobs.lookUp(id, found);
--- a/src/main/java/garnetscale/controller/JobReplies.java
+++ b/src/main/java/garnetscale/controller/JobReplies.java
@@ -12,7 +12,7 @@
 
     private static final int RETRY_AFTER_S = 1;
 
-    /** States of a job as PROTOCOL names them. */
+    /** Names of job states in PROTOCOL. */
     private static final String PENDING = "pending";
 
     private static final String RUNNING = "running";
@@ -22,7 +22,7 @@
 
     private JobReplies() {}
 
-    /** A request that can't succeed; {@code reason} is for its user. */
+    /** Returns the answer to a request that can't succeed; {@code reason} is for its user. */
     static Reply error(int status, String reason) {
         return Reply.of(status, UserCodec.error(reason));
     }
@@ -31,7 +31,7 @@
         return error(HttpStatus.NOT_FOUND, "no such job");
     }
 
-    /** A request that can't be answered now: 503, to be repeated. */
+    /** Returns a 503 for a request that can't be answered now and is to be repeated. */
     static Reply retryLater(String reason) {
         return new Reply(HttpStatus.UNAVAILABLE, UserCodec.error(reason), RETRY_AFTER_S);
     }
@@ -48,17 +48,17 @@
         return retryLater("the state service can't take it");
     }
 
-    /** A new job was stored. */
+    /** Returns the answer to a submission whose job was stored. */
     static Reply created(String id, String team) {
         return Reply.of(HttpStatus.CREATED, UserCodec.answer(new UserCodec.Answer(id, PENDING, 0, 0, team, null)));
     }
 
-    /** A live job; {@code waitingReason} is null unless tasks of it wait. */
+    /** Returns the state of a live job; {@code waitingReason} is null if none of its tasks waits. */
     static Reply live(JobView job, String waitingReason) {
         return job(job, job.placedCount() > 0 ? RUNNING : PENDING, waitingReason);
     }
 
-    /** A cancelled job that the replica still holds. */
+    /** Returns the state of a cancelled job that is still in the replica. */
     static Reply cancelled(JobView job) {
         return job(job, WITHDRAWN, CANCELLED_BY_USER);
     }
@@ -75,7 +75,7 @@
                         reason)));
     }
 
-    /** A job of which only its end is kept. */
+    /** Returns the state of a terminal job, of which only a summary is still stored. */
     static Reply terminal(String id, Records.TerminalJob job) {
         boolean done = job.state() == JobState.DONE;
         return Reply.of(
--- a/src/main/java/garnetscale/controller/JobSubmission.java
+++ b/src/main/java/garnetscale/controller/JobSubmission.java
@@ -22,8 +22,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Accepts new jobs. A submission is idempotent by the job's id: a repeat is answered with the state of the job, whatever else
- * its body says. Lives on the event loop.
+ * Accepts new jobs. Submissions are idempotent by job id: a repeat is answered with the state of the job, even if the rest of its
+ * body differs. Confined to the event loop.
  */
 final class JobSubmission {
 
@@ -48,8 +48,8 @@
         this.lookup = lookup;
     }
 
-    /** Stores a new job, or answers with the state of the known one. */
-    @SuppressWarnings("IllegalCatch") // Whatever a malformed body makes fail, it is answered with 400.
+    /** Stores a new job, or answers with the job's state if its id is known. */
+    @SuppressWarnings("IllegalCatch") // A malformed body is answered with 400, whichever exception it causes.
     void submit(byte[] body, Consumer<Reply> answer) {
         Map<?, ?> fields;
         String id;
@@ -60,7 +60,7 @@
             answer.accept(malformed(e));
             return;
         }
-        if (!admission.admits(RequestAdmission.ALL)) {
+        if (!admission.admits(RequestAdmission.FULL_SHARE)) {
             answer.accept(JobReplies.stateServiceUnavailable());
         } else if (lookup.isKnown(id)) {
             lookup.replyForAccepted(id, answer);
@@ -69,7 +69,7 @@
         }
     }
 
-    @SuppressWarnings("IllegalCatch") // Whatever a malformed body makes fail, it is answered with 400.
+    @SuppressWarnings("IllegalCatch") // A malformed body is answered with 400, whichever exception it causes.
     private void submitUnknown(String id, Map<?, ?> fields, Consumer<Reply> answer) {
         JobSpec spec;
         Reply rejection;
@@ -92,7 +92,7 @@
         store(spec, record, answer);
     }
 
-    /** A job that is known is answered with its state, whatever a repeat of its submission says. */
+    /** Rejects a submission, unless a job of this id was accepted: an invalid repeat is answered with the job's state. */
     private void rejectUnlessAccepted(String id, Reply rejection, Consumer<Reply> answer) {
         lookup.lookUp(
                 id,
@@ -143,7 +143,7 @@
         return JobReplies.error(HttpStatus.BAD_REQUEST, message == null ? "malformed" : message);
     }
 
-    /** Null when the job can run some time; 422 when it never can; 503 while the machine types aren't known. */
+    /** Returns null if the job can run at some time, 422 if it never can, or 503 while the machine types aren't known. */
     private Reply validate(JobSpec spec) {
         SchedulerConfig.Team team = config.teams().get(spec.team());
         if (team == null) {
--- a/src/main/java/garnetscale/controller/LeadershipLoop.java
+++ b/src/main/java/garnetscale/controller/LeadershipLoop.java
@@ -18,19 +18,19 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The part of a cycle that belongs to the leader: stands for election while nobody leads, and as leader calls the cloud,
- * publishes the machine directory and sends the leader's transactions. Lives on the event loop.
+ * Runs the leader's part of a cycle: stands for election while there is no leader; as leader, calls the cloud, publishes the
+ * machine directory and sends the leader's transactions. Confined to the event loop.
  */
 final class LeadershipLoop implements CloudLink.Listener {
 
     private static final Logger LOG = LoggerFactory.getLogger(LeadershipLoop.class);
-    /** The autoscaler works out what is missing no more often than this while there is nothing to ask of the cloud. */
+    /** Minimum interval between runs of the autoscaler while it has no call to make. */
     private static final long AUTOSCALER_INTERVAL_MS = 2 * EventLoopPacer.TICK_MS;
-    /** The extra pause after the autoscaler has worked, in multiples of the time that it took. */
+    /** Extra pause after a run of the autoscaler, as a multiple of the run's duration. */
     private static final long AUTOSCALER_PAUSE_FACTOR = 200;
-    /** The autoscaler works only from a replica that is at most this old. */
+    /** The autoscaler doesn't run from a replica of this age or older. */
     private static final long AUTOSCALER_MAX_STATE_AGE_MS = 3000;
-    /** Candidates wait a random time below this, so that mostly one of them writes first. */
+    /** Candidates wait for a random time below this, so that usually only one of them writes first. */
     private static final long MAX_ELECTION_DELAY_MS = 150;
 
     private static final long PAUSE_AFTER_SUCCESS_MS = 10;
@@ -47,12 +47,12 @@
     private final JobApi jobApi;
     private final TransactionPipeline pipeline;
     private long lease = -1;
-    /** The term that this process has taken leadership under, or -1. */
+    /** The term under which this process has taken leadership, or -1. */
     private long leadingTerm = -1;
 
     private boolean electionPending;
     private long autoscaledAt = Times.NEVER;
-    /** The machine types that the cloud told of; stored by the first transaction that finds none stored. */
+    /** The machine types that the cloud listed; stored by the first transaction that finds none stored. */
     private List<MachineType> cloudTypes = List.of();
 
     private PeerMessage.MachineDirectory publishedDirectory;
@@ -75,12 +75,12 @@
         this.pipeline = new TransactionPipeline(context.replica(), leader);
     }
 
-    /** This process is registered under a lease; -1 when it has lost it. */
+    /** Records the lease that this process is registered under; -1 when it has lost it. */
     void onLeaseGranted(long newLease) {
         lease = newLease;
     }
 
-    /** Does what is due at the time of a cycle. */
+    /** Runs the leader's part of a cycle that began at {@code now}. */
     void run(long now) {
         if (lease < 0) {
             return;
@@ -185,7 +185,7 @@
         publishMachineDirectory();
     }
 
-    /** Partition owners learn where all machines are, so that they can take over from a dead controller at once. */
+    /** Publishes where all machines are, so that partition owners can take over from a dead controller at once. */
     private void publishMachineDirectory() {
         PeerMessage.MachineDirectory directory = peers.machineDirectory();
         if (!directory.equals(publishedDirectory)) {
@@ -200,7 +200,7 @@
 
     private void transact(long now) {
         if (state.failing()) {
-            // Nothing would be stored, and a plan from a replica that stands still would be a wrong one.
+            // Nothing would be stored, and a plan from a stale replica would be wrong.
             return;
         }
         long planAt = context.pacer().nextPlanAt();
@@ -257,7 +257,7 @@
                 : MIN_PAUSE_AFTER_FAILURE_MS + ThreadLocalRandom.current().nextLong(PAUSE_JITTER_MS);
     }
 
-    /** Tells every controller of a job's end, so that it can answer users without asking the state service. */
+    /** Publishes a job's end to all controllers, so that they can answer users without a request to the state service. */
     private void publishIfTerminated(Transaction.Op op) {
         String job = Keys.terminalJobOfKey(op.key());
         if (job != null) {
--- a/src/main/java/garnetscale/controller/LoadView.java
+++ b/src/main/java/garnetscale/controller/LoadView.java
@@ -12,10 +12,10 @@
 /**
  * The load of all machines as operators see it, from one consistent snapshot.
  *
- * @param ageMs      how long ago the snapshot was made
+ * @param ageMs      age of the snapshot in milliseconds
  * @param peakToMean the largest utilization of a group over the mean of all, rounded to hundredths
- * @param groups     sorted by name
- * @param demand     sorted by team
+ * @param groups     load of each machine group, sorted by name
+ * @param demand     demand of each team, sorted by team
  */
 record LoadView(long ageMs, double peakToMean, List<Group> groups, List<TeamDemand> demand) {
 
@@ -26,12 +26,12 @@
      * The machines of one type in one zone.
      *
      * @param serving      machines that take work
-     * @param known        whether enough is known of the group to move work into or out of it
+     * @param known        whether the group's load is known well enough to move work into or out of it
      * @param unknown      machines whose load isn't known, by reason, or {@code none}
-     * @param cpus         of the serving machines
-     * @param used         CPUs of those that are in use
+     * @param cpus         CPUs of the serving machines
+     * @param used         how many of those CPUs are in use
      * @param utilization  smoothed, from 0 to 1, rounded to hundredths
-     * @param waitingCpuS  CPU-seconds that wait for this group
+     * @param waitingCpuS  work that waits for this group, in CPU-seconds
      * @param teams        CPUs in use by team, or {@code none}
      */
     record Group(
@@ -46,10 +46,10 @@
             long waitingCpuS,
             String teams) {}
 
-    /** What a team's jobs ask for, in whole CPU-seconds. */
+    /** The demand of a team's jobs, waiting and placed, in whole CPU-seconds. */
     record TeamDemand(String team, long waitingCpuS, long placedCpuS) {}
 
-    /** The load by group and by team; {@code now} in milliseconds of the clock that the snapshot was made by. */
+    /** Returns the load by group and by team; {@code now} is in milliseconds of the clock that the snapshot was made by. */
     static LoadView of(LoadSnapshot load, long now) {
         return new LoadView(
                 now - load.at(),
@@ -86,13 +86,13 @@
         return totals.unknown().isEmpty()
                 ? NONE
                 : totals.unknown().entrySet().stream()
-                        .map(entry -> entry.getValue() + " " + statusWord(entry.getKey()))
+                        .map(entry -> entry.getValue() + " " + outerName(entry.getKey()))
                         .sorted()
                         .collect(Collectors.joining(", "));
     }
 
-    /** The word that {@code status} has for a reason, as docs/operations.md lists it; operators' scripts look for these. */
-    private static String statusWord(UnknownReason reason) {
+    /** Returns the name of a reason in {@code status}, as docs/operations.md lists it; operators' scripts match these names. */
+    private static String outerName(UnknownReason reason) {
         return switch (reason) {
             case PARTITION_REASSIGNED -> "BLOCK_REASSIGNED";
             case OWNER_UNHEARD -> "HOLDER_UNHEARD";
--- a/src/main/java/garnetscale/controller/OperatorJson.java
+++ b/src/main/java/garnetscale/controller/OperatorJson.java
@@ -10,8 +10,8 @@
 import java.io.StringWriter;
 
 /**
- * Writes the answers to operators as JSON. Keys, their order and their words are an interface: scripts of operators read
- * them, so they stay as they are where types and constants here have other names. Not thread-safe.
+ * Writes the answers to operators as JSON. Keys, their order and named values are an interface that operators' scripts read, so
+ * they stay as they are even where types and constants in the code have other names. Not thread-safe.
  */
 final class OperatorJson {
 
@@ -24,7 +24,7 @@
         json = new JsonFactory().createGenerator(text);
     }
 
-    /** Writes one view; the fields of the object around it are opened and closed by {@link #write}. */
+    /** Writes the fields of one view; {@link #write} opens and closes the object around them. */
     private interface Body {
         void write(OperatorJson out) throws IOException;
     }
@@ -38,36 +38,36 @@
             out.json.close();
             return out.text.toString();
         } catch (IOException e) {
-            throw new IllegalStateException("a text in memory can't be written", e);
+            throw new IllegalStateException("can't write JSON to a string in memory", e);
         }
     }
 
-    /** The answer to {@code status}. */
+    /** Returns the answer to {@code status}. */
     static String status(StatusView status) {
         return write(out -> out.writeStatus(status));
     }
 
-    /** The answer to {@code upgrade}: the versions after the step. */
+    /** Returns the answer to {@code upgrade}: the versions after the step. */
     static String version(StatusView.Version version) {
         return write(out -> out.writeVersion(version));
     }
 
-    /** The answer to {@code job} for a job that the replica holds. */
+    /** Returns the answer to {@code job} for a job in the replica. */
     static String job(JobDetails job) {
         return write(out -> out.writeJob(job));
     }
 
-    /** The answer to {@code job} for a job of which only its end is kept. */
+    /** Returns the answer to {@code job} for a terminal job, of which only a summary is still stored. */
     static String terminalJob(String id, Records.TerminalJob job) {
         return write(out -> out.writeTerminalJob(id, job));
     }
 
-    /** The load by itself, as it stands in the answer to {@code status}. */
+    /** Returns the load by itself, as in the answer to {@code status}. */
     static String load(LoadView load) {
         return write(out -> out.writeLoad(load));
     }
 
-    /** The answer to a request that was refused. */
+    /** Returns the answer to a request that was refused. */
     static String reason(String reason) {
         return write(out -> out.json.writeStringField("reason", reason));
     }
@@ -189,12 +189,12 @@
         json.writeNumberField("task", placement.task());
         json.writeStringField("machine", placement.machine());
         json.writeStringField("zone", placement.zone());
-        json.writeStringField("stop", statusWord(placement.stop()));
+        json.writeStringField("stop", outerName(placement.stop()));
         json.writeEndObject();
     }
 
-    /** The word that {@code job} has for a stop; operators' scripts look for these. */
-    private static String statusWord(Placement.Stop stop) {
+    /** Returns the name of a stop in the answer to {@code job}; operators' scripts match these names. */
+    private static String outerName(Placement.Stop stop) {
         return switch (stop) {
             case KEEP -> "KEEP";
             case CHECKPOINT -> "SAVE";
--- a/src/main/java/garnetscale/controller/OwnerEffectExecutor.java
+++ b/src/main/java/garnetscale/controller/OwnerEffectExecutor.java
@@ -13,8 +13,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Carries out what the owner of partitions wants done: commands and probes go to workers, status and bids to the leader, which
- * may be in this process. Lives on the event loop.
+ * Carries out the effects of the partition owner: sends commands and probes to workers, and status and bids to the leader, which
+ * may be in this process. Confined to the event loop.
  */
 final class OwnerEffectExecutor {
 
@@ -34,7 +34,7 @@
         this.peers = peers;
     }
 
-    /** Carries out everything that the owner wants done by now. */
+    /** Carries out all effects that the owner has produced since the last call. */
     void drain() {
         context.owner().drainEffects().forEach(this::execute);
     }
@@ -51,7 +51,7 @@
 
     // ---- to the leader
 
-    /** Without a leader the effect is dropped: the owner publishes everything anew to the next one. */
+    /** Sends an effect to the leader. Without a leader it is dropped: the owner publishes everything again to the next one. */
     private void sendToLeader(OwnerEffect effect) {
         LeaderInfo leader = context.replica().leader();
         if (leader == null) {
@@ -91,10 +91,11 @@
                         .run(EventLoopProfile.Activity.WORKERS, () -> onCommandsAnswered(command, result)));
     }
 
-    @SuppressWarnings("IllegalCatch") // Whatever a malformed answer makes fail, the command counts as unanswered.
+    @SuppressWarnings("IllegalCatch") // After a malformed answer, the command counts as unanswered.
     private void onCommandsAnswered(OwnerEffect.SendCommands command, HttpResult result) {
         try {
-            // A worker that has seen a newer fencing token answers with its status all the same.
+            // A worker that rejects the command with 409 has seen a newer fencing token; it answers with its status
+            // too.
             if (result.is(HttpStatus.OK) || result.is(HttpStatus.CONFLICT)) {
                 context.owner()
                         .onCommandAnswer(
@@ -121,7 +122,7 @@
                 .run(EventLoopProfile.Activity.WORKERS, () -> onProbeAnswered(probe, result)));
     }
 
-    @SuppressWarnings("IllegalCatch") // Whatever a malformed answer makes fail, the probe counts as unanswered.
+    @SuppressWarnings("IllegalCatch") // After a malformed answer, the probe counts as unanswered.
     private void onProbeAnswered(OwnerEffect.ProbeWorker probe, HttpResult result) {
         context.owner().onProbeEnded();
         try {
--- a/src/main/java/garnetscale/controller/PeerHeartbeats.java
+++ b/src/main/java/garnetscale/controller/PeerHeartbeats.java
@@ -5,34 +5,34 @@
 import java.util.Map;
 import java.util.function.Consumer;
 
-/** The latest heartbeat of each other controller, with the time at which it came. Lives on the event loop. */
+/** Keeps the latest heartbeat of each other controller and when it arrived. Confined to the event loop. */
 final class PeerHeartbeats {
 
-    /** How often a controller sends a heartbeat, in milliseconds. */
+    /** Interval at which a controller sends heartbeats. */
     static final long INTERVAL_MS = 1000;
-    /** A peer is silent after so many intervals without a heartbeat. */
+    /** A peer is silent after this many intervals without a heartbeat. */
     private static final long SILENT_INTERVALS = 4;
-    /** A peer's last heartbeat tells of its connection to the state service for so many intervals. */
-    private static final long CURRENT_INTERVALS = 3;
-    /** The state service is reached by whoever was answered within this time. */
-    private static final long MAX_STATE_AGE_MS = 3 * StateLink.CONFIRM_MS;
+    /** What a heartbeat says about its sender's connection to the state service is valid for this many intervals. */
+    private static final long VALID_INTERVALS = 3;
+    /** A controller reaches the state service if its state is younger than this. */
+    private static final long MAX_STATE_AGE_MS = 3 * StateLink.CONFIRM_INTERVAL_MS;
 
-    /** One heartbeat and the time at which it came. */
+    /** A heartbeat and when it arrived, in milliseconds of the steady clock. */
     record Received(PeerMessage.ControllerHeartbeat heartbeat, long at) {}
 
     private final Map<String, Received> latest = new HashMap<>();
 
-    /** Keeps a heartbeat; returns the one before it from the same controller, or null. */
+    /** Stores a heartbeat, and returns the previous one from the same controller, or null. */
     Received put(PeerMessage.ControllerHeartbeat heartbeat, long now) {
         return latest.put(heartbeat.node(), new Received(heartbeat, now));
     }
 
-    /** This process stood still, so that heartbeats are still to be read: counts silence from now on. */
+    /** Counts silence from now on, after a stall of this process: heartbeats that arrived meanwhile are still to be read. */
     void restartTimers(long now) {
         latest.replaceAll((peer, received) -> new Received(received.heartbeat(), now));
     }
 
-    /** Names the peers that have been silent for too long. */
+    /** Calls the action with the name of each silent peer. */
     void forEachSilent(long now, Consumer<String> action) {
         latest.forEach((peer, received) -> {
             if (now - received.at() > SILENT_INTERVALS * INTERVAL_MS) {
@@ -41,10 +41,10 @@
         });
     }
 
-    /** Whether any peer reaches the state service, by a heartbeat that still counts. */
+    /** Returns whether any peer reaches the state service, by a heartbeat that is still valid. */
     boolean anyReachesState(long now) {
         for (Received received : latest.values()) {
-            if (now - received.at() < CURRENT_INTERVALS * INTERVAL_MS
+            if (now - received.at() < VALID_INTERVALS * INTERVAL_MS
                     && reachesState(received.heartbeat().stateAgeMs())) {
                 return true;
             }
@@ -52,7 +52,11 @@
         return false;
     }
 
-    /** Whether a controller reaches the state service whose last answered request is so old. */
+    /**
+     * Returns whether a controller reaches the state service.
+     *
+     * @param stateAgeMs milliseconds since the controller sent the newest request as of which its replica is complete
+     */
     static boolean reachesState(long stateAgeMs) {
         return stateAgeMs < MAX_STATE_AGE_MS;
     }
--- a/src/main/java/garnetscale/controller/PeerMessageHandler.java
+++ b/src/main/java/garnetscale/controller/PeerMessageHandler.java
@@ -11,16 +11,19 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Exchanges messages with the other controllers: sends heartbeats, hands what comes to the role that it is for, and follows
- * links that come up or are refused. Lives on the event loop.
+ * Exchanges messages with the other controllers: sends heartbeats, dispatches received messages to the roles in this process, and
+ * reacts to links that come up or are refused. Confined to the event loop.
  */
 final class PeerMessageHandler {
 
     private static final Logger LOG = LoggerFactory.getLogger(PeerMessageHandler.class);
-    /** From this many heartbeat intervals on, a gap is a standstill: of this process if it sent late, else of the peer. */
-    private static final long STANDSTILL_INTERVALS = 2;
+    /**
+     * A gap of this many heartbeat intervals or more counts as a stall: of this process if its own heartbeat is late, otherwise
+     * of the peer.
+     */
+    private static final long STALL_INTERVALS = 2;
 
-    private static final long MAX_GAP_MS = STANDSTILL_INTERVALS * PeerHeartbeats.INTERVAL_MS;
+    private static final long MAX_GAP_MS = STALL_INTERVALS * PeerHeartbeats.INTERVAL_MS;
 
     private final ControllerContext context;
     private final StateLink state;
@@ -31,7 +34,7 @@
     private long heartbeatsSentAt;
 
     PeerMessageHandler(
-            EventLoopGroup loop,
+            EventLoopGroup eventLoopGroup,
             ControllerContext context,
             StateLink state,
             JobApi jobApi,
@@ -41,10 +44,10 @@
         this.state = state;
         this.jobApi = jobApi;
         this.heartbeats = heartbeats;
-        this.links = new PeerLinks(loop, this::onMessage, inspector, this::onLinkUp, this::onLinkRefused);
+        this.links = new PeerLinks(eventLoopGroup, this::onMessage, inspector, this::onLinkUp, this::onLinkRefused);
     }
 
-    /** Listens for the other controllers; the future fails when the address is in use. */
+    /** Listens for connections of the other controllers; the future fails if the address is in use. */
     ChannelFuture listen(String address) {
         return links.listen(address);
     }
@@ -60,30 +63,30 @@
         heartbeatsSentAt = EventLoopPacer.now();
     }
 
-    /** This process is registered under a lease; -1 when it has lost it. */
+    /** Records the lease that this process is registered under; -1 when it has lost it. */
     void onLeaseGranted(long newLease) {
         lease = newLease;
     }
 
-    /** Sends to one controller; what can't be sent is lost. */
+    /** Sends a message to one controller; a message that can't be sent is lost. */
     void send(String controller, PeerMessage message) {
         links.send(controller, message);
     }
 
-    /** Sends to all other controllers that a link is up to. */
+    /** Sends a message to every other controller whose link is up. */
     void sendAll(PeerMessage message) {
         links.sendAll(message);
     }
 
     // ---- heartbeats
 
-    /** Looks for peers that have gone silent, and sends a heartbeat to all. */
+    /** Reports silent peers to the leader role, and sends a heartbeat to all peers. */
     void sendHeartbeats() {
         long now = EventLoopPacer.now();
         long gapMs = now - heartbeatsSentAt;
         if (gapMs > MAX_GAP_MS) {
-            // It is this process that stood still: its peers' heartbeats are still to be read.
-            LOG.warn("process stood still, duration_ms={}", gapMs - PeerHeartbeats.INTERVAL_MS);
+            // This process stalled, not its peers: their heartbeats are still to be read.
+            LOG.warn("process stalled, duration_ms={}", gapMs - PeerHeartbeats.INTERVAL_MS);
             heartbeats.restartTimers(now);
         }
         heartbeatsSentAt = now;
@@ -91,7 +94,7 @@
         sendHeartbeat();
     }
 
-    /** Sends a heartbeat to all at once, as when what it says has changed. */
+    /** Sends a heartbeat to all peers at once, for example when its content has changed. */
     void sendHeartbeat() {
         links.sendAll(heartbeat());
     }
@@ -105,7 +108,7 @@
                 context.owner().isIsolatedFromWorkers());
     }
 
-    /** The leader's machine directory as of now. */
+    /** Returns the leader's current machine directory. */
     PeerMessage.MachineDirectory machineDirectory() {
         return new PeerMessage.MachineDirectory(
                 context.autoscaler().machineDirectory(),
--- a/src/main/java/garnetscale/controller/ProcessStatus.java
+++ b/src/main/java/garnetscale/controller/ProcessStatus.java
@@ -4,7 +4,7 @@
 import garnetscale.core.state.JobView;
 import garnetscale.core.state.StateReplica;
 
-/** What this process tells health checks, operators and users of itself. Changes nothing. Lives on the event loop. */
+/** The status of this process for health checks, operators and users. Only reads. Confined to the event loop. */
 final class ProcessStatus {
 
     private final StateReplica replica;
@@ -20,8 +20,9 @@
     }
 
     /**
-     * Whether this process takes requests: it knows the machine types and reaches the state service. In an outage of that for
-     * all, going out of service would only delay the return, so it stays in unless a peer does better.
+     * Returns whether this process takes requests: it knows the machine types and reaches the state service. If no controller
+     * reaches the state service, becoming unready would only delay the recovery; so a process that doesn't reach it stays ready
+     * unless a peer does.
      */
     boolean ready() {
         if (!replica.isLoaded() || replica.types().isEmpty()) {
@@ -30,12 +31,12 @@
         return PeerHeartbeats.reachesState(state.ageMs()) || !peerHeartbeats.anyReachesState(EventLoopPacer.now());
     }
 
-    /** What operators are shown of this process. */
+    /** Returns the state of this process that operators are shown. */
     ClusterInspector.ProcessView view() {
         return new ClusterInspector.ProcessView(ready(), state.ageMs(), state.rateLimits());
     }
 
-    /** Why tasks of a job wait, for its user; null when none does. */
+    /** Returns why tasks of a job wait, for its user, or null when none does. */
     String waitingReason(JobView job) {
         if (job.unstartedCount() == 0) {
             return null;
--- a/src/main/java/garnetscale/controller/ReplicaListener.java
+++ b/src/main/java/garnetscale/controller/ReplicaListener.java
@@ -1,22 +1,22 @@
 package garnetscale.controller;
 
-/** Callbacks of {@link ReplicaListing} and {@link ReplicaWatch}, which keep the replica. */
+/** Callbacks of {@link ReplicaListing} and {@link ReplicaWatch}, which keep the replica up to date. */
 interface ReplicaListener {
 
     /**
-     * The replica contains all that was stored when a request was sent.
+     * Called when the replica contains everything that was stored when a request was sent.
      *
-     * @param sentAt milliseconds of the steady clock
+     * @param sentAt when the request was sent, in milliseconds of the steady clock
      */
     void onConfirmed(long sentAt);
 
-    /** A listing has loaded the replica, which is to be watched from now on. */
+    /** Called when a listing has loaded the replica, which is to be watched from now on. */
     void onLoaded();
 
     /**
-     * The replica has been advanced to a newer revision.
+     * Called when an answer to a watch or sync has been applied to the replica.
      *
-     * @param changed whether anything that it contains has changed
+     * @param changed whether the replica's contents have changed
      */
     void onAdvanced(boolean changed);
 }
--- a/src/main/java/garnetscale/controller/ReplicaListing.java
+++ b/src/main/java/garnetscale/controller/ReplicaListing.java
@@ -13,8 +13,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Loads the replica by listing everything in pages, again and again until it has a consistent listing that it can read. While
- * it is running the replica isn't complete, whatever a watch says that was sent before.
+ * Loads the replica by listing all replicated keys in pages, and repeats this until a listing is consistent and readable. While
+ * it is running the replica isn't complete, even if a watch that was sent earlier is answered.
  */
 final class ReplicaListing {
 
@@ -23,7 +23,7 @@
     private static final long PAGE_TIMEOUT_MS = 2 * StateConnection.TIMEOUT_MS;
     private static final long RETRY_MS = 500;
     private static final long INCONSISTENT_RETRY_MS = 300;
-    /** How often a store that can't be read is read again. */
+    /** Delay before listing again while a stored record is unreadable. */
     private static final long UNREADABLE_RETRY_MS = 2000;
 
     private static final long NO_REVISION = -1;
@@ -32,7 +32,7 @@
     private final StateReplica replica;
     private final ReplicaListener listener;
     private boolean running;
-    /** The record that was last logged as unreadable. */
+    /** The record that was last logged as unreadable, or null. */
     private String reportedUnreadable;
 
     ReplicaListing(StateConnection connection, StateReplica replica, ReplicaListener listener) {
@@ -46,18 +46,18 @@
         return running;
     }
 
-    /** Starts to load the replica again from its first page. */
+    /** Starts loading the replica from its first page. */
     void start() {
         running = true;
         listPage("", new ArrayList<>(), NO_REVISION);
     }
 
     /**
-     * Asks for the next page.
+     * Requests the next page.
      *
-     * @param since    the last key of the page before, empty for the first page
-     * @param listed   the pages before
-     * @param revision the revision of the first page, negative for the first page
+     * @param since    the last key of the previous page, or empty for the first page
+     * @param listed   the entries of all previous pages
+     * @param revision the revision of the first page, or negative when this is the first page
      */
     private void listPage(String since, List<KeyChange> listed, long revision) {
         String path = StateCodec.listingPath(Keys.REPLICATED, PAGE_KEYS, since);
@@ -89,7 +89,7 @@
         if (replica.unreadable() != null) {
             retryUnreadable();
         } else if (replica.isInconsistent()) {
-            LOG.info("listing is inconsistent and is read again, revision={}", firstRevision);
+            LOG.info("listing is inconsistent, listing again, revision={}", firstRevision);
             connection.retryAfter(INCONSISTENT_RETRY_MS, this::start);
         } else {
             onConsistentListing(listed.size(), revision, firstRevision, sentAt);
@@ -99,15 +99,19 @@
     private void onConsistentListing(int keys, long revision, long firstRevision, long sentAt) {
         running = false;
         LOG.info("replica is loaded, keys={} revision={}", keys, firstRevision);
-        // Several pages are of different moments: the replica isn't complete before the watch has brought what came
-        // between.
+        // A negative revision means that the first page was the only one. Several pages are read at different moments:
+        // the
+        // replica isn't complete until the watch has brought the changes in between.
         if (revision < 0) {
             listener.onConfirmed(sentAt);
         }
         listener.onLoaded();
     }
 
-    /** What is stored can't be read: nothing is decided until it can, since operators may activate the version before. */
+    /**
+     * Lists again until every stored record is readable. This controller decides nothing until then. A record may become
+     * readable again, since operators may activate the previous version.
+     */
     void waitUntilReadable() {
         running = true;
         retryUnreadable();
@@ -117,7 +121,7 @@
         if (!replica.unreadable().equals(reportedUnreadable)) {
             reportedUnreadable = replica.unreadable();
             LOG.error(
-                    "stored record is unreadable and this controller decides nothing until it can read it, record={}",
+                    "stored record is unreadable, controller is passive until it can be read, record={}",
                     reportedUnreadable);
         }
         connection.retryAfter(UNREADABLE_RETRY_MS, this::start);
--- a/src/main/java/garnetscale/controller/ReplicaWatch.java
+++ b/src/main/java/garnetscale/controller/ReplicaWatch.java
@@ -16,8 +16,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Advances the replica by what has changed since its revision: by a watch that is always open, and by syncs, which bring it up
- * to date at once. Both are within this controller's part of the limit on watches, and pause while a listing is running.
+ * Advances the replica by the changes since its revision. A watch is always open; a sync brings the replica up to date at once.
+ * Both stay within this controller's share of the limit on watches, and pause while a listing is running.
  */
 final class ReplicaWatch {
 
@@ -28,22 +28,22 @@
     private static final long WATCH_TIMEOUT_MS = WATCH_MS + StateConnection.TIMEOUT_MS;
     private static final long WATCH_RETRY_MS = 300;
     private static final long SYNC_TIMEOUT_MS = 1500;
-    /** The service no longer has the changes since the revision that was asked for. */
+    /** The service's status when it no longer has the changes since the requested revision. */
     private static final int GONE = 410;
 
     private final StateConnection connection;
     private final StateReplica replica;
     private final ReplicaListing listing;
     private final ReplicaListener listener;
-    private final TokenBucket budget;
-    private List<Consumer<Boolean>> waitingForSync = new ArrayList<>();
+    private final TokenBucket bucket;
+    private List<Consumer<Boolean>> pendingSyncs = new ArrayList<>();
     private boolean syncing;
     private boolean syncScheduled;
 
     /**
-     * A watch that isn't open yet.
+     * Creates a watch that isn't open yet.
      *
-     * @param perS how many watches and syncs may be sent in a second
+     * @param perS limit on watches and syncs together, in requests per second
      */
     ReplicaWatch(
             StateConnection connection,
@@ -55,26 +55,26 @@
         this.replica = replica;
         this.listing = listing;
         this.listener = listener;
-        this.budget = new TokenBucket(perS, perS, connection.now());
+        this.bucket = new TokenBucket(perS, perS, connection.now());
     }
 
-    /** What may be sent now, for operators. */
-    Map<String, Object> budget() {
-        return connection.describe(budget);
+    /** Returns how many requests may be sent now and at which rate, for operators. */
+    Map<String, Object> rateLimit() {
+        return connection.describe(bucket);
     }
 
-    /** Opens the watch, and goes on until a listing is running; to be called again after each listing. */
+    /** Opens the watch and reopens it until a listing is running; to be called again after each listing. */
     void watch() {
         if (listing.isRunning()) {
             return;
         }
-        long waitMs = budget.waitMs(connection.now(), 1);
+        long waitMs = bucket.waitMs(connection.now(), 1);
         if (waitMs > 0) {
             connection.after(waitMs, this::watch);
             return;
         }
-        budget.force(connection.now(), 1);
-        follow(WATCH_MS, WATCH_TIMEOUT_MS, complete -> {
+        bucket.force(connection.now(), 1);
+        fetchChanges(WATCH_MS, WATCH_TIMEOUT_MS, complete -> {
             if (!listing.isRunning()) {
                 if (complete) {
                     watch();
@@ -86,65 +86,67 @@
     }
 
     /**
-     * Calls back once the replica is as new as a request sent after this call; with false when it can't be, at once if the
-     * service is failing.
+     * Brings the replica up to date by a request sent after this call.
+     *
+     * @param done receives true once the replica is as new as that request, or false if it can't be; false at once if the
+     *             service is failing and a sync is already in flight
      */
     void sync(Consumer<Boolean> done) {
         if (connection.failing() && syncing) {
             done.accept(false);
             return;
         }
-        waitingForSync.add(done);
-        syncWaiting();
+        pendingSyncs.add(done);
+        sendPendingSyncs();
     }
 
-    /** Sends one request for all that wait; those that come meanwhile wait for the next one. */
-    void syncWaiting() {
-        if (syncing || syncScheduled || waitingForSync.isEmpty()) {
+    /** Sends one request for all pending syncs; syncs requested while it is in flight wait for the next request. */
+    void sendPendingSyncs() {
+        if (syncing || syncScheduled || pendingSyncs.isEmpty()) {
             return;
         }
         if (listing.isRunning()) {
             if (connection.failing()) {
-                takeWaiting().forEach(done -> done.accept(false));
+                takePendingSyncs().forEach(done -> done.accept(false));
             }
             return;
         }
-        long waitMs = budget.waitMs(connection.now(), 1);
+        long waitMs = bucket.waitMs(connection.now(), 1);
         if (waitMs > 0) {
             syncScheduled = true;
             connection.after(waitMs, () -> {
                 syncScheduled = false;
-                syncWaiting();
+                sendPendingSyncs();
             });
             return;
         }
-        budget.force(connection.now(), 1);
+        bucket.force(connection.now(), 1);
         syncing = true;
-        List<Consumer<Boolean>> batch = takeWaiting();
-        follow(0, SYNC_TIMEOUT_MS, complete -> {
+        List<Consumer<Boolean>> batch = takePendingSyncs();
+        fetchChanges(0, SYNC_TIMEOUT_MS, complete -> {
             syncing = false;
             batch.forEach(done -> done.accept(complete));
-            syncWaiting();
+            sendPendingSyncs();
         });
     }
 
-    private List<Consumer<Boolean>> takeWaiting() {
-        List<Consumer<Boolean>> batch = waitingForSync;
-        waitingForSync = new ArrayList<>();
+    private List<Consumer<Boolean>> takePendingSyncs() {
+        List<Consumer<Boolean>> batch = pendingSyncs;
+        pendingSyncs = new ArrayList<>();
         return batch;
     }
 
     /**
-     * Asks for the changes since the replica's revision and applies them.
+     * Requests the changes since the replica's revision and applies them.
      *
-     * @param waitMs how long the service waits for a change
-     * @param done   gets whether the replica is complete as of this request
+     * @param waitMs how long the service waits for a change before it answers, in milliseconds
+     * @param done   receives whether the replica is complete as of this request
      */
-    private void follow(long waitMs, long timeoutMs, Consumer<Boolean> done) {
+    private void fetchChanges(long waitMs, long timeoutMs, Consumer<Boolean> done) {
         long sentAt = connection.now();
         String path = StateCodec.watchPath(Keys.REPLICATED, replica.revision(), waitMs);
         connection.call(HttpMethod.GET, path, null, timeoutMs, result -> {
-            // Too old, or more than this process takes at once: a listing comes in pages.
+            // The revision is too old, or the answer is longer than this process accepts; a listing comes in pages.
             if (result.is(GONE) || result.outcome() == HttpResult.Outcome.TOO_LONG) {
                 if (!listing.isRunning()) {
                     listing.start();
@@ -166,7 +168,7 @@
         });
     }
 
-    /** A replica that is being loaded isn't complete as of an answer, nor is it changed by one. */
+    /** Applies an answer's changes. While a listing is running, the answer neither changes nor confirms the replica. */
     private void onChanges(StateCodec.Batch batch, long sentAt) {
         connection.onAnswered();
         boolean changed = !listing.isRunning()
@@ -176,7 +178,7 @@
             listing.waitUntilReadable();
         }
         if (!listing.isRunning() && replica.isInconsistent()) {
-            LOG.info("watch has lost entries and the replica is listed again, revision={}", replica.revision());
+            LOG.info("entries are missing after a watch, listing the replica again, revision={}", replica.revision());
             listing.start();
         }
         if (!listing.isRunning()) {
--- a/src/main/java/garnetscale/controller/RequestAdmission.java
+++ b/src/main/java/garnetscale/controller/RequestAdmission.java
@@ -4,19 +4,19 @@
 import garnetscale.core.state.StateReplica;
 
 /**
- * Limits how many users' requests wait for the state service at a time: more of them would only be answered late. Lives on the
- * event loop.
+ * Limits how many users' requests wait for the state service at the same time: further requests would only be answered late.
+ * Confined to the event loop.
  */
 final class RequestAdmission {
 
-    /** The share of the limit that any request may use. */
-    static final double ALL = 1;
-    /** The share that look-ups may use, so that submissions and cancellations still find room. */
-    static final double LOOKUPS = 0.75;
-
-    /** The part of the process's sockets whose users may wait, and the least number of them. */
-    private static final int SOCKETS_PER_WAITING = 8;
+    /** Share of the limit that any request may use. */
+    static final double FULL_SHARE = 1;
+    /** Share of the limit that look-ups may use, so that submissions and cancellations are still admitted. */
+    static final double LOOKUP_SHARE = 0.75;
 
+    /** How many connections the process may have for each request that may wait. */
+    private static final int CONNECTIONS_PER_WAITING_REQUEST = 8;
+    /** The least value of the limit on waiting requests. */
     private static final int MIN_LIMIT = 8;
 
     private final StateReplica replica;
@@ -27,20 +27,20 @@
     RequestAdmission(SchedulerConfig config, StateReplica replica, JobApi.Store store) {
         this.replica = replica;
         this.store = store;
-        this.limit = Math.max(MIN_LIMIT, config.maxConnections() / SOCKETS_PER_WAITING);
+        this.limit = Math.max(MIN_LIMIT, config.maxConnections() / CONNECTIONS_PER_WAITING_REQUEST);
     }
 
-    /** Whether a request that may use this share of the limit can be served by way of the state service now. */
+    /** Returns whether a request that may use this share of the limit can be served from the state service now. */
     boolean admits(double share) {
         return replica.isLoaded() && !store.failing() && waiting <= share * limit;
     }
 
-    /** A request begins to wait for the state service. */
+    /** Records that a request begins to wait for the state service. */
     void begin() {
         waiting++;
     }
 
-    /** A request has been answered by the state service, or can't be. */
+    /** Records that a request has been answered by the state service, or can't be. */
     void end() {
         waiting--;
     }
--- a/src/main/java/garnetscale/controller/RequestRouter.java
+++ b/src/main/java/garnetscale/controller/RequestRouter.java
@@ -11,7 +11,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Routes HTTP requests: heartbeats of workers, readiness checks, and the job API. Lives on the event loop. */
+/** Routes HTTP requests: heartbeats of workers, readiness checks, and the job API. Confined to the event loop. */
 final class RequestRouter implements HttpServer.Handler {
 
     private static final Logger LOG = LoggerFactory.getLogger(RequestRouter.class);
@@ -38,7 +38,7 @@
                         () -> route(method, path, body, answer));
     }
 
-    @SuppressWarnings("IllegalCatch") // A request that trips a fault must be answered, and the others go on.
+    @SuppressWarnings("IllegalCatch") // A request that fails must be answered, and mustn't affect others.
     private void route(String method, String path, byte[] body, Consumer<Reply> answer) {
         try {
             if (path.equals(HttpServer.WORKER_HEARTBEAT_PATH)) {
@@ -63,7 +63,7 @@
         return status.ready() ? HttpStatus.OK : HttpStatus.UNAVAILABLE;
     }
 
-    @SuppressWarnings("IllegalCatch") // Whatever a malformed heartbeat makes fail, it is answered with 400.
+    @SuppressWarnings("IllegalCatch") // A malformed heartbeat is answered with 400, whichever exception it causes.
     private Reply onHeartbeat(byte[] body) {
         WorkerHeartbeat heartbeat;
         try {
--- a/src/main/java/garnetscale/controller/SessionLease.java
+++ b/src/main/java/garnetscale/controller/SessionLease.java
@@ -16,8 +16,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Keeps this process's lease alive, and its record among the live controllers that is attached to it. The lease counts as
- * granted once the replica shows that record; its number is the process's incarnation.
+ * Keeps this process's lease alive, and with it the process's record among the live controllers, which is attached to the lease.
+ * The lease counts as granted once the replica shows that record. The lease's number is the process's incarnation.
  */
 final class SessionLease {
 
@@ -50,7 +50,7 @@
         this.listener = listener;
     }
 
-    /** Asks for a lease until one is granted, and registers this process with it. */
+    /** Requests a lease until one is granted, and registers this process under it. */
     void acquire() {
         connection.call(
                 HttpMethod.POST,
@@ -75,7 +75,7 @@
         }
     }
 
-    /** Puts this process among the live controllers; a late record of an earlier process is overwritten. */
+    /** Stores this process's record among the live controllers, overwriting a stale record of an earlier process. */
     private void register() {
         if (lease < 0 || registering || !replica.isLoaded() || isRegistered()) {
             return;
@@ -109,16 +109,17 @@
     }
 
     private void onExpired() {
-        LOG.info("lease has expired and a new one is acquired, lease={}", lease);
+        LOG.info("lease expired, acquiring a new one, lease={}", lease);
         lease = NO_LEASE;
         listener.onLeaseGranted(NO_LEASE);
         acquire();
     }
 
-    /** Sends a keep-alive. */
+    /** Sends a keep-alive for the lease. */
     void renew() {
-        // A controller that can't read what is stored decides nothing; others get its partitions once its lease
-        // expires.
+        // A controller that can't read a stored record decides nothing. It lets its lease expire, so that others get
+        // its
+        // partitions.
         if (lease < 0 || replica.unreadable() != null) {
             return;
         }
@@ -144,12 +145,12 @@
         }
     }
 
-    /** Whether the lease that was last announced is the present one; not so from its expiry until the next one is announced. */
+    /** Returns whether the last announced lease is the current one; false from its expiry until the next is announced. */
     boolean isAnnounced() {
         return announcedLease == lease;
     }
 
-    /** Tells the listener of the lease once the replica shows it, or registers again. */
+    /** Announces the lease to the listener once the replica shows the registration, or registers again. */
     void onReplicaAdvanced() {
         boolean registered = lease >= 0 && isRegistered();
         if (registered && announcedLease != lease) {
--- a/src/main/java/garnetscale/controller/StateConnection.java
+++ b/src/main/java/garnetscale/controller/StateConnection.java
@@ -9,21 +9,22 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Requests to the state service, time, and whether the service has answered lately. */
+/** Sends requests to the state service, runs timers, and tracks whether the service is failing. */
 final class StateConnection {
 
-    /** How long a request may take unless it waits for changes. */
+    /** Timeout of a request that doesn't wait for changes. */
     static final long TIMEOUT_MS = 2000;
 
     private static final Logger LOG = LoggerFactory.getLogger(StateConnection.class);
-    /** For so long requests may fail before the service counts as failing. */
+    /** How long requests may fail before the service counts as failing. */
     private static final long TOLERATED_FAILURE_MS = 300;
 
-    private static final long ANSWERING = -1;
+    /** Value of {@link #failingSince} while requests are answered. */
+    private static final long NOT_FAILING = -1;
 
     private final StateLink.Io io;
     private final RandomGenerator random;
-    private long failingSince = ANSWERING;
+    private long failingSince = NOT_FAILING;
     private boolean stopped;
 
     StateConnection(StateLink.Io io, RandomGenerator random) {
@@ -31,7 +32,7 @@
         this.random = random;
     }
 
-    /** The process ends: connections that fail from now on are its own doing, and not worth a log line. */
+    /** Stops logging failures: the process is ending, and closes its connections itself. */
     void stop() {
         stopped = true;
     }
@@ -40,49 +41,49 @@
         return io.now();
     }
 
-    /** Sends a request; {@code body} may be null. Calls back once. */
+    /** Sends a request and calls back exactly once; {@code body} is null for a request without one. */
     void call(HttpMethod method, String path, byte[] body, long timeoutMs, Consumer<HttpResult> done) {
         io.call(method, path, body, timeoutMs, done);
     }
 
-    void after(long ms, Runnable run) {
-        io.after(ms, run);
+    void after(long ms, Runnable task) {
+        io.after(ms, task);
     }
 
-    /** Runs it again after half to all of the time, so that controllers don't retry in step. */
-    void retryAfter(long ms, Runnable run) {
-        io.after(ms / 2 + random.nextLong(ms / 2 + 1), run);
+    /** Runs a task after a random delay of half to all of {@code ms}, so that controllers don't retry in step. */
+    void retryAfter(long ms, Runnable task) {
+        io.after(ms / 2 + random.nextLong(ms / 2 + 1), task);
     }
 
-    void every(long ms, Runnable run) {
+    void every(long ms, Runnable task) {
         io.after(ms, () -> {
-            run.run();
-            every(ms, run);
+            task.run();
+            every(ms, task);
         });
     }
 
-    /** What may be sent now of a part of the limits, and at which rate, for operators. */
-    Map<String, Object> describe(TokenBucket budget) {
-        return Map.of("available", budget.available(now()), "per_s", budget.ratePerS());
+    /** Returns how much a token bucket allows now and its rate in a second, for operators. */
+    Map<String, Object> describe(TokenBucket bucket) {
+        return Map.of("available", bucket.available(now()), "per_s", bucket.ratePerS());
     }
 
-    /** Whether requests have been failing for some time. */
+    /** Returns whether requests have been failing for longer than is tolerated. */
     boolean failing() {
         return failingSince >= 0 && now() - failingSince > TOLERATED_FAILURE_MS;
     }
 
-    /** A request was answered. */
+    /** Records that a request was answered. */
     void onAnswered() {
         if (failing()) {
             LOG.info("state service answers again, failed_ms={}", now() - failingSince);
         }
-        failingSince = ANSWERING;
+        failingSince = NOT_FAILING;
     }
 
     /**
-     * A request was refused or not answered.
+     * Records that a request was refused or not answered.
      *
-     * @param request what was asked, for the log
+     * @param request the kind of request, for the log
      */
     void onFailed(String request, HttpResult result) {
         if (failingSince < 0 && !stopped) {
--- a/src/main/java/garnetscale/controller/StateLink.java
+++ b/src/main/java/garnetscale/controller/StateLink.java
@@ -15,45 +15,54 @@
 import java.util.random.RandomGenerator;
 
 /**
- * The only way to the state service. It keeps the process's lease and its replica, and sends everything else within this
- * controller's part of the limits. Each part of it is a module of its own; all run on the controller's event loop.
+ * Owns all communication of this process with the state service. Keeps the process's lease and its replica, and sends all other
+ * requests within this controller's share of the service's rate limits. Each of these duties has a module of its own; all modules
+ * run on the controller's event loop.
  */
 final class StateLink implements JobApi.Store, ReplicaListener {
 
-    /** What the link tells the controller. */
+    /** Callbacks of the link to the controller. */
     interface Listener {
-        /** The replica has changed. */
+        /** Called when the replica has changed, and on each confirmation while the current lease isn't announced yet. */
         void onReplicaAdvanced();
 
-        /** The replica contains all that was stored when a request was sent, by the steady clock. */
+        /**
+         * Called when the replica contains everything that was stored when a request was sent.
+         *
+         * @param sentAt when the request was sent, in milliseconds of the steady clock
+         */
         void onReplicaConfirmed(long sentAt);
 
-        /** This process is registered under a lease, or has lost it (negative). */
+        /**
+         * Called when this process is registered under a lease, or has lost its lease.
+         *
+         * @param lease the number of the lease, or a negative number when it is lost
+         */
         void onLeaseGranted(long lease);
     }
 
-    /** The connection to the service, and time. */
+    /** The transport to the service, the clock and the timers. */
     interface Io {
-        /** Milliseconds of a steady clock. */
+        /** Returns the milliseconds of a steady clock. */
         long now();
 
-        /** Runs something on the event loop after so many milliseconds. */
-        void after(long ms, Runnable run);
+        /** Runs a task on the event loop after a delay in milliseconds. */
+        void after(long ms, Runnable task);
 
-        /** Sends a request; {@code body} may be null. Calls back once. */
+        /** Sends a request and calls back exactly once; {@code body} is null for a request without one. */
         void call(HttpMethod method, String path, byte[] body, long timeoutMs, Consumer<HttpResult> done);
     }
 
-    /** How often the replica is confirmed when nobody asks. */
-    static final long CONFIRM_MS = 500;
+    /** Interval of the periodic syncs, which confirm the replica even if nothing else requests a sync. */
+    static final long CONFIRM_INTERVAL_MS = 500;
 
-    /** Shares of the request limit that each kind of request may use: all controllers together stay below it. */
+    /** Shares of this controller's request rate for watches and reads: all controllers together stay below the limit. */
     private static final double WATCH_SHARE = 0.45;
 
     private static final double READ_SHARE = 0.25;
-    /** A lease is renewed so often in its time. */
+    /** Keep-alives per lease duration. */
     private static final int RENEWALS_PER_LEASE = 4;
-    /** The age of a replica that was never confirmed: older than any bound. */
+    /** The age of a replica that was never confirmed: above every bound on the age. */
     private static final long UNCONFIRMED_AGE_MS = 1_000_000;
 
     private final SchedulerConfig config;
@@ -83,24 +92,24 @@
         session.acquire();
         listing.start();
         connection.every(config.controllerLeaseMs() / RENEWALS_PER_LEASE, session::renew);
-        connection.every(CONFIRM_MS, () -> sync(complete -> {}));
+        connection.every(CONFIRM_INTERVAL_MS, () -> sync(complete -> {}));
     }
 
-    /** The process ends: requests that fail from now on aren't logged. */
+    /** Stops logging failed requests, since the process is ending. */
     void stop() {
         connection.stop();
     }
 
-    /** What may be sent now of each part of the limits, and at which rate, for operators. */
+    /** Returns how much may be sent now and at which rate, by kind of request, for operators. */
     Map<String, Object> rateLimits() {
-        Map<String, Object> budgets = new LinkedHashMap<>();
-        budgets.put("watches", watch.budget());
-        budgets.put("reads", reads.budget());
-        transactions.addBudgets(budgets);
-        return budgets;
+        Map<String, Object> limits = new LinkedHashMap<>();
+        limits.put("watches", watch.rateLimit());
+        limits.put("reads", reads.rateLimit());
+        transactions.addRateLimits(limits);
+        return limits;
     }
 
-    /** How many milliseconds ago the newest request was sent as of which the replica is complete. */
+    /** Returns the milliseconds since the sending of the newest request as of which the replica is complete. */
     long ageMs() {
         return connection.now() - confirmedAt;
     }
@@ -117,7 +126,7 @@
     public void onLoaded() {
         onChanged();
         watch.watch();
-        watch.syncWaiting();
+        watch.sendPendingSyncs();
     }
 
     @Override
@@ -132,7 +141,7 @@
         listener.onReplicaAdvanced();
     }
 
-    // ---- what the controller asks for
+    // ---- requests of the controller
 
     @Override
     public boolean failing() {
@@ -145,13 +154,13 @@
     }
 
     @Override
-    public void whenReadable(Runnable run) {
-        reads.whenReadable(run);
+    public void whenReadAllowed(Runnable task) {
+        reads.whenReadAllowed(task);
     }
 
     @Override
-    public void present(List<String> keys, Consumer<Set<String>> done) {
-        reads.present(keys, done);
+    public void findExisting(List<String> keys, Consumer<Set<String>> done) {
+        reads.findExisting(keys, done);
     }
 
     @Override
@@ -159,7 +168,7 @@
         reads.get(key, done);
     }
 
-    /** Sends a leader's transaction once the limits allow it. */
+    /** Sends a transaction of the leader once the limit on writes allows it. */
     void sendAsLeader(Transaction transaction, BiConsumer<TransactionOutcome, Long> done) {
         transactions.sendAsLeader(transaction, done);
     }
@@ -169,7 +178,7 @@
         transactions.submit(transaction, done);
     }
 
-    /** Sends a transaction that can't wait, such as an election: see {@link StateTransactions#send}. */
+    /** Sends at once a transaction that can't wait, such as an election; see {@link StateTransactions#send}. */
     void send(Transaction transaction, BiConsumer<TransactionOutcome, Long> done) {
         transactions.send(transaction, done);
     }
--- a/src/main/java/garnetscale/controller/StateReads.java
+++ b/src/main/java/garnetscale/controller/StateReads.java
@@ -13,42 +13,42 @@
 import java.util.function.BiConsumer;
 import java.util.function.Consumer;
 
-/** Reads of keys that aren't replicated, which are those of terminal jobs, within this controller's part of the limit. */
+/** Reads keys that aren't replicated, which are those of terminal jobs, within this controller's share of the limit. */
 final class StateReads {
 
     private static final long READ_TIMEOUT_MS = 1500;
 
     private final StateConnection connection;
-    private final TokenBucket budget;
+    private final TokenBucket bucket;
 
     /**
-     * Reads within a rate.
+     * Creates a reader with a rate limit.
      *
-     * @param perS how many requests may be sent in a second
+     * @param perS limit on reads, in requests per second
      */
     StateReads(StateConnection connection, double perS) {
         this.connection = connection;
-        this.budget = new TokenBucket(perS, perS, connection.now());
+        this.bucket = new TokenBucket(perS, perS, connection.now());
     }
 
-    /** What may be sent now, for operators. */
-    Map<String, Object> budget() {
-        return connection.describe(budget);
+    /** Returns how many reads may be sent now and at which rate, for operators. */
+    Map<String, Object> rateLimit() {
+        return connection.describe(bucket);
     }
 
-    /** Runs it as soon as a read may be sent. */
-    void whenReadable(Runnable run) {
-        long waitMs = budget.waitMs(connection.now(), 1);
+    /** Runs a task as soon as the rate limit allows a read. */
+    void whenReadAllowed(Runnable task) {
+        long waitMs = bucket.waitMs(connection.now(), 1);
         if (waitMs > 0) {
-            connection.after(waitMs, () -> whenReadable(run));
+            connection.after(waitMs, () -> whenReadAllowed(task));
         } else {
-            run.run();
+            task.run();
         }
     }
 
-    /** Calls back with those of the keys that exist, or with null when it isn't known. */
-    void present(List<String> keys, Consumer<Set<String>> done) {
-        budget.force(connection.now(), 1);
+    /** Finds existing keys; see {@link TerminalJobIndex.Store#findExisting}. */
+    void findExisting(List<String> keys, Consumer<Set<String>> done) {
+        bucket.force(connection.now(), 1);
         Transaction absent = new Transaction();
         keys.forEach(key -> absent.guard(key, 0));
         connection.call(
@@ -56,10 +56,10 @@
                 StateCodec.TRANSACTION_PATH,
                 StateCodec.transaction(absent),
                 READ_TIMEOUT_MS,
-                result -> onPresence(result, done));
+                result -> onExistenceAnswered(result, done));
     }
 
-    private static void onPresence(HttpResult result, Consumer<Set<String>> done) {
+    private static void onExistenceAnswered(HttpResult result, Consumer<Set<String>> done) {
         try {
             done.accept(
                     result.is(HttpStatus.OK)
@@ -70,9 +70,9 @@
         }
     }
 
-    /** Calls back with whether the answer is known, and with the stored value, null when the key doesn't exist. */
+    /** Reads a key; see {@link TerminalJobIndex.Store#get}. */
     void get(String key, BiConsumer<Boolean, Object> done) {
-        budget.force(connection.now(), 1);
+        bucket.force(connection.now(), 1);
         connection.call(
                 HttpMethod.GET, StateCodec.keyPath(key), null, READ_TIMEOUT_MS, result -> onValue(result, done));
     }
--- a/src/main/java/garnetscale/controller/StateTransactions.java
+++ b/src/main/java/garnetscale/controller/StateTransactions.java
@@ -16,61 +16,62 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Sends transactions within this controller's part of the limit on changes: the leader's wait, submissions are refused at
- * once, and those that can't wait aren't counted. What a transaction did shows in the replica by a watch, not here.
+ * Sends transactions within this controller's share of the limit on writes. Above the limit, the leader's transactions wait and
+ * submissions are refused at once; transactions that can't wait aren't counted. The effect of a transaction reaches the replica
+ * by a watch, not through this class.
  */
 final class StateTransactions {
 
     private static final Logger LOG = LoggerFactory.getLogger(StateTransactions.class);
-    /** What may be saved up of the rates, in seconds. */
+    /** Capacities of the token buckets, in seconds at their rates. */
     private static final double LEADER_BURST_S = 0.8;
 
     private static final double SUBMISSIONS_BURST_S = 1.6;
-    /** The service refuses a request over its limit. */
+    /** The service's status for a request above its rate limit. */
     private static final int TOO_MANY_REQUESTS = 429;
-    /** Instead of a revision where there is none. */
+    /** Passed in place of a revision when there is none. */
     private static final long NO_REVISION = -1;
 
     private final StateConnection connection;
     private final StateReplica replica;
     private final WriteRateAllocator rates;
-    private final TokenBucket leaderBudget;
-    private final TokenBucket submissionBudget;
+    private final TokenBucket leaderBucket;
+    private final TokenBucket submissionBucket;
 
     StateTransactions(SchedulerConfig config, StateConnection connection, StateReplica replica) {
         this.connection = connection;
         this.replica = replica;
         this.rates = new WriteRateAllocator(config.stateWritesPerS());
         long now = connection.now();
-        this.leaderBudget = new TokenBucket(rates.leaderPerS(), LEADER_BURST_S * rates.leaderPerS(), now);
-        this.submissionBudget = new TokenBucket(1, 1, now);
+        this.leaderBucket = new TokenBucket(rates.leaderPerS(), LEADER_BURST_S * rates.leaderPerS(), now);
+        this.submissionBucket = new TokenBucket(1, 1, now);
     }
 
-    /** Adds what may be sent now, for operators. */
-    void addBudgets(Map<String, Object> budgets) {
-        budgets.put("leader_changes", connection.describe(leaderBudget));
-        budgets.put("submissions", connection.describe(submissionBudget));
+    /** Adds the rate limits of transactions to those shown to operators. */
+    void addRateLimits(Map<String, Object> limits) {
+        limits.put("leader_changes", connection.describe(leaderBucket));
+        limits.put("submissions", connection.describe(submissionBucket));
     }
 
-    /** Sends a leader's transaction once the limits allow it. */
+    /** Sends a transaction of the leader once the limit on writes allows it. */
     void sendAsLeader(Transaction transaction, BiConsumer<TransactionOutcome, Long> done) {
         if (rates.observe(connection.now(), replica.jobsAdded())) {
-            leaderBudget.resize(rates.leaderPerS(), LEADER_BURST_S * rates.leaderPerS());
+            leaderBucket.resize(rates.leaderPerS(), LEADER_BURST_S * rates.leaderPerS());
         }
-        long waitMs = leaderBudget.waitMs(connection.now(), transaction.ops().size());
+        long waitMs = leaderBucket.waitMs(connection.now(), transaction.ops().size());
         if (waitMs > 0) {
             connection.after(waitMs, () -> sendAsLeader(transaction, done));
             return;
         }
-        leaderBudget.force(connection.now(), transaction.ops().size());
+        leaderBucket.force(connection.now(), transaction.ops().size());
         send(transaction, done);
     }
 
-    /** Sends a user's transaction, or refuses it at once when the limits are used up. */
+    /** Sends a user's transaction, or refuses it at once when the limit on writes is used up. */
     void submit(Transaction transaction, BiConsumer<TransactionOutcome, Long> done) {
         double perS = rates.submissionsPerS(replica.controllers().size());
-        submissionBudget.resize(perS, SUBMISSIONS_BURST_S * perS);
-        if (!submissionBudget.take(connection.now(), transaction.ops().size())) {
+        submissionBucket.resize(perS, SUBMISSIONS_BURST_S * perS);
+        if (!submissionBucket.take(connection.now(), transaction.ops().size())) {
             done.accept(TransactionOutcome.REFUSED, NO_REVISION);
             return;
         }
@@ -78,10 +79,11 @@
     }
 
     /**
-     * Sends a transaction at once. Like every change it fails where another version of the stored state has become active
-     * than the replica shows, and isn't sent at all by a controller that can't read what is stored.
+     * Sends a transaction at once. Like every change, it is guarded by the active version of the stored state, and fails if
+     * another version has become active than the replica shows. A controller that can't read a stored record, or whose replica
+     * isn't loaded for another reason, doesn't send it; the outcome is then {@code REFUSED}.
      *
-     * @param done gets the outcome, and the revision of the answer or a negative number
+     * @param done receives the outcome, and the revision of the answer or a negative number if it has none
      */
     void send(Transaction transaction, BiConsumer<TransactionOutcome, Long> done) {
         if (!replica.isLoaded()) {
@@ -112,7 +114,7 @@
             connection.onAnswered();
             done.accept(TransactionOutcome.CONFLICT, StateCodec.revision(result.body()));
         } else if (result.is(HttpStatus.BAD_REQUEST)) {
-            LOG.debug("transaction names a lease that has expired or is malformed, transaction={}", transaction);
+            LOG.debug("transaction rejected as malformed or for an expired lease, transaction={}", transaction);
             done.accept(TransactionOutcome.NO_LEASE, NO_REVISION);
         } else if (result.outcome() == HttpResult.Outcome.NO_ANSWER || result.mayHaveBeenApplied()) {
             connection.onFailed("transaction", result);
@@ -125,7 +127,7 @@
 
     private void onRefused(HttpResult result) {
         if (result.is(TOO_MANY_REQUESTS)) {
-            LOG.debug("state service refuses a transaction over its limit");
+            LOG.debug("transaction rejected by the state service's rate limit");
         } else {
             connection.onFailed("transaction", result);
         }
--- a/src/main/java/garnetscale/controller/StatusView.java
+++ b/src/main/java/garnetscale/controller/StatusView.java
@@ -5,14 +5,14 @@
 import java.util.List;
 
 /**
- * The answer to {@code status}: the cluster as one controller sees it.
+ * The answer to the operators' command {@code status}: the cluster as one controller sees it.
  *
  * @param controller   the name of the controller that answers
- * @param complete     whether its replica holds everything that is stored
- * @param unreadable   what is stored and can't be read by this version of the program, or null
- * @param leader       null when there is none
- * @param machinesWithRecords machines that the state service has a record of
- * @param load         null unless this controller leads and rebalancing is on
+ * @param complete     whether its replica contains everything that is stored
+ * @param unreadable   the stored record that this version of the program can't read, and why; null if it reads all
+ * @param leader       the leader by the replica, or null if there is none
+ * @param machinesWithRecords number of machines that the state service has a record of
+ * @param load         the load of all machines, or null unless this controller leads and rebalancing is on
  */
 record StatusView(
         String controller,
@@ -30,22 +30,26 @@
     /**
      * The versions of the stored layout.
      *
-     * @param floor           the oldest one that may become active again
-     * @param converted       whether everything stored is in the active one
-     * @param supportedHere   those that this controller reads and writes
+     * @param active          the version that is active
+     * @param floor           the oldest version that may become active again
+     * @param converted       whether all stored records are in the active version
+     * @param supportedHere   the versions that this controller reads and writes
      */
     record Version(int active, int floor, boolean converted, String supportedHere) {}
 
-    /** A partition with its owner; {@code owner} is null when it has none, and {@code term} 0. */
+    /** A partition with its owner and the owner's term; without an owner, {@code owner} is null and {@code term} 0. */
     record Partition(String name, String owner, long term) {}
 
     /**
-     * What a team uses, with its quota.
+     * The usage and the quota of a team.
      *
-     * @param jobs    its live jobs
-     * @param waiting tasks that aren't placed
-     * @param placed  tasks that are placed
-     * @param cpusMax positive infinity for no limit, as is {@code gpusMax}
+     * @param jobs    number of live jobs
+     * @param waiting number of tasks that aren't placed
+     * @param placed  number of tasks that are placed
+     * @param cpus    CPUs in use
+     * @param cpusMax limit on CPUs; positive infinity for none
+     * @param gpus    GPUs in use
+     * @param gpusMax limit on GPUs; positive infinity for none
      */
     record Team(
             String name,
--- a/src/main/java/garnetscale/controller/TerminalJobCallback.java
+++ b/src/main/java/garnetscale/controller/TerminalJobCallback.java
@@ -2,9 +2,14 @@
 
 import garnetscale.core.state.Records;
 
-/** Takes the result of looking up a terminal job. */
+/** Receives the result of looking up a terminal job. */
 public interface TerminalJobCallback {
 
-    /** {@code known} is false when nobody can tell now; {@code job} is null when there is no such terminal job. */
+    /**
+     * Receives the result.
+     *
+     * @param known whether the result is known; false if it can't be determined now
+     * @param job   the job's end, or null if there is no such terminal job or the result isn't known
+     */
     void accept(boolean known, Records.TerminalJob job);
 }
--- a/src/main/java/garnetscale/controller/TerminalJobIndex.java
+++ b/src/main/java/garnetscale/controller/TerminalJobIndex.java
@@ -14,36 +14,42 @@
 import java.util.function.Consumer;
 
 /**
- * Finds jobs that are terminal and no longer in the replica. Users also ask for jobs that were never submitted, and each
- * look-up by itself would cost a request. So many look-ups share one: a transaction without changes compares all their keys
- * with "doesn't exist". Only keys that exist are read one by one. Lives on the event loop.
+ * Looks up terminal jobs, which are no longer in the replica. Users also ask for jobs that were never submitted, and each look-up
+ * by itself would cost a request. Look-ups are therefore batched: one transaction without operations has a guard for each of
+ * their keys that the key doesn't exist. Only keys that exist are read one by one. Confined to the event loop.
  */
 final class TerminalJobIndex {
 
-    /** Guards that a transaction may have, in multiples of the changes it may have. */
-    private static final int GUARDS_PER_CHANGE = 4;
-    /** Look-ups that may be queued, in multiples of what one request takes; beyond this they are refused at once. */
+    /** Limit on the guards of a transaction, as a multiple of the limit on its operations. */
+    private static final int GUARDS_PER_OPERATION = 4;
+    /** Limit on queued look-ups, as a multiple of the batch size; look-ups beyond it are refused at once. */
     private static final int MAX_QUEUED_REQUESTS = 2;
 
     private static final int INITIAL_CAPACITY = 64;
     private static final float LOAD_FACTOR = 0.75f;
 
-    /** Where terminal jobs are stored; each call but the first is one request. */
+    /** Access to the stored terminal jobs; each call except {@link #whenReadAllowed} sends one request. */
     interface Store {
-        /** Runs the action once a request may be sent within the limits. */
-        void whenReadable(Runnable run);
+        /** Runs a task once the rate limit allows a read. */
+        void whenReadAllowed(Runnable task);
 
-        /** Calls back with a key's value, or null when it doesn't exist; with false when it can't be known. */
+        /**
+         * Reads a key.
+         *
+         * @param done receives whether the result is known, and the key's value, or null if it doesn't exist or isn't known
+         */
         void get(String key, BiConsumer<Boolean, Object> done);
 
         /**
-         * Calls back with keys that exist: with an empty set when none does, else with at least one of those that do; with
-         * null when it can't be known.
+         * Finds out which of the keys exist.
+         *
+         * @param done receives an empty set if no key exists, otherwise a set with at least one of those that do; null if the
+         *             result isn't known
          */
-        void present(List<String> keys, Consumer<Set<String>> done);
+        void findExisting(List<String> keys, Consumer<Set<String>> done);
     }
 
-    /** All that wait for the same job. */
+    /** A look-up of one job, with the callbacks of all that wait for it. */
     private record Lookup(String id, List<TerminalJobCallback> callbacks) {
 
         String key() {
@@ -58,14 +64,19 @@
     private final Store store;
     private final int batchSize;
     private final Map<String, Lookup> queued = new LinkedHashMap<>();
-    /** Look-ups whose key exists and is still to be read. */
+    /** Look-ups whose key exists but hasn't been read yet. */
     private final Deque<Lookup> toRead = new ArrayDeque<>();
-    /** A terminal job never changes again, so that what was read once can be kept. */
+    /** Terminal jobs by id; they never change, so that cached ones stay valid. */
     private final Map<String, Records.TerminalJob> cache;
 
     private boolean requestPending;
 
-    /** Keeps at most {@code cacheSize} jobs, those that were asked for last. */
+    /**
+     * Creates an empty index.
+     *
+     * @param transactionOps limit on the operations of one transaction
+     * @param cacheSize      how many jobs are cached: the most recently used ones
+     */
     TerminalJobIndex(int transactionOps, int cacheSize, Store store) {
         this.store = store;
         this.cache = new LinkedHashMap<>(INITIAL_CAPACITY, LOAD_FACTOR, true) {
@@ -74,20 +85,20 @@
                 return size() > cacheSize;
             }
         };
-        this.batchSize = GUARDS_PER_CHANGE * transactionOps;
+        this.batchSize = GUARDS_PER_OPERATION * transactionOps;
     }
 
-    /** The job from the cache, or null when it isn't there. */
+    /** Returns the job from the cache, or null if it isn't cached. */
     Records.TerminalJob cached(String id) {
         return cache.get(id);
     }
 
-    /** Remembers a job whose end is known to be stored. */
+    /** Caches a job whose end is known to be stored. */
     void remember(String id, Records.TerminalJob job) {
         cache.put(id, job);
     }
 
-    /** Looks a job up in the cache, or else in the state service. */
+    /** Looks up a job in the cache, then in the state service. */
     void lookUp(String id, TerminalJobCallback callback) {
         Records.TerminalJob job = cache.get(id);
         if (job != null) {
@@ -109,18 +120,18 @@
             return;
         }
         requestPending = true;
-        store.whenReadable(() -> {
+        store.whenReadAllowed(() -> {
             if (!toRead.isEmpty()) {
                 read(toRead.poll());
             } else if (queued.size() == 1) {
                 read(takeBatch().get(0));
             } else {
-                compare(takeBatch());
+                checkExistence(takeBatch());
             }
         });
     }
 
-    /** Takes look-ups out of the queue: one for the same job that comes from now on needs a newer answer. */
+    /** Removes a batch from the queue, since a later look-up of the same job needs a newer answer. */
     private List<Lookup> takeBatch() {
         List<Lookup> batch = new ArrayList<>();
         Iterator<Lookup> lookups = queued.values().iterator();
@@ -131,7 +142,7 @@
         return batch;
     }
 
-    private void requestDone() {
+    private void onRequestDone() {
         requestPending = false;
         sendNext();
     }
@@ -143,29 +154,29 @@
                 cache.put(lookup.id(), job);
             }
             lookup.complete(known, job);
-            requestDone();
+            onRequestDone();
         });
     }
 
-    private void compare(List<Lookup> batch) {
-        store.present(batch.stream().map(Lookup::key).toList(), present -> {
+    private void checkExistence(List<Lookup> batch) {
+        store.findExisting(batch.stream().map(Lookup::key).toList(), existing -> {
             for (Lookup lookup : batch) {
-                if (present == null) {
+                if (existing == null) {
                     lookup.complete(false, null);
-                } else if (present.isEmpty()) {
+                } else if (existing.isEmpty()) {
                     lookup.complete(true, null);
-                } else if (present.contains(lookup.key())) {
+                } else if (existing.contains(lookup.key())) {
                     toRead.add(lookup);
                 } else {
-                    compareAgain(lookup);
+                    requeue(lookup);
                 }
             }
-            requestDone();
+            onRequestDone();
         });
     }
 
-    /** The answer needn't name all keys that exist; the others are compared again without those that it named. */
-    private void compareAgain(Lookup lookup) {
+    /** Queues a look-up again: the answer needn't name all keys that exist, so the rest is checked without those it named. */
+    private void requeue(Lookup lookup) {
         queued.merge(lookup.id(), lookup, (newer, older) -> {
             older.callbacks().addAll(newer.callbacks());
             return older;
--- a/src/main/java/garnetscale/controller/WriteRateAllocator.java
+++ b/src/main/java/garnetscale/controller/WriteRateAllocator.java
@@ -1,26 +1,26 @@
 package garnetscale.controller;
 
 /**
- * Shares the state service's limit on changes between the leader and submissions. The leader makes room: what it writes less
- * often goes into larger transactions, while a submission that is refused comes a second late. It knows how many submissions
- * there are from its replica, which shows every job that any controller has accepted.
+ * Divides the state service's limit on writes between the leader and submissions. The leader yields to submissions: when it
+ * writes less often its transactions are larger, while a submission that is refused is delayed by a second. The rate of
+ * submissions is known from the replica, which contains every job that any controller has accepted.
  */
 final class WriteRateAllocator {
 
-    /** The share of the limit that is used at all. */
+    /** Share of the limit that is used at all. */
     private static final double USED_SHARE = 0.9;
-    /** What submissions and the leader may have of it; together more than all, since both seldom need it at once. */
+    /** Shares of submissions and of the leader. Their sum may exceed 1, since both seldom need theirs at once. */
     private static final double SUBMISSION_SHARE = 0.55;
 
     private static final double LEADER_MIN_SHARE = 0.45;
     private static final double LEADER_MAX_SHARE = 0.75;
-    /** How much more than its even part a controller may submit: users keep their connections and don't come evenly. */
-    private static final double UNEVENNESS = 1.5;
-    /** What the leader leaves to submissions, in multiples of their recent rate. */
+    /** Factor on a controller's even share of submissions: users keep their connections, so the load isn't even. */
+    private static final double IMBALANCE_FACTOR = 1.5;
+    /** Rate that the leader leaves to submissions, as a multiple of their recent rate. */
     private static final double RESERVED_MULTIPLE = 1.25;
-    /** The rate of submissions is measured in intervals of this length. */
-    private static final long MEASURED_MS = 500;
-    /** Weight of the newest measurement in the average. */
+    /** Minimum interval over which the rate of submissions is measured. */
+    private static final long MEASUREMENT_INTERVAL_MS = 500;
+    /** Weight of the newest measurement in the moving average. */
     private static final double SMOOTHING = 0.4;
 
     private static final double MS_PER_S = 1000.0;
@@ -32,18 +32,24 @@
     private double lastPerS;
 
     /**
-     * Shares out a limit.
+     * Creates an allocator for a limit.
      *
-     * @param writesPerS the service's limit on changes in a second
+     * @param writesPerS the service's limit on writes, in operations per second
      */
     WriteRateAllocator(double writesPerS) {
         usablePerS = writesPerS * USED_SHARE;
     }
 
-    /** Takes note of how many jobs have been accepted so far; true when the rates may have changed. */
+    /**
+     * Measures the rate of submissions.
+     *
+     * @param now  milliseconds of the steady clock
+     * @param jobs how many jobs all controllers have accepted so far
+     * @return whether the rates may have changed
+     */
     boolean observe(long now, long jobs) {
         long passedMs = now - measuredAt;
-        if (passedMs < MEASURED_MS) {
+        if (passedMs < MEASUREMENT_INTERVAL_MS) {
             return false;
         }
         lastPerS = MS_PER_S * (jobs - measuredJobs) / passedMs;
@@ -53,14 +59,18 @@
         return true;
     }
 
-    /** How many changes the leader may make in a second. */
+    /** Returns the leader's limit on writes, in operations per second. */
     double leaderPerS() {
         double left = usablePerS - RESERVED_MULTIPLE * Math.max(lastPerS, averagePerS);
         return Math.min(LEADER_MAX_SHARE * usablePerS, Math.max(LEADER_MIN_SHARE * usablePerS, left));
     }
 
-    /** How many changes a controller may make in a second for submissions, when so many of them are live. */
+    /**
+     * Returns one controller's limit on writes for submissions, in operations per second.
+     *
+     * @param controllers how many controllers are live
+     */
     double submissionsPerS(int controllers) {
-        return usablePerS * SUBMISSION_SHARE * UNEVENNESS / Math.max(1, controllers) + 1;
+        return usablePerS * SUBMISSION_SHARE * IMBALANCE_FACTOR / Math.max(1, controllers) + 1;
     }
 }
--- a/src/main/java/garnetscale/controller/package-info.java
+++ b/src/main/java/garnetscale/controller/package-info.java
@@ -3,7 +3,7 @@
  * cloud, the workers and the other controllers.
  *
  * <p>{@link garnetscale.controller.ControllerNode} wires the parts and runs their cycles. Each part owns its own state and is
- * touched on the one event loop alone; decisions are made in {@code garnetscale.core}, which the parts call and whose effects
- * they carry out. Nothing here may block, or keep a copy of what the replica holds.
+ * confined to the one event loop. Decisions are made in {@code garnetscale.core}, which the parts call and whose effects they
+ * carry out. Nothing here may block, or keep a copy of data in the replica.
  */
 package garnetscale.controller;
--- a/src/test/java/garnetscale/controller/ManualIo.java
+++ b/src/test/java/garnetscale/controller/ManualIo.java
@@ -24,8 +24,8 @@
     }
 
     @Override
-    public void after(long ms, Runnable run) {
-        timers.add(run);
+    public void after(long ms, Runnable task) {
+        timers.add(task);
     }
 
     @Override
--- a/src/test/java/garnetscale/controller/ScriptedController.java
+++ b/src/test/java/garnetscale/controller/ScriptedController.java
@@ -64,8 +64,8 @@
     }
 
     @Override
-    public void after(long ms, Runnable run) {
-        cluster.at(ms, run);
+    public void after(long ms, Runnable task) {
+        cluster.at(ms, task);
     }
 
     @Override
--- a/src/test/java/garnetscale/controller/TerminalJobIndexTest.java
+++ b/src/test/java/garnetscale/controller/TerminalJobIndexTest.java
@@ -34,8 +34,8 @@
         boolean failing;
 
         @Override
-        public void whenReadable(Runnable run) {
-            pending.add(run);
+        public void whenReadAllowed(Runnable task) {
+            pending.add(task);
         }
 
         @Override
@@ -45,7 +45,7 @@
         }
 
         @Override
-        public void present(List<String> keys, Consumer<Set<String>> done) {
+        public void findExisting(List<String> keys, Consumer<Set<String>> done) {
             requests++;
             done.accept(
                     failing
