--- a/src/main/java/garnetscale/controller/LeadershipLoop.java
+++ b/src/main/java/garnetscale/controller/LeadershipLoop.java
@@ -133,7 +133,6 @@
 
     private void takeLeadership(long now) {
         leadingTerm = leader.leadingTerm();
-        LOG.info("took leadership, term={}", leadingTerm);
         pipeline.restart();
         autoscaler.start(now, leadingTerm);
         publishedDirectory = null;
