--- a/src/main/java/garnetscale/controller/ClusterInspector.java
+++ b/src/main/java/garnetscale/controller/ClusterInspector.java
@@ -58,7 +58,7 @@
     /** Looks up the end of jobs that the replica doesn't contain. */
     public interface TerminalJobs {
         /** Looks up a job, and calls back exactly once on the event loop, immediately or later. */
-        void lookUp(String job, TerminalJobCallback found);
+        void lookUp(String job, TerminalJobCallback done);
     }
 
     private final SchedulerConfig config;
--- a/src/main/java/garnetscale/controller/JobApi.java
+++ b/src/main/java/garnetscale/controller/JobApi.java
@@ -97,8 +97,8 @@
     }
 
     /** Looks up the end of a job that the replica doesn't contain. */
-    void lookUpTerminal(String id, TerminalJobCallback found) {
-        lookup.lookUpTerminalRecord(id, found);
+    void lookUpTerminal(String id, TerminalJobCallback done) {
+        lookup.lookUpTerminalRecord(id, done);
     }
 
     /** Caches the end of a job, which the leader saw stored: its users needn't wait for the state service any more. */
--- a/src/main/java/garnetscale/controller/JobDetails.java
+++ b/src/main/java/garnetscale/controller/JobDetails.java
@@ -10,7 +10,7 @@
  *
  * @param finished number of finished tasks
  * @param placed   number of tasks with a placement
- * @param waiting  number of tasks without a placement
+ * @param waiting  number of unfinished tasks without a placement
  * @param reason   why tasks wait, or null when none does
  * @param moves    recent stops of its tasks in order to run them elsewhere; left out of the answer when empty
  */
--- a/src/main/java/garnetscale/controller/JobLookup.java
+++ b/src/main/java/garnetscale/controller/JobLookup.java
@@ -84,59 +84,58 @@
     }
 
     /** Looks up a job in an up-to-date replica, then among the terminal jobs. */
-    void lookUp(String id, Consumer<Result> found) {
+    void lookUp(String id, Consumer<Result> done) {
         Reply terminal = terminalReply(id);
         if (terminal != null) {
-            found.accept(new Found(terminal));
+            done.accept(new Found(terminal));
             return;
         }
         if (!admission.admits(RequestAdmission.LOOKUP_SHARE)) {
-            found.accept(Missing.UNKNOWN);
+            done.accept(Missing.UNKNOWN);
             return;
         }
         admission.begin();
         store.sync(upToDate -> {
             admission.end();
             if (!upToDate) {
-                found.accept(Missing.UNKNOWN);
+                done.accept(Missing.UNKNOWN);
                 return;
             }
             JobView job = replica.job(id);
             if (job != null) {
-                found.accept(new Found(replyOf(job)));
+                done.accept(new Found(replyOf(job)));
                 return;
             }
-            // The replica is complete as of a moment after the request and doesn't contain the job: the job is
-            // terminal, or
+            // The replica is complete as of a moment after the request and doesn't contain the job: it is terminal, or
             // was never accepted.
-            lookUpTerminal(id, found);
+            lookUpTerminal(id, done);
         });
     }
 
     /** Looks up a job that an up-to-date replica doesn't contain. */
-    void lookUpTerminal(String id, Consumer<Result> found) {
+    void lookUpTerminal(String id, Consumer<Result> done) {
         admission.begin();
         terminalJobs.lookUp(id, (known, job) -> {
             admission.end();
             if (!known) {
-                found.accept(Missing.UNKNOWN);
+                done.accept(Missing.UNKNOWN);
             } else if (job == null) {
-                found.accept(Missing.ABSENT);
+                done.accept(Missing.ABSENT);
             } else {
-                found.accept(new Found(JobReplies.terminal(id, job)));
+                done.accept(new Found(JobReplies.terminal(id, job)));
             }
         });
     }
 
     /** Looks up, for an operator, the end of a job that the replica doesn't contain. */
-    void lookUpTerminalRecord(String id, TerminalJobCallback found) {
+    void lookUpTerminalRecord(String id, TerminalJobCallback done) {
         Records.TerminalJob cached = terminalJobs.cached(id);
         if (cached != null) {
-            found.accept(true, cached);
+            done.accept(true, cached);
         } else if (!admission.admits(RequestAdmission.LOOKUP_SHARE)) {
-            found.accept(false, null);
+            done.accept(false, null);
         } else {
-            terminalJobs.lookUp(id, found);
+            terminalJobs.lookUp(id, done);
         }
     }
 }
--- a/src/main/java/garnetscale/controller/ReplicaListing.java
+++ b/src/main/java/garnetscale/controller/ReplicaListing.java
@@ -99,9 +99,8 @@
     private void onConsistentListing(int keys, long revision, long firstRevision, long sentAt) {
         running = false;
         LOG.info("replica is loaded, keys={} revision={}", keys, firstRevision);
-        // A negative revision means that the first page was the only one. Several pages are read at different moments:
-        // the
-        // replica isn't complete until the watch has brought the changes in between.
+        // A negative revision means that the first page was the only one. Several pages are read at different
+        // moments: the replica isn't complete until the watch has brought the changes in between.
         if (revision < 0) {
             listener.onConfirmed(sentAt);
         }
--- a/src/main/java/garnetscale/controller/SessionLease.java
+++ b/src/main/java/garnetscale/controller/SessionLease.java
@@ -117,9 +117,8 @@
 
     /** Sends a keep-alive for the lease. */
     void renew() {
-        // A controller that can't read a stored record decides nothing. It lets its lease expire, so that others get
-        // its
-        // partitions.
+        // A controller that can't read a stored record decides nothing. It lets its lease expire, so that others
+        // get its partitions.
         if (lease < 0 || replica.unreadable() != null) {
             return;
         }
--- a/src/main/java/garnetscale/controller/StatusView.java
+++ b/src/main/java/garnetscale/controller/StatusView.java
@@ -44,7 +44,7 @@
      * The usage and the quota of a team.
      *
      * @param jobs    number of live jobs
-     * @param waiting number of tasks that aren't placed
+     * @param waiting number of unfinished tasks that aren't placed
      * @param placed  number of tasks that are placed
      * @param cpus    CPUs in use
      * @param cpusMax limit on CPUs; positive infinity for none
--- a/src/test/java/garnetscale/controller/AnswerHistory.java
+++ b/src/test/java/garnetscale/controller/AnswerHistory.java
@@ -9,18 +9,18 @@
 import java.util.Map;
 import java.util.Set;
 
-/** What users were told of each job, at whichever controller, and which answers contradict what was told before. */
+/** The answers of all controllers about each job; detects answers that contradict earlier ones. */
 final class AnswerHistory {
 
-    /** How far a job has come by the newest answer; later ones may not go back. */
+    /** A job's progress by the newest answer; later answers may not show less. */
     enum Progress {
         NOTHING,
         ACCEPTED,
         TERMINAL
     }
 
-    /** What was known of a job when a request was sent. */
-    record Before(Progress progress, String terminalState) {}
+    /** What earlier answers said about a job when a request was sent; {@code terminalState} is null unless they said one. */
+    record KnownState(Progress progress, String terminalState) {}
 
     private final Map<String, Progress> progress = new HashMap<>();
     private final Map<String, String> terminalStates = new HashMap<>();
@@ -32,9 +32,9 @@
         this.violations = violations;
     }
 
-    /** What is known of a job by now. */
-    Before before(String id) {
-        return new Before(progress.getOrDefault(id, Progress.NOTHING), terminalStates.get(id));
+    /** Returns what answers so far have said about a job. */
+    KnownState knownState(String id) {
+        return new KnownState(progress.getOrDefault(id, Progress.NOTHING), terminalStates.get(id));
     }
 
     boolean isKnown(String id) {
@@ -45,7 +45,7 @@
         return Set.copyOf(progress.keySet());
     }
 
-    /** No job of this id exists, or may come to exist. */
+    /** Records that no job of this id exists, and that none may be stored. */
     void refuse(String id) {
         refused.add(id);
     }
@@ -58,8 +58,8 @@
         cancelRequested.add(id);
     }
 
-    /** Checks an answer against what was known before its request was sent, and remembers it. */
-    void check(String id, Before before, String request, Reply reply) {
+    /** Checks an answer against what was known before its request was sent, and records it. */
+    void check(String id, KnownState before, String request, Reply reply) {
         if (reply.status() == 503) {
             if (reply.retryAfterS() < 1) {
                 violations.add(request + ": 503 without Retry-After");
@@ -73,16 +73,16 @@
         }
     }
 
-    private void checkState(String id, Before before, String request, String state) {
+    private void checkState(String id, KnownState before, String request, String state) {
         boolean terminal = state.equals("done") || state.equals("withdrawn");
         if (before.progress() == Progress.TERMINAL && !state.equals(before.terminalState())) {
             violations.add(request + ": " + state + " after " + before.terminalState());
         }
         if (state.equals("withdrawn") && !cancelRequested.contains(id)) {
-            violations.add(request + ": nobody cancelled it");
+            violations.add(request + ": withdrawn without a cancellation");
         }
         if (refused.contains(id)) {
-            violations.add(request + ": a refused job became one");
+            violations.add(request + ": a refused job exists");
         }
         progress.merge(
                 id,
@@ -90,11 +90,11 @@
                 (older, newer) -> older.compareTo(newer) > 0 ? older : newer);
         String other = terminal ? terminalStates.putIfAbsent(id, state) : null;
         if (other != null && !other.equals(state)) {
-            violations.add(request + ": " + state + ", and " + other + " elsewhere");
+            violations.add(request + ": " + state + " after another answer said " + other);
         }
     }
 
-    /** The job's state in an answer, in the words of the protocol. */
+    /** Returns the job's state in an answer, by its name in the protocol. */
     static String stateOf(Reply reply) {
         try {
             return String.valueOf(Cbor.readMap(reply.body()).get("mood"));
--- a/src/test/java/garnetscale/controller/ClusterInspectorJsonTest.java
+++ b/src/test/java/garnetscale/controller/ClusterInspectorJsonTest.java
@@ -32,7 +32,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** The exact JSON that operators get: scripts of theirs read its keys, and people its order. */
+/** The exact JSON that operators get: their scripts read its keys, and people rely on the order of the fields. */
 class ClusterInspectorJsonTest {
 
     private final SchedulerConfig config = TestConfig.small()
--- a/src/test/java/garnetscale/controller/JobApiRoutesTest.java
+++ b/src/test/java/garnetscale/controller/JobApiRoutesTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Which paths and methods the job API answers, before it asks the state service anything. */
+/** The status by path and method that the job API answers before any request to the state service. */
 class JobApiRoutesTest {
 
     private final ScriptedCluster cluster = new ScriptedCluster(1);
@@ -40,7 +40,7 @@
     }
 
     @Test
-    void beforeTheReplicaIsLoadedRequestsAreToBeRepeated() {
+    void requestsBeforeTheReplicaIsLoadedAreAnswered503() {
         assertEquals(503, request("GET", "/v2/runs/wk-1").status());
         Reply cancellation = request("POST", "/v2/runs/wk-1/cancel");
         assertEquals(503, cancellation.status());
--- a/src/test/java/garnetscale/controller/JobApiTest.java
+++ b/src/test/java/garnetscale/controller/JobApiTest.java
@@ -9,14 +9,23 @@
 import java.util.function.Consumer;
 import org.junit.jupiter.api.Test;
 
-/** No user is told anything older than any user was told before, at whichever controller, whatever becomes of transactions. */
+/**
+ * No answer shows an older state of a job than an earlier answer of any controller, even if the answers to transactions are lost
+ * or transactions are applied late.
+ */
 class JobApiTest {
 
     private static final int JOBS = 60;
     private static final int SEEDS = 20;
 
-    /** Plays users' day: jobs come, end, are cancelled and looked up, with this share of either kind of lost answer. */
-    private static ScriptedCluster day(long seed, double answerLost, double late, Consumer<ScriptedCluster> script) {
+    /**
+     * Simulates one seed: jobs are submitted, end, are cancelled and looked up.
+     *
+     * @param answerLost share of transactions that are applied but whose answer is lost
+     * @param late       share of transactions that are applied late, without an answer
+     */
+    private static ScriptedCluster simulate(
+            long seed, double answerLost, double late, Consumer<ScriptedCluster> script) {
         ScriptedCluster cluster = new ScriptedCluster(seed);
         cluster.answerLost = answerLost;
         cluster.late = late;
@@ -34,55 +43,56 @@
         return cluster;
     }
 
-    /** Plays many days, none of which may break a rule; returns how often what came about in all of them. */
-    private static Map<String, Integer> days(double answerLost, double late, Consumer<ScriptedCluster> script) {
+    /** Simulates all seeds, none of which may lead to a violation; returns how often each event occurred in all of them. */
+    private static Map<String, Integer> simulateSeeds(
+            double answerLost, double late, Consumer<ScriptedCluster> script) {
         Map<String, Integer> occurrences = new TreeMap<>();
         for (long seed = 1; seed <= SEEDS; seed++) {
-            ScriptedCluster cluster = day(seed, answerLost, late, script);
+            ScriptedCluster cluster = simulate(seed, answerLost, late, script);
             assertEquals(List.of(), cluster.violations, "seed " + seed);
-            cluster.occurrences.forEach((what, times) -> occurrences.merge(what, times, Integer::sum));
+            cluster.occurrences.forEach((event, times) -> occurrences.merge(event, times, Integer::sum));
         }
         return occurrences;
     }
 
-    private static void assertMet(Map<String, Integer> occurrences, int times, String... events) {
+    private static void assertOccurred(Map<String, Integer> occurrences, int times, String... events) {
         for (String event : events) {
             assertTrue(occurrences.getOrDefault(event, 0) >= times, event + ": " + occurrences);
         }
     }
 
-    /** Right after a job was accepted, ended or confirmed as cancelled, looked up at all controllers. */
+    /** Each job is looked up at all controllers right after it was accepted, has ended or was confirmed as cancelled. */
     @Test
-    void closeLooksAreNeverAnsweredWithSomethingOlder() {
-        Map<String, Integer> occurrences = days(0, 0, cluster -> {});
-        assertMet(occurrences, 10_000, "close look");
-        assertMet(occurrences, 2000, "asked where the replica was behind");
-        assertMet(occurrences, 100, "told done", "told withdrawn on cancelling");
-        assertMet(occurrences, 50, "told done on cancelling");
+    void lookUpBurstsNeverShowAnOlderState() {
+        Map<String, Integer> occurrences = simulateSeeds(0, 0, cluster -> {});
+        assertOccurred(occurrences, 10_000, "burst request");
+        assertOccurred(occurrences, 2000, "request at a stale replica");
+        assertOccurred(occurrences, 100, "poll answered done", "cancellation answered withdrawn");
+        assertOccurred(occurrences, 50, "cancellation answered done");
     }
 
-    /** Only the answer is lost, while the other controllers read what was written. */
+    /** A transaction is applied but its answer is lost, while the other controllers read what it wrote. */
     @Test
-    void aTransactionWhoseAnswerIsLostIsReadAgain() {
-        Map<String, Integer> occurrences = days(0.3, 0, cluster -> {});
-        assertMet(occurrences, 500, "carried out, answer lost");
-        assertMet(occurrences, 50, "told withdrawn on cancelling", "told done on cancelling");
+    void outcomeIsReadAgainAfterALostAnswer() {
+        Map<String, Integer> occurrences = simulateSeeds(0.3, 0, cluster -> {});
+        assertOccurred(occurrences, 500, "applied, answer lost");
+        assertOccurred(occurrences, 50, "cancellation answered withdrawn", "cancellation answered done");
     }
 
-    /** Carried out seconds later, after newer ones: an ended job isn't begun again, and a done one isn't cancelled. */
+    /** A transaction is applied seconds late, after newer ones: it may not restart an ended job or cancel a done one. */
     @Test
-    void aLateTransactionChangesNothingThatWasDecided() {
-        Map<String, Integer> occurrences = days(0.1, 0.3, cluster -> {});
-        assertMet(occurrences, 50, "carried out late", "late and overtaken", "told withdrawn on cancelling");
+    void lateTransactionDoesNotChangeADecidedState() {
+        Map<String, Integer> occurrences = simulateSeeds(0.1, 0.3, cluster -> {});
+        assertOccurred(occurrences, 50, "applied late", "late and rejected", "cancellation answered withdrawn");
     }
 
-    /** The state service is down twice, so that requests are cut off at any point of an answer. */
+    /** The state service is down twice, which interrupts requests at any point: they are refused rather than guessed. */
     @Test
-    void anOutageBringsRefusalsAndNoGuesses() {
-        Map<String, Integer> occurrences = days(0.1, 0.1, cluster -> {
+    void outagesLeadToRefusalsNotToWrongAnswers() {
+        Map<String, Integer> occurrences = simulateSeeds(0.1, 0.1, cluster -> {
             cluster.at(5000, () -> cluster.failingUntil = cluster.now + 4000);
             cluster.at(15_000, () -> cluster.failingUntil = cluster.now + 3000);
         });
-        assertMet(occurrences, SEEDS * JOBS / 2, "accepted");
+        assertOccurred(occurrences, SEEDS * JOBS / 2, "accepted");
     }
 }
--- a/src/test/java/garnetscale/controller/LoadViewTest.java
+++ b/src/test/java/garnetscale/controller/LoadViewTest.java
@@ -13,14 +13,14 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** What operators are shown of the load and of moves. */
+/** The load and the moves as operators are shown them. */
 class LoadViewTest {
 
     private static final MachineGroup SMALL = new MachineGroup("a", "small");
     private static final MachineGroup LARGE = new MachineGroup("a", "large");
 
     @Test
-    void groupsAreShownWithWhatIsUnknown() {
+    void groupsShowMachinesWithUnknownLoad() {
         LoadTracker tracker = new LoadTracker(1000);
         tracker.update(0, "m-1", new MachineLoad(SMALL, null, true, 8000, Map.of("red", 2500L, "blue", 1500L)));
         tracker.update(0, "m-2", new MachineLoad(LARGE, UnknownReason.OWNER_UNHEARD, false, 16_000, Map.of()));
--- a/src/test/java/garnetscale/controller/ManualIo.java
+++ b/src/test/java/garnetscale/controller/ManualIo.java
@@ -6,12 +6,13 @@
 import java.util.List;
 import java.util.function.Consumer;
 
-/** Keeps the requests of a {@link StateLink} until the test answers them, and its timers until the test runs them. */
+/** Holds the requests of a {@link StateLink} until the test answers them, and its timers until the test runs them. */
 final class ManualIo implements StateLink.Io {
 
-    private static final long LONG_ENOUGH_MS = 10_000;
+    /** Longer than every timer. */
+    private static final long TIMERS_STEP_MS = 10_000;
 
-    /** A request that isn't answered yet. */
+    /** A request that hasn't been answered yet. */
     record Call(String path, byte[] body, Consumer<HttpResult> done) {}
 
     final List<Call> calls = new ArrayList<>();
@@ -33,24 +34,24 @@
         calls.add(new Call(path, body, done));
     }
 
-    /** Removes and returns the first pending request whose path begins so; there must be one. */
-    Call take(String start) {
+    /** Removes and returns the first pending request whose path has a prefix; fails if there is none. */
+    Call take(String prefix) {
         Call first = calls.stream()
-                .filter(call -> call.path().startsWith(start))
+                .filter(call -> call.path().startsWith(prefix))
                 .findFirst()
-                .orElseThrow(() -> new AssertionError("no request for " + start + ": " + calls));
+                .orElseThrow(() -> new AssertionError("no request for " + prefix + ": " + calls));
         calls.remove(first);
         return first;
     }
 
-    /** Whether a request whose path begins so is pending. */
-    boolean isAsked(String start) {
-        return calls.stream().anyMatch(call -> call.path().startsWith(start));
+    /** Returns whether a request is pending whose path has a prefix. */
+    boolean isPending(String prefix) {
+        return calls.stream().anyMatch(call -> call.path().startsWith(prefix));
     }
 
-    /** Has every timer that was set fire once. */
+    /** Advances the clock and runs each timer that is set once. */
     void runTimers() {
-        now += LONG_ENOUGH_MS;
+        now += TIMERS_STEP_MS;
         List<Runnable> due = timers;
         timers = new ArrayList<>();
         due.forEach(Runnable::run);
--- a/src/test/java/garnetscale/controller/ScriptedCluster.java
+++ b/src/test/java/garnetscale/controller/ScriptedCluster.java
@@ -22,14 +22,14 @@
 import java.util.function.Consumer;
 
 /**
- * Users at all controllers at once, in one simulated time and from one seed: the real job APIs, their real links to the state
- * service with the replicas that these keep, and a scripted service that loses answers, carries transactions out late and
- * refuses. A leader beside them ends jobs. Answers are checked against what was told before their request.
+ * Simulates users of all controllers in one simulated time and from one seed. The job APIs and their links to the state service,
+ * with the replicas that the links keep, are the real ones; the scripted service loses answers, applies transactions late and
+ * refuses requests. A simulated leader ends jobs. Each answer is checked against the answers that came before its request.
  */
 final class ScriptedCluster extends Timeline {
 
     private static final int CONTROLLERS = 3;
-    /** Looked up, and never submitted. */
+    /** A job that is looked up but never submitted. */
     static final String NEVER_SUBMITTED = "wk-7";
 
     private static final MachineType TYPE = new MachineType("t", 8, 0, 32, 20, 1, 1, 0.5, 20, List.of("a"));
@@ -39,13 +39,13 @@
     final List<String> violations = new ArrayList<>();
     final StateService service = new StateService(state, () -> this.now, 300);
     private final AnswerHistory history = new AnswerHistory(violations);
-    /** The revision of what is stored at each time at which it changed, for what a replica must hold. */
+    /** The stored revision by the time at which it was recorded; shows what a replica must contain. */
     private final TreeMap<Long, Long> revisions = new TreeMap<>();
-    /** The share of transactions of which only the answer is lost. */
+    /** Share of transactions that are applied but whose answer is lost. */
     double answerLost;
-    /** The share of transactions that are carried out late, without an answer. */
+    /** Share of transactions that are applied late, without an answer. */
     double late;
-    /** The state service refuses everybody until then. */
+    /** Until this time the state service refuses every request. */
     long failingUntil;
 
     ScriptedCluster(long seed) {
@@ -65,7 +65,7 @@
         });
     }
 
-    /** Milliseconds that a message takes, now and then many. */
+    /** Returns the milliseconds that a message takes: mostly a few, sometimes up to 250. */
     long networkDelay() {
         return 1 + random.nextInt(random.nextInt(12) == 0 ? 250 : 5);
     }
@@ -74,7 +74,7 @@
         revisions.put(now, state.revision());
     }
 
-    /** The revision that was stored at a time. */
+    /** Returns the revision that was stored at a time. */
     long revisionAt(long time) {
         Map.Entry<Long, Long> entry = revisions.floorEntry(time);
         return entry == null ? 0 : entry.getValue();
@@ -82,25 +82,24 @@
 
     // ---- the leader
 
-    /** Sends a transaction with any outcome that PROTOCOL allows; MAYBE comes after the client's two seconds. */
+    /** Sends a transaction, with any outcome that PROTOCOL allows; MAYBE comes after the client's time-out of two seconds. */
     private void commit(Transaction transaction, BiConsumer<TransactionOutcome, Long> done) {
         if (now < failingUntil) {
             at(networkDelay(), () -> done.accept(TransactionOutcome.REFUSED, -1L));
             return;
         }
-        double luck = random.nextDouble();
-        if (luck < answerLost) {
+        double draw = random.nextDouble();
+        if (draw < answerLost) {
             at(networkDelay(), () -> {
                 if (state.commit(transaction) == 200) {
-                    countOccurrence("carried out, answer lost");
+                    countOccurrence("applied, answer lost");
                 }
             });
             at(2000, () -> done.accept(TransactionOutcome.MAYBE, -1L));
-        } else if (luck < answerLost + late) {
+        } else if (draw < answerLost + late) {
             at(
                     2000 + random.nextInt(10_000),
-                    () -> countOccurrence(
-                            state.commit(transaction) == 200 ? "carried out late" : "late and overtaken"));
+                    () -> countOccurrence(state.commit(transaction) == 200 ? "applied late" : "late and rejected"));
             at(2000, () -> done.accept(TransactionOutcome.MAYBE, -1L));
         } else {
             at(networkDelay(), () -> {
@@ -114,7 +113,7 @@
         }
     }
 
-    /** Now and then a job's last task ends, which is stored over the job's key; then all controllers are told. */
+    /** Periodically ends the last task of a job: replaces the job's key by its terminal record, then notifies all controllers. */
     private void endOneJob() {
         List<String> live = state.list(Keys.job(""), null, 100).stream()
                 .map(change -> change.key().substring(Keys.job("").length()))
@@ -170,13 +169,13 @@
         return Cbor.write(fields);
     }
 
-    /** Sends a request to one controller, and checks its answer against what was told before the request. */
+    /** Sends a request to one controller, and checks its answer against the answers that came before the request. */
     void request(
             ScriptedController controller, String method, String path, byte[] body, String id, Consumer<Reply> then) {
-        AnswerHistory.Before before = history.before(id);
+        AnswerHistory.KnownState before = history.knownState(id);
         String request = method + " " + path + " at " + controller.name + ", " + now;
         if (before.progress() != AnswerHistory.Progress.NOTHING && controller.replica.revision() < state.revision()) {
-            countOccurrence("asked where the replica was behind");
+            countOccurrence("request at a stale replica");
         }
         boolean[] answered = new boolean[1];
         controller.jobApi.handle(method, path, body, reply -> {
@@ -195,7 +194,7 @@
         return controllers.get(random.nextInt(controllers.size()));
     }
 
-    /** Submits until it is answered for good, and looks closely whenever something was told. */
+    /** Submits a job until the answer is final, and sends a burst of requests for it after each new state. */
     void submit(String id, String team, double cpus) {
         request(anyController(), "POST", JobApi.PATH, body(id, team, cpus, true), id, reply -> {
             if (reply.status() == 422 || reply.status() == 400) {
@@ -204,7 +203,7 @@
                 at(1000, () -> submit(id, team, cpus));
             } else {
                 countOccurrence("accepted");
-                lookClosely(id);
+                sendBurst(id);
                 if (random.nextInt(3) == 0) {
                     countOccurrence("cancelled at once");
                     cancel(id);
@@ -221,8 +220,8 @@
             if (reply.status() == 503) {
                 at(1000, () -> cancel(id));
             } else if (reply.status() == 200) {
-                countOccurrence("told " + AnswerHistory.stateOf(reply) + " on cancelling");
-                lookClosely(id);
+                countOccurrence("cancellation answered " + AnswerHistory.stateOf(reply));
+                sendBurst(id);
             } else if (known) {
                 violations.add("cancel of " + id + " answered " + reply.status());
             }
@@ -232,15 +231,15 @@
     void poll(String id) {
         request(anyController(), "GET", path(id), null, id, reply -> {
             if (reply.status() == 200 && !AnswerHistory.stateOf(reply).equals("pending")) {
-                countOccurrence("told " + AnswerHistory.stateOf(reply));
-                lookClosely(id);
+                countOccurrence("poll answered " + AnswerHistory.stateOf(reply));
+                sendBurst(id);
             } else {
                 at(300 + random.nextInt(600), () -> poll(id));
             }
         });
     }
 
-    /** A look-up of a job that nobody submits. */
+    /** Looks up a job that is never submitted. */
     void lookUpNeverSubmitted() {
         request(anyController(), "GET", path(NEVER_SUBMITTED), null, NEVER_SUBMITTED, reply -> {});
     }
@@ -249,19 +248,19 @@
         return JobApi.PATH + "/" + id;
     }
 
-    /** Look-ups at all controllers within milliseconds, and repeats of the submission, also with other bodies. */
-    private void lookClosely(String id) {
+    /** Looks the job up and repeats its submission, also with other bodies, at all controllers within milliseconds. */
+    private void sendBurst(String id) {
         for (ScriptedController controller : controllers) {
             for (int i = 0; i < 3; i++) {
                 at(random.nextInt(12), () -> {
-                    countOccurrence("close look");
-                    lookOnce(controller, id);
+                    countOccurrence("burst request");
+                    sendOneOfBurst(controller, id);
                 });
             }
         }
     }
 
-    private void lookOnce(ScriptedController controller, String id) {
+    private void sendOneOfBurst(ScriptedController controller, String id) {
         Consumer<Reply> ignored = reply -> {};
         switch (random.nextInt(4)) {
             case 0 -> request(controller, "POST", JobApi.PATH, body(id, "red", 2, true), id, ignored);
@@ -271,7 +270,7 @@
         }
     }
 
-    /** Every job that was accepted is known in the end, and none that was refused. */
+    /** Runs on without faults, then checks that every accepted job is known and that no refused job is stored. */
     void settle() {
         answerLost = 0;
         late = 0;
--- a/src/test/java/garnetscale/controller/ScriptedController.java
+++ b/src/test/java/garnetscale/controller/ScriptedController.java
@@ -42,7 +42,7 @@
         state.start();
     }
 
-    /** The state service refuses this controller alone for a while. */
+    /** Makes the state service refuse only this controller for some milliseconds. */
     void refuse(long ms) {
         refusalBegan = cluster.now;
         refusedUntil = cluster.now + ms;
@@ -82,17 +82,17 @@
             cluster.countOccurrence("listed in several pages");
         }
         boolean write = path.equals("/multi");
-        double luck = write ? cluster.random.nextDouble() : 1;
-        boolean lost = luck < cluster.answerLost;
-        boolean delayed = !lost && luck < cluster.answerLost + cluster.late;
+        double draw = write ? cluster.random.nextDouble() : 1;
+        boolean lost = draw < cluster.answerLost;
+        boolean delayed = !lost && draw < cluster.answerLost + cluster.late;
         cluster.at(
                 delayed ? 2000 + cluster.random.nextInt((int) MAX_DELAY_MS) : cluster.networkDelay(),
                 () -> arrive(method, path, body, reply -> {
                     if (delayed) {
-                        cluster.countOccurrence(reply.status() == 200 ? "carried out late" : "late and overtaken");
+                        cluster.countOccurrence(reply.status() == 200 ? "applied late" : "late and rejected");
                     } else if (lost) {
                         cluster.countOccurrence(
-                                reply.status() == 200 ? "carried out, answer lost" : "refused, answer lost");
+                                reply.status() == 200 ? "applied, answer lost" : "rejected, answer lost");
                     } else {
                         cluster.at(
                                 cluster.networkDelay(),
@@ -101,7 +101,7 @@
                 }));
     }
 
-    /** A watch that hangs open in a refusal is answered when the refusal ends, however old it is by then. */
+    /** Handles a request at the service. A watch that is open when a refusal begins is answered when the refusal ends. */
     private void arrive(HttpMethod method, String path, byte[] body, Consumer<Reply> answer) {
         if (isRefused()) {
             answer.accept(Reply.of(503));
@@ -109,7 +109,7 @@
         }
         cluster.service.handle(method.name(), path, body, reply -> {
             if (path.startsWith("/follow") && isRefused()) {
-                cluster.countOccurrence("a watch hung open through a refusal");
+                cluster.countOccurrence("watch open during a refusal");
                 cluster.at(refusalEnds() - cluster.now + 1, () -> arrive(method, path, body, answer));
             } else {
                 answer.accept(reply);
@@ -118,23 +118,23 @@
         cluster.recordRevision();
     }
 
-    // ---- what the link tells its controller
+    // ---- callbacks of the link
 
     @Override
     public void onReplicaAdvanced() {
         // The job API reads the replica when it needs to.
     }
 
-    /** By now the replica must hold all that the state service had when the request was sent. */
+    /** Checks that the replica contains everything that was stored when the request was sent. */
     @Override
     public void onReplicaConfirmed(long sentAt) {
         confirmedAt = Math.max(confirmedAt, sentAt);
         if (sentAt > cluster.now || replica.revision() < cluster.revisionAt(sentAt)) {
-            cluster.violations.add(name + " at " + cluster.now + " takes itself for complete as of " + sentAt
-                    + ", revision " + cluster.revisionAt(sentAt) + ", and has " + replica.revision());
+            cluster.violations.add(name + " at " + cluster.now + " is confirmed as of " + sentAt
+                    + ", when the revision was " + cluster.revisionAt(sentAt) + ", but has " + replica.revision());
         }
         if (isRefused() && sentAt >= refusalBegan) {
-            cluster.violations.add(name + " is confirmed by a request that was sent while it was refused");
+            cluster.violations.add(name + " is confirmed by a request that was sent during a refusal");
         }
         cluster.countOccurrence("confirmed");
     }
--- a/src/test/java/garnetscale/controller/StateLinkRelistTest.java
+++ b/src/test/java/garnetscale/controller/StateLinkRelistTest.java
@@ -16,15 +16,15 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A replica that is being listed again, since a watch was too old, is not complete: an older watch that is answered meanwhile
- * must neither confirm it nor change it. Had it done so, an owner would have gone on answering workers from a replica that
- * lacks a cancellation, for as long as its grace.
+ * A replica that is being listed again, because its revision was too old for a watch, isn't complete: an older watch that is
+ * answered meanwhile must neither confirm nor change it. Otherwise an owner goes on answering workers from a replica that lacks a
+ * cancellation, for as long as the owner's grace.
  */
 class StateLinkRelistTest {
 
     private static final int GONE = 410;
-    private static final long LISTED = 10;
-    private static final long LISTED_AGAIN = 900;
+    private static final long LISTED_REVISION = 10;
+    private static final long RELISTED_REVISION = 900;
 
     private static final class Confirmations implements StateLink.Listener {
         private final List<Long> sentAt = new ArrayList<>();
@@ -61,18 +61,18 @@
         SchedulerConfig config = TestConfig.small().state(450, 180).build();
         StateLink link = new StateLink(config, io, new SplittableRandom(1), replica, confirmations);
         link.start();
-        list(LISTED);
+        list(LISTED_REVISION);
         return link;
     }
 
-    /** The changes since a controller last looked may be more than it can hold: asked for again they would only be more. */
+    /** The changes since a replica's revision may be more than a controller accepts; a repeated watch would only get more. */
     @Test
     void anAnswerThatIsTooLongIsReplacedByAListing() {
         started();
         io.take("/follow").done().accept(HttpResult.TOO_LONG);
-        list(LISTED_AGAIN);
-        assertEquals(LISTED_AGAIN, replica.revision());
-        assertTrue(io.isAsked("/follow"), "the replica is followed again");
+        list(RELISTED_REVISION);
+        assertEquals(RELISTED_REVISION, replica.revision());
+        assertTrue(io.isPending("/follow"), "the replica is watched again");
     }
 
     @Test
@@ -88,13 +88,13 @@
         assertEquals(List.of(false), synced);
 
         io.now += 100;
-        watch.done().accept(ok(Map.of("ledger", LISTED + 1, "log", List.of())));
+        watch.done().accept(ok(Map.of("ledger", LISTED_REVISION + 1, "log", List.of())));
         assertEquals(1, confirmations.sentAt.size(), "an older watch confirmed a replica that is being listed");
-        assertEquals(LISTED, replica.revision());
-        assertFalse(io.isAsked("/follow"), "nothing is watched from a revision that is about to be replaced");
+        assertEquals(LISTED_REVISION, replica.revision());
+        assertFalse(io.isPending("/follow"), "nothing is watched from a revision that is about to be replaced");
 
-        list(LISTED_AGAIN);
+        list(RELISTED_REVISION);
         assertEquals(List.of(1_000_000L, 1_000_100L), confirmations.sentAt, "as of the sending of the new listing");
-        assertEquals(LISTED_AGAIN, replica.revision());
+        assertEquals(RELISTED_REVISION, replica.revision());
     }
 }
--- a/src/test/java/garnetscale/controller/StateLinkTest.java
+++ b/src/test/java/garnetscale/controller/StateLinkTest.java
@@ -13,16 +13,19 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * What an owner's grace runs from. A replica may only be called complete as of the sending of a request whose answer made it
- * so: had a keep-alive, a watch that hung open through a refusal, or a page of a listing said so, a cancellation that another
- * controller confirmed meanwhile would be missed for longer than the grace.
+ * The time from which an owner's grace runs. A replica may be confirmed only as of the sending of a request whose answer made it
+ * complete. If a keep-alive, a watch that was open during a refusal, or a page of a listing confirmed it, a cancellation that
+ * another controller confirmed meanwhile would be missed for longer than the grace.
  */
 class StateLinkTest {
 
     private static final int SEEDS = 15;
 
-    /** So many jobs that a listing takes several pages, and changes while it is read, with quiet seconds in which watches hang. */
-    private static ScriptedCluster day(long seed) {
+    /**
+     * Enough jobs that a listing takes several pages and changes while it is read, with seconds without changes in which watches
+     * stay open.
+     */
+    private static ScriptedCluster scenario(long seed) {
         ScriptedCluster cluster = new ScriptedCluster(seed);
         List<String> jobs = new ArrayList<>();
         for (int i = 0; i < 1300; i++) {
@@ -40,7 +43,7 @@
         return cluster;
     }
 
-    /** A job that is there is removed, and one that isn't comes. */
+    /** Removes a stored job, or stores one that isn't there. */
     private static void change(ScriptedCluster cluster, String key) {
         StateModel.Entry entry = cluster.state.get(key);
         Transaction transaction = new Transaction().guard(key, entry == null ? 0 : entry.modRevision());
@@ -56,10 +59,10 @@
     }
 
     @Test
-    void aViewIsCompleteAsOfTheSendingOfWhatConfirmsIt() {
+    void replicaIsCompleteAsOfTheSendingOfTheConfirmingRequest() {
         Map<String, Integer> occurrences = new TreeMap<>();
         for (long seed = 1; seed <= SEEDS; seed++) {
-            ScriptedCluster cluster = day(seed);
+            ScriptedCluster cluster = scenario(seed);
             ScriptedController leader = cluster.controllers.get(0);
             cluster.at(9400 + cluster.random.nextInt(400), () -> leader.refuse(5000));
             cluster.at(18_400 + cluster.random.nextInt(400), () -> leader.refuse(4000));
@@ -68,11 +71,11 @@
             cluster.run(40_000);
             assertEquals(List.of(), cluster.violations, "seed " + seed);
             cluster.controllers.forEach(controller ->
-                    assertTrue(cluster.now - controller.confirmedAt < 2000, "confirmed again once all is well"));
-            cluster.occurrences.forEach((what, times) -> occurrences.merge(what, times, Integer::sum));
+                    assertTrue(cluster.now - controller.confirmedAt < 2000, "confirmed again after the outages"));
+            cluster.occurrences.forEach((event, times) -> occurrences.merge(event, times, Integer::sum));
         }
-        for (String what : List.of("a watch hung open through a refusal", "listed in several pages", "lease lost")) {
-            assertTrue(occurrences.getOrDefault(what, 0) >= SEEDS, what + ": " + occurrences);
+        for (String event : List.of("watch open during a refusal", "listed in several pages", "lease lost")) {
+            assertTrue(occurrences.getOrDefault(event, 0) >= SEEDS, event + ": " + occurrences);
         }
         assertTrue(occurrences.get("confirmed") > 60 * SEEDS, occurrences.toString());
     }
--- a/src/test/java/garnetscale/controller/StateLinkVersionTest.java
+++ b/src/test/java/garnetscale/controller/StateLinkVersionTest.java
@@ -29,10 +29,10 @@
 
     private static final long MOD_REVISION = 7;
 
-    private static final class Silent implements StateLink.Listener {
+    private static final class IgnoringListener implements StateLink.Listener {
         @Override
         public void onReplicaAdvanced() {
-            // Only what is sent matters here.
+            // Only the sent requests matter here.
         }
 
         @Override
@@ -61,7 +61,7 @@
             io,
             new SplittableRandom(1),
             replica,
-            new Silent());
+            new IgnoringListener());
 
     private static HttpResult ok(Map<String, ?> body) {
         return HttpResult.answered(200, Cbor.write(body));
@@ -95,11 +95,11 @@
     }
 
     @Test
-    void aControllerThatCannotReadTheVersionDoesNothingUntilItCan() {
+    void controllerThatCannotReadTheVersionDecidesNothingUntilItCan() {
         link.start();
         io.take("/holds").done().accept(ok(Map.of("tenure", 5)));
         list(null);
-        assertTrue(io.isAsked("/multi"), "it registers itself");
+        assertTrue(io.isPending("/multi"), "it registers itself");
         io.take("/multi").done().accept(ok(Map.of("ledger", 11)));
         io.runTimers();
         io.take("/holds/5/touch").done().accept(ok(Map.of()));
@@ -112,16 +112,16 @@
         List<TransactionOutcome> results = new ArrayList<>();
         link.send(new Transaction().put("a/b", Map.of()), (result, revision) -> results.add(result));
         assertEquals(List.of(TransactionOutcome.REFUSED), results);
-        assertFalse(io.isAsked("/multi"), "it writes nothing");
+        assertFalse(io.isPending("/multi"), "it writes nothing");
 
         io.runTimers();
-        assertFalse(io.isAsked("/holds"), "its lease isn't renewed, so that others get its partitions");
+        assertFalse(io.isPending("/holds"), "its lease isn't renewed, so that others get its partitions");
         list(new ClusterVersion(2, 1));
         assertFalse(replica.isLoaded());
         io.runTimers();
         list(new ClusterVersion(1, 1));
-        assertTrue(replica.isLoaded(), "back once the version before is active again");
+        assertTrue(replica.isLoaded(), "loaded once the previous version is active again");
         io.runTimers();
-        assertTrue(io.isAsked("/holds/5/touch"));
+        assertTrue(io.isPending("/holds/5/touch"));
     }
 }
--- a/src/test/java/garnetscale/controller/TerminalJobIndexTest.java
+++ b/src/test/java/garnetscale/controller/TerminalJobIndexTest.java
@@ -19,14 +19,14 @@
 import java.util.stream.Collectors;
 import org.junit.jupiter.api.Test;
 
-/** Many users look up jobs that are terminal, or that nobody has submitted. */
+/** Look-ups of terminal jobs and of jobs that were never submitted. */
 class TerminalJobIndexTest {
 
     private static final int TRANSACTION_OPS = 32;
-    private static final int REMEMBERED = 50;
+    private static final int CACHE_SIZE = 50;
     private static final Records.TerminalJob DONE = new Records.TerminalJob(JobState.DONE, 3, 3, "red");
 
-    /** Answers when a test says so; of the keys that are there it names only the first, as little as the protocol promises. */
+    /** Answers when a test says so. It names only the first of the existing keys, the least that the protocol promises. */
     private static final class Store implements TerminalJobIndex.Store {
         final Map<String, Object> values = new HashMap<>();
         final Deque<Runnable> pending = new ArrayDeque<>();
@@ -61,7 +61,7 @@
     }
 
     private final Store store = new Store();
-    private final TerminalJobIndex terminalJobs = new TerminalJobIndex(TRANSACTION_OPS, REMEMBERED, store);
+    private final TerminalJobIndex terminalJobs = new TerminalJobIndex(TRANSACTION_OPS, CACHE_SIZE, store);
     private final Map<String, String> results = new TreeMap<>();
 
     private void lookUp(String id) {
@@ -72,9 +72,9 @@
                         !known ? "unknown" : job == null ? "never" : job.state().name()));
     }
 
-    /** Each question used to cost a read, of which a node may make eight a second. */
+    /** Guards against a read for each look-up: a controller may make only eight reads a second. */
     @Test
-    void aHundredQuestionsAboutNothingTakeOneRequest() {
+    void hundredLookUpsOfAbsentJobsTakeOneRequest() {
         for (int i = 0; i < 100; i++) {
             lookUp("wk-" + i);
         }
@@ -84,9 +84,9 @@
         assertEquals(1, store.requests);
     }
 
-    /** A job that is over must never be called unknown because the answer names only some of those that are there. */
+    /** A terminal job must not be taken for absent because the service's answer names only some of the existing keys. */
     @Test
-    void whatIsThereIsFoundAmongTheRest() {
+    void existingJobsAreFoundAmongAbsentOnes() {
         for (int i = 0; i < 40; i++) {
             if (i % 10 == 3) {
                 store.values.put(Keys.terminalJob("wk-" + i), Records.terminalJob(DONE));
@@ -98,11 +98,11 @@
             assertEquals(i % 10 == 3 ? "DONE" : "never", results.get("wk-" + i), "wk-" + i);
         }
         lookUp("wk-3");
-        assertTrue(store.pending.isEmpty(), "what was read once is known");
+        assertTrue(store.pending.isEmpty(), "a job that was read is cached");
     }
 
     @Test
-    void oneJobsUsersShareAnAnswer() {
+    void lookUpsOfOneJobShareAnAnswer() {
         List<String> answers = new ArrayList<>();
         for (int i = 0; i < 1000; i++) {
             terminalJobs.lookUp("wk-1", (known, job) -> answers.add(String.valueOf(job)));
@@ -112,9 +112,9 @@
         assertEquals(1, store.requests);
     }
 
-    /** More than two requests' worth isn't held back, and nobody's silence is taken for "never". */
+    /** Look-ups beyond two full batches aren't queued, and a failed request isn't taken for an absent job. */
     @Test
-    void whatCannotBeAskedIsRefusedAtOnce() {
+    void lookUpsBeyondTheQueueLimitAreRefusedAtOnce() {
         store.failing = true;
         for (int i = 0; i < 1000; i++) {
             lookUp("wk-" + i);
@@ -125,22 +125,22 @@
         assertEquals(1000, results.size());
     }
 
-    /** What is kept follows from the settings; beyond it the end that was asked for the longest ago is read again. */
+    /** The cache size follows from the settings; beyond it the least recently used job is evicted and read again. */
     @Test
-    void endsAreRememberedUpToTheBound() {
-        for (int i = 0; i <= REMEMBERED; i++) {
+    void leastRecentlyUsedJobIsEvicted() {
+        for (int i = 0; i <= CACHE_SIZE; i++) {
             terminalJobs.remember("wk-" + i, DONE);
         }
-        lookUp("wk-" + REMEMBERED);
+        lookUp("wk-" + CACHE_SIZE);
         lookUp("wk-1");
         assertEquals(0, store.requests);
         lookUp("wk-0");
         store.answerAll();
-        assertTrue(store.requests > 0, "more is remembered than was allowed");
+        assertTrue(store.requests > 0, "more jobs are cached than allowed");
     }
 
     @Test
-    void whatTheLeaderTellsNeedsNoRequest() {
+    void rememberedJobNeedsNoRequest() {
         terminalJobs.remember("wk-1", DONE);
         lookUp("wk-1");
         assertEquals("DONE", results.get("wk-1"));
--- a/src/test/java/garnetscale/controller/WriteRateAllocatorTest.java
+++ b/src/test/java/garnetscale/controller/WriteRateAllocatorTest.java
@@ -5,22 +5,22 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Fifteen submissions a second for a minute, where the state service takes forty changes. */
+/** Fifteen submissions a second for a minute, at a limit of forty writes a second. */
 class WriteRateAllocatorTest {
 
     private static final double LIMIT = 40;
 
     private final WriteRateAllocator rates = new WriteRateAllocator(LIMIT);
 
-    /** With 22% of the limit for all controllers, live or not, half of such submissions were refused. */
+    /** With only 22% of the limit, divided among all controllers, live or not, half of these submissions were refused. */
     @Test
-    void manySubmissionsFindRoomAtTheLiveControllers() {
+    void liveControllersTogetherAdmitTheSubmissions() {
         assertTrue(3 * rates.submissionsPerS(3) > 1.3 * 15);
         assertTrue(2 * rates.submissionsPerS(2) > 1.3 * 15, "one has crashed");
     }
 
     @Test
-    void theLeaderMakesRoomForItAndTakesItBack() {
+    void leaderYieldsToSubmissionsAndRecovers() {
         rates.observe(0, 0);
         assertEquals(0.75 * 0.9 * LIMIT, rates.leaderPerS(), 1e-9);
         for (int i = 1; i <= 4; i++) {
@@ -33,7 +33,7 @@
         assertEquals(0.75 * 0.9 * LIMIT, rates.leaderPerS(), 0.1);
     }
 
-    /** However many come, what ends and starts has to be written too. */
+    /** At any rate of submissions, the ends and starts of tasks have to be written too. */
     @Test
     void theLeaderKeepsItsMinimum() {
         rates.observe(500, 1000);
