--- a/src/main/java/garnetscale/controller/EventLoopPacer.java
+++ b/src/main/java/garnetscale/controller/EventLoopPacer.java
@@ -17,7 +17,7 @@
 
     /**
      * Events within a 300th of a heartbeat interval are handled in one cycle, and plans are at least an 80th of it apart. New
-     * information arrives by heartbeats, and each cycle and plan goes over more the more machines there are.
+     * information arrives by heartbeats, and the work of each cycle and plan grows with the number of machines.
      */
     private static final long CYCLES_PER_HEARTBEAT_INTERVAL = 300;
 
@@ -25,13 +25,13 @@
     private static final long MIN_CYCLE_DELAY_MS = 4;
     /** Limit on the plans in a bidding window; each plan goes through all waiting jobs. */
     private static final int PLANS_PER_WINDOW = 10;
-    /** Factor on the interval between plans after an empty one: batches rarely arrive alone. */
+    /** After an empty plan, the interval to the next one is multiplied by this: batches rarely arrive alone. */
     private static final long IDLE_BACKOFF = 3;
     /** Length of the pause after a cycle, as a multiple of the cycle's duration. */
     private static final long PAUSE_FACTOR = 3;
 
     private static final long MAX_PAUSE_MS = TICK_MS / 2;
-    /** The process lags when a cycle starts later, after it was due, than a heartbeat interval divided by this. */
+    /** The process lags when a cycle is late by more than a heartbeat interval divided by this. */
     private static final long MAX_LAGS_PER_HEARTBEAT_INTERVAL = 50;
 
     /** The action to run when a requested cycle is due. */
--- a/src/main/java/garnetscale/controller/LoadView.java
+++ b/src/main/java/garnetscale/controller/LoadView.java
@@ -25,9 +25,9 @@
     /**
      * The machines of one type in one zone.
      *
-     * @param serving      machines that take work
+     * @param serving      number of machines that take work
      * @param known        whether the group's load is known well enough to move work into or out of it
-     * @param unknown      machines whose load isn't known, by reason, or {@code none}
+     * @param unknown      number of machines whose load isn't known, by reason, or {@code none}
      * @param cpus         CPUs of the serving machines
      * @param used         how many of those CPUs are in use
      * @param utilization  smoothed, from 0 to 1, rounded to hundredths
--- a/src/main/java/garnetscale/controller/ReplicaListing.java
+++ b/src/main/java/garnetscale/controller/ReplicaListing.java
@@ -41,7 +41,7 @@
         this.listener = listener;
     }
 
-    /** Whether the replica is being loaded. */
+    /** Returns whether the replica is being loaded. */
     boolean isRunning() {
         return running;
     }
