--- a/src/main/java/garnetscale/core/machine/ExitCause.java
+++ b/src/main/java/garnetscale/core/machine/ExitCause.java
@@ -1,18 +1,18 @@
 package garnetscale.core.machine;
 
-/** Why a task exited, or its start was refused (PROTOCOL, POST /hello). */
+/** Why a task exited, or why its start was rejected (PROTOCOL, POST /hello). */
 public enum ExitCause {
-    /** It completed; its result is kept. */
+    /** The task completed; its result is kept. */
     DONE,
-    /** It was stopped by command. */
+    /** The task was stopped by a command. */
     STOPPED,
-    /** It failed: mostly the machine is faulty, or its job fails everywhere. */
+    /** The task failed. Usually the machine is faulty, or the job fails on every machine. */
     ERROR,
-    /** Its start was refused for lack of free capacity. */
+    /** The start was rejected for lack of free capacity. */
     NO_ROOM,
-    /** Its start was refused because another attempt of the task is on the machine. */
+    /** The start was rejected because another attempt of the task is on the machine. */
     BUSY,
-    /** Its start was refused because the worker found no such job or task. */
+    /** The start was rejected because the worker found no such job or task. */
     UNKNOWN_TASK,
     /** A cause that this version doesn't know. */
     OTHER
--- a/src/main/java/garnetscale/core/machine/FreeCapacity.java
+++ b/src/main/java/garnetscale/core/machine/FreeCapacity.java
@@ -2,14 +2,16 @@
 
 import garnetscale.core.job.JobSpec;
 
-/** The free capacity of one machine, to be counted down and up. It may fall below zero where more is placed than fits. */
+/**
+ * The free capacity of one machine, a mutable count. An amount falls below zero if more is placed on the machine than fits.
+ */
 public final class FreeCapacity {
 
     private double cpus;
     private double gpus;
     private double memoryGb;
 
-    /** The capacity of an empty machine of the type. */
+    /** Creates the capacity of an empty machine of the type. */
     public FreeCapacity(MachineType type) {
         this(type.cpus(), type.gpus(), type.memoryGb());
     }
@@ -20,27 +22,27 @@
         this.memoryGb = memoryGb;
     }
 
-    /** A copy that changes independently. */
+    /** Returns a copy that changes independently. */
     public FreeCapacity copy() {
         return new FreeCapacity(cpus, gpus, memoryGb);
     }
 
-    /** Free CPUs. */
+    /** Returns the free CPUs. */
     public double cpus() {
         return cpus;
     }
 
-    /** Takes the capacity of one task of the job, whether it fits or not. */
+    /** Subtracts the capacity of one task of the job, whether it fits or not. */
     public void take(JobSpec job) {
         take(job, 1);
     }
 
-    /** Gives back the capacity of one task of the job. */
+    /** Adds the capacity of one task of the job. */
     public void release(JobSpec job) {
         take(job, -1);
     }
 
-    /** Takes the capacity of so many tasks of the job, whether they fit or not. */
+    /** Subtracts the capacity of {@code tasks} tasks of the job, whether they fit or not. */
     public void take(JobSpec job, int tasks) {
         cpus -= tasks * job.cpus();
         gpus -= tasks * job.gpus();
@@ -52,7 +54,7 @@
         return slots(job) > 0;
     }
 
-    /** How many tasks of the job fit side by side. */
+    /** Returns how many tasks of the job fit at the same time. */
     public int slots(JobSpec job) {
         double slots = Integer.MAX_VALUE;
         slots = Math.min(slots, slots(cpus, job.cpus()));
--- a/src/main/java/garnetscale/core/machine/MachineAddress.java
+++ b/src/main/java/garnetscale/core/machine/MachineAddress.java
@@ -1,11 +1,12 @@
 package garnetscale.core.machine;
 
 /**
- * An entry of the machine directory, which the leader sends to all partition owners from what the cloud lists.
+ * An entry of the machine directory, which the leader builds from the cloud's list of machines and sends to all partition
+ * owners.
  *
  * @param machine the machine's name
- * @param address host and port of its worker
- * @param zone the zone, which together with the name decides the machine's partition
+ * @param address host and port of the machine's worker
+ * @param zone the machine's zone, which together with the name decides the machine's partition
  */
 public record MachineAddress(String machine, String address, String zone) {
 
--- a/src/main/java/garnetscale/core/machine/MachineType.java
+++ b/src/main/java/garnetscale/core/machine/MachineType.java
@@ -11,11 +11,11 @@
  * @param gpus GPUs of an empty machine
  * @param memoryGb memory of an empty machine, in GB
  * @param cacheGb size of the image cache, in GB
- * @param fetchGbPerS rate at which images are fetched; 0 if it isn't known
- * @param price price per hour of an ordinary machine
- * @param spotPrice present price per hour of a spot instance
+ * @param fetchGbPerS rate at which images are fetched, in GB per second; 0 if unknown
+ * @param price price per hour of an on-demand machine
+ * @param spotPrice current price per hour of a spot instance
  * @param bootS usual boot time in seconds
- * @param zones zones that provide it
+ * @param zones zones that provide machines of this type
  */
 public record MachineType(
         String name,
@@ -29,7 +29,7 @@
         double bootS,
         List<String> zones) {
 
-    /** Amounts are decimal numbers on the wire; sums of them are compared with this slack. */
+    /** Tolerance for comparing sums of amounts, because amounts are decimal numbers on the wire. */
     public static final double EPSILON = 1e-6;
 
     /** Whether an empty machine of this type could hold one task of the job. */
--- a/src/main/java/garnetscale/core/machine/Placement.java
+++ b/src/main/java/garnetscale/core/machine/Placement.java
@@ -3,26 +3,26 @@
 import garnetscale.core.job.TaskId;
 
 /**
- * The stored permission of one attempt to be on one machine, written before any start is sent.
+ * The stored permission for one attempt to be on one machine, written before any start is sent.
  *
  * @param task the task
  * @param attempt unique among all attempts of all tasks
- * @param agentEpoch the worker's agent epoch that it was awarded in; in a later one the attempt can't be there
+ * @param agentEpoch the worker's agent epoch in which the attempt was awarded; it can't be on the machine in a later one
  * @param stop whether and how the leader wants the attempt stopped
  */
 public record Placement(TaskId task, long attempt, long agentEpoch, Stop stop) {
 
-    /** What the leader wants of a placed attempt. */
+    /** What the leader requests for a placed attempt. */
     public enum Stop {
-        /** Let it run. */
+        /** Let the attempt run. */
         KEEP,
-        /** Stop it, with time to write a checkpoint. */
+        /** Stop the attempt, with time to write a checkpoint. */
         CHECKPOINT,
-        /** Stop it at once. */
+        /** Stop the attempt at once. */
         NOW
     }
 
-    /** The same placement with another wish of the leader. */
+    /** Returns a copy of this placement with another request of the leader. */
     public Placement withStop(Stop next) {
         return new Placement(task, attempt, agentEpoch, next);
     }
--- a/src/main/java/garnetscale/core/machine/TaskState.java
+++ b/src/main/java/garnetscale/core/machine/TaskState.java
@@ -2,13 +2,13 @@
 
 /** State of a task on its machine (PROTOCOL, POST /hello). */
 public enum TaskState {
-    /** It waits for its image. */
+    /** The task waits for its image. */
     FETCHING,
-    /** It runs. */
+    /** The task runs. */
     RUNNING,
-    /** It was told to stop and writes a checkpoint first. */
+    /** The task received a stop and writes a checkpoint before it exits. */
     CHECKPOINTING,
-    /** It has ended; see {@link ExitCause}. */
+    /** The task has ended; see {@link ExitCause}. */
     EXITED,
     /** A state that this version doesn't know. */
     UNKNOWN
--- a/src/main/java/garnetscale/core/machine/TaskStatus.java
+++ b/src/main/java/garnetscale/core/machine/TaskStatus.java
@@ -6,10 +6,10 @@
  * The status of one task in a worker's heartbeat.
  *
  * @param task the task
- * @param attempt which attempt of it
- * @param state its state
- * @param cause why it exited; null until then
- * @param checkpointed whether its progress was saved when it was stopped
+ * @param attempt the attempt of the task, unique among all attempts of all tasks
+ * @param state the task's state
+ * @param cause why the task exited; null until then
+ * @param checkpointed whether the task's progress was saved when it was stopped
  */
 public record TaskStatus(TaskId task, long attempt, TaskState state, ExitCause cause, boolean checkpointed) {
 
--- a/src/main/java/garnetscale/core/machine/WorkerCommand.java
+++ b/src/main/java/garnetscale/core/machine/WorkerCommand.java
@@ -2,26 +2,29 @@
 
 import garnetscale.core.job.TaskId;
 
-/** A command to a worker, always for one attempt of one task. All but {@link Clear} are idempotent. */
+/** A command to a worker, always for one attempt of one task. All commands except {@link Clear} are idempotent. */
 public sealed interface WorkerCommand {
 
-    /** The task that it is for. */
+    /** Returns the task that the command is for. */
     TaskId task();
 
-    /** The attempt that it is for. */
+    /** Returns the attempt that the command is for. */
     long attempt();
 
-    /** Starts a task; without effect where the worker knows the attempt already. */
+    /** Starts a task. Has no effect if the worker already knows the attempt. */
     record Start(TaskId task, long attempt) implements WorkerCommand {}
 
     /**
      * Stops a task.
      *
-     * @param graceS seconds for a graceful stop: the task writes a checkpoint first if they cover the time that its job
-     *     names for that; 0 stops it at once
+     * @param graceS seconds for a graceful stop: the task writes a checkpoint first if they cover the checkpoint write time
+     *     that its job declares; 0 stops the task at once
      */
     record Stop(TaskId task, long attempt, double graceS) implements WorkerCommand {}
 
-    /** Makes the worker forget an exited attempt. After it, a late copy of the start would start the attempt again. */
+    /**
+     * Makes the worker forget an exited attempt. A late copy of the start that arrives afterwards would start the attempt
+     * again.
+     */
     record Clear(TaskId task, long attempt) implements WorkerCommand {}
 }
--- a/src/main/java/garnetscale/core/machine/WorkerHeartbeat.java
+++ b/src/main/java/garnetscale/core/machine/WorkerHeartbeat.java
@@ -10,12 +10,12 @@
  * @param address host and port of the worker
  * @param type the name of the machine type
  * @param zone the machine's zone
- * @param spot whether it is a spot instance
+ * @param spot whether the machine is a spot instance
  * @param agentEpoch starts at 1 and rises each time the worker's lease expires
- * @param tick rises with every message of the worker
+ * @param tick sequence number that rises with every message of the worker
  * @param fencingToken the highest token that the worker has seen
  * @param evictionNoticeS seconds until the cloud takes the machine away; null without eviction notice
- * @param tasks all tasks on the machine, exited ones until they are cleared
+ * @param tasks all tasks on the machine; exited tasks are listed until they are cleared
  */
 public record WorkerHeartbeat(
         String machine,
@@ -30,14 +30,14 @@
         List<TaskStatus> tasks) {
 
     /**
-     * Whether this heartbeat is the newer one, that is, has the larger (agentEpoch, tick): messages overtake each other. Any
-     * is newer than null.
+     * Whether this heartbeat is newer than the other one, that is, has the larger (agentEpoch, tick). The order of arrival
+     * doesn't count, since messages overtake each other. Any heartbeat is newer than null.
      */
     public boolean isNewerThan(WorkerHeartbeat other) {
         return other == null || agentEpoch > other.agentEpoch || (agentEpoch == other.agentEpoch && tick > other.tick);
     }
 
-    /** Whether nothing but the tick and the fencing token differs. */
+    /** Whether the heartbeats differ in nothing but the tick and the fencing token. */
     public boolean hasSameContentAs(WorkerHeartbeat other) {
         return agentEpoch == other.agentEpoch
                 && spot == other.spot
@@ -49,7 +49,7 @@
                 && tasks.equals(other.tasks);
     }
 
-    /** The status of an attempt, or null if it isn't on the machine. */
+    /** Returns the status of an attempt, or null if the attempt isn't on the machine. */
     public TaskStatus find(long attempt) {
         for (TaskStatus task : tasks) {
             if (task.attempt() == attempt) {
--- a/src/main/java/garnetscale/core/machine/package-info.java
+++ b/src/main/java/garnetscale/core/machine/package-info.java
@@ -1,6 +1,7 @@
 /**
  * Machines and what runs on them: types, capacity, heartbeats with task status, stored placements and commands. These are
- * values, apart from {@link garnetscale.core.machine.FreeCapacity}, which belongs to whoever created or copied it. The package
- * decides nothing and depends on {@link garnetscale.core.job} alone; how values are stored or sent is for codecs elsewhere.
+ * plain values, except {@link garnetscale.core.machine.FreeCapacity}, which belongs to the code that created or copied it.
+ * The package makes no decisions and depends on {@link garnetscale.core.job} alone; codecs elsewhere define how the values are
+ * stored and sent.
  */
 package garnetscale.core.machine;
