--- a/src/main/java/garnetscale/core/partition/BidSubmitter.java
+++ b/src/main/java/garnetscale/core/partition/BidSubmitter.java
@@ -26,12 +26,15 @@
 import java.util.Set;
 
 /**
- * Submits the bids of this owner's machines to the leader when something that they depend on has changed, and not more often
- * than the windows that they are meant for can distinguish (paper, DSP step 3).
+ * Submits the bids of this owner's machines to the leader when data that the bids depend on has changed, and no more often
+ * than the leader's bid windows can distinguish (paper, DSP step 3).
  */
 final class BidSubmitter {
 
-    /** Batches that fit into a window: often enough to close it early, and not one for each change of a busy moment. */
+    /**
+     * Maximum number of batches per bid window: enough to let the window close early, but not one for each change in a busy
+     * moment.
+     */
     private static final int BATCHES_PER_WINDOW = 6;
 
     private final SchedulerConfig config;
@@ -44,9 +47,9 @@
     private final JobOrder order;
     private final ScarceTypeFilter scarceTypes;
     private final FreeCapacityCache capacities;
-    /** Jobs that fail wherever they run; a live set of {@link HeartbeatIntake}. */
+    /** Jobs that fail on every machine; a live set of {@link HeartbeatIntake}. */
     private final Set<String> suspectJobs;
-    /** Started jobs that the leader takes late bids for. */
+    /** Started jobs for which the leader accepts late bids. */
     private final Set<String> lateBidJobs = new HashSet<>();
 
     private BidBatch lastBatch;
@@ -55,7 +58,7 @@
     private long submittedRevision = -1;
     private long wallClockOffset;
 
-    /** {@code machines} and {@code suspectJobs} are shared and only read here. */
+    /** {@code machines} and {@code suspectJobs} are shared; this class only reads them. */
     BidSubmitter(
             SchedulerConfig config,
             StateReplica replica,
@@ -78,50 +81,53 @@
         this.capacities = new FreeCapacityCache(replica);
     }
 
-    /** The difference between the time of day, which job records carry, and the steady clock. */
+    /** Sets the milliseconds to add to the steady clock to get the wall-clock time, which job records carry. */
     void setWallClockOffset(long offset) {
         wallClockOffset = offset;
     }
 
-    /** Replaces the started jobs that the leader takes late bids for. */
+    /** Replaces the started jobs for which the leader accepts late bids. */
     void onLateBidJobs(List<String> jobs) {
         lateBidJobs.clear();
         lateBidJobs.addAll(jobs);
     }
 
-    /** Something that bids depend on has changed, beside the replica: they are made anew when the next ones are due. */
+    /**
+     * Marks the bids as stale because something that they depend on, other than the replica, has changed. They are computed
+     * again when the next batch is due.
+     */
     void markStale() {
         isStale = true;
     }
 
-    /** Forgets what was submitted, for a leader that is new or whose connection is. */
+    /** Forgets what was submitted, because the leader or the connection to it is new. */
     void forgetSubmitted() {
         lastBatch = null;
         submittedAt = Times.NEVER;
         isStale = true;
     }
 
-    /** Forgets the free capacity of machines that this owner doesn't have any more. */
+    /** Forgets the free capacity of machines that this owner no longer has. */
     void retainOwnedMachines() {
         capacities.retain(machines.keySet());
     }
 
-    /** Milliseconds until bids that were put off are due, or -1 if there are none. */
+    /** Returns the milliseconds until delayed bids are due, or -1 if no bids are pending. */
     long msUntilDue(long now) {
-        return isPending() && !leases.ownedNames().isEmpty() ? Math.max(1, submittedAt + minGapMs() - now) : -1;
+        return isPending() && !leases.ownedNames().isEmpty() ? Math.max(1, submittedAt + minIntervalMs() - now) : -1;
     }
 
     private boolean isPending() {
         return isStale || submittedRevision != replica.revision();
     }
 
-    private long minGapMs() {
+    private long minIntervalMs() {
         return config.bidWindowMs() / BATCHES_PER_WINDOW;
     }
 
-    /** Makes all bids anew if that is due, and submits them if they differ from the last ones. */
+    /** Computes all bids again if that is due, and submits them if {@link #shouldSubmit} holds for the new batch. */
     void submitIfDue(long now) {
-        if (!isPending() || now - submittedAt < minGapMs()) {
+        if (!isPending() || now - submittedAt < minIntervalMs()) {
             return;
         }
         Map<String, Long> terms = leases.terms();
@@ -137,7 +143,7 @@
             bids = bidsFor(now, waiting);
         }
         BidBatch batch = new BidBatch(config.self(), leases.incarnation(), replica.revision(), terms, bids);
-        if (isNews(batch, waiting)) {
+        if (shouldSubmit(batch, waiting)) {
             lastBatch = batch;
             effects.add(new OwnerEffect.SubmitBids(batch));
         }
@@ -148,14 +154,14 @@
         for (String id : lateBidJobs) {
             JobView job = replica.job(id);
             if (job != null && job.isLive() && job.unstartedCount() == 0) {
-                // Behind all that waits: a late bid is only for capacity that nobody else has a use for.
+                // After all waiting jobs: a late bid is only for capacity that no other job has a use for.
                 waiting.add(job);
             }
         }
         return waiting;
     }
 
-    /** Removes from {@code waiting} what quotas forbid, and bids for the rest. */
+    /** Removes the jobs that quotas forbid from {@code waiting}, and returns bids for the remaining ones. */
     private List<Bid> bidsFor(long now, List<JobView> waiting) {
         QuotaUsage quota = QuotaUsage.of(config, replica);
         waiting.removeIf(job -> !quota.allows(job.spec()));
@@ -164,15 +170,18 @@
                 .bids(waiting, bidders(now, waiting));
     }
 
-    /** Whether the leader has a use for the batch; with jobs waiting it also says up to which revision jobs are in sight. */
-    private boolean isNews(BidBatch batch, List<JobView> waiting) {
+    /**
+     * Returns whether the batch has something that the leader doesn't know yet. While jobs are waiting, a new revision alone
+     * is enough: it shows the leader up to which revision this owner has seen the jobs.
+     */
+    private boolean shouldSubmit(BidBatch batch, List<JobView> waiting) {
         return lastBatch == null
                 || !lastBatch.bids().equals(batch.bids())
                 || !lastBatch.terms().equals(batch.terms())
                 || !waiting.isEmpty() && lastBatch.revision() != batch.revision();
     }
 
-    /** Machines that may bid, with what is free on them. */
+    /** Returns the machines that may bid and have the CPUs for the smallest waiting job, with the free capacity of each. */
     private List<Bidder> bidders(long now, List<JobView> waiting) {
         double minCpus = Double.MAX_VALUE;
         for (JobView job : waiting) {
@@ -196,7 +205,7 @@
         return bidders;
     }
 
-    /** Takes the capacity of tasks that run on the machine without being placed there: they are still to be stopped. */
+    /** Subtracts the capacity of tasks that run on the machine without being placed there; they are still to be stopped. */
     private void takeUnplaced(MachineView machine, FreeCapacity free) {
         for (TaskStatus task : machine.lastHeartbeat.tasks()) {
             if (!task.exited() && !isPlaced(machine.id, task.attempt())) {
--- a/src/main/java/garnetscale/core/partition/CommandReconciler.java
+++ b/src/main/java/garnetscale/core/partition/CommandReconciler.java
@@ -13,17 +13,17 @@
 import java.util.Map;
 
 /**
- * Compares a machine's newest heartbeat with its stored placements and derives the commands that bring it there. Commands go
- * out with the acknowledgement of a heartbeat, or directly where something can't wait for the next one. Direct commands are
- * idempotent and may be lost: the acknowledgement of the next heartbeat carries what is still to do.
+ * Compares a machine's newest heartbeat with its stored placements and derives the commands that reconcile the two. Commands
+ * are sent with the acknowledgement of a heartbeat, or directly if they can't wait for the next heartbeat. Direct commands
+ * are idempotent and may be lost: the acknowledgement of the next heartbeat carries the commands that are still needed.
  */
 final class CommandReconciler {
 
-    /** A direct stop isn't repeated within so many heartbeat intervals. */
+    /** Minimum time between two direct stops of the same attempt, in heartbeat intervals. */
     private static final int STOP_REPEAT_HEARTBEATS = 2;
-    /** A stop with checkpoint allows this many times what the job's owner says that writing one takes, ... */
+    /** Factor on the checkpoint write time that the job's owner declares, for the grace of a stop with checkpoint. */
     private static final double CHECKPOINT_GRACE_FACTOR = 1.5;
-    /** ... and these seconds more. */
+    /** Seconds added to the grace of a stop with checkpoint, after the factor was applied. */
     private static final double CHECKPOINT_GRACE_EXTRA_S = 1;
 
     private final SchedulerConfig config;
@@ -46,8 +46,8 @@
     }
 
     /**
-     * The commands for the acknowledgement of the machine's newest heartbeat, starts among them noted as sent. Only there a
-     * worker is told to clear exited attempts.
+     * Returns the commands for the acknowledgement of the machine's newest heartbeat, and records the starts among them as
+     * sent. Only an acknowledgement carries commands to clear exited attempts.
      */
     List<WorkerCommand> commandsInReply(MachineView machine, OwnedPartition owned) {
         List<WorkerCommand> commands = commandsFor(machine, owned, true);
@@ -59,7 +59,7 @@
         return commands;
     }
 
-    /** The commands that bring the machine from its newest heartbeat to what is stored. */
+    /** Returns the commands that bring the machine from the state in its newest heartbeat to its stored placements. */
     private List<WorkerCommand> commandsFor(MachineView machine, OwnedPartition owned, boolean isReply) {
         List<WorkerCommand> commands = new ArrayList<>();
         Map<Long, Placement> placed = new HashMap<>();
@@ -75,7 +75,7 @@
             }
         }
         for (Placement placement : placed.values()) {
-            if (isToStart(machine, placement)) {
+            if (needsStart(machine, placement)) {
                 commands.add(new WorkerCommand.Start(placement.task(), placement.attempt()));
             }
         }
@@ -86,13 +86,15 @@
         return machine.fencing.isStartSuperseded(attempt, machine.lastHeartbeat.fencingToken(), owned.term());
     }
 
-    /** {@code placement} is null for a task that isn't placed on the machine. */
+    /**
+     * Adds a stop of the task unless the task is to run. {@code placement} is null if the task isn't placed on the machine.
+     */
     private void stopUnlessDesired(TaskStatus task, Placement placement, List<WorkerCommand> commands) {
         if (placement != null && desired.isDesired(placement)) {
             return;
         }
-        boolean maySave = placement != null && placement.stop() == Placement.Stop.CHECKPOINT;
-        double graceS = maySave ? checkpointGraceS(task) : 0;
+        boolean mayWriteCheckpoint = placement != null && placement.stop() == Placement.Stop.CHECKPOINT;
+        double graceS = mayWriteCheckpoint ? checkpointGraceS(task) : 0;
         if (task.state() != TaskState.CHECKPOINTING || graceS == 0) {
             commands.add(new WorkerCommand.Stop(task.task(), task.attempt(), graceS));
         }
@@ -105,7 +107,7 @@
                 : job.spec().checkpointWriteS() * CHECKPOINT_GRACE_FACTOR + CHECKPOINT_GRACE_EXTRA_S;
     }
 
-    private boolean isToStart(MachineView machine, Placement placement) {
+    private boolean needsStart(MachineView machine, Placement placement) {
         return desired.isDesired(placement)
                 && placement.agentEpoch() == machine.lastHeartbeat.agentEpoch()
                 && machine.lastHeartbeat.find(placement.attempt()) == null
@@ -113,7 +115,10 @@
                 && !machine.fencing.isStartInReply(placement.attempt());
     }
 
-    /** Sends the machine directly what it lacks, unless a command is in flight or it may be out of reach. */
+    /**
+     * Sends the needed commands to the machine directly, unless a command is in flight, the machine may be out of reach, the
+     * partition's term has no higher fencing token left, or too many requests to workers are in flight.
+     */
     void sendCommands(long now, MachineView machine, OwnedPartition owned) {
         machine.hasPendingWork |= machine.commandInFlight || machine.isUnreachable();
         if (machine.commandInFlight
@@ -159,9 +164,9 @@
     }
 
     /**
-     * The machine's direct command in flight has been answered or is lost.
+     * Ends the machine's direct command in flight, which was answered or lost.
      *
-     * @param machine null if it isn't known any more
+     * @param machine the machine, or null if it is no longer known
      * @return whether the command belongs to this term of the partition; if not, the machine is unaffected
      */
     boolean endCommand(MachineView machine) {
@@ -175,8 +180,10 @@
     }
 
     /**
-     * A direct command under the token went unanswered and may still arrive, minutes from now. From here on the machine gets
-     * a higher token, and nothing more is sent directly until a heartbeat shows it. {@code machine} may be null.
+     * Handles a direct command under {@code fencingToken} that went unanswered and may still arrive, minutes from now. From
+     * here on the machine is sent a higher token, and no more commands are sent directly until a heartbeat shows that token.
+     *
+     * @param machine the machine, or null if it is no longer known
      */
     void onCommandLost(MachineView machine, long fencingToken) {
         if (endCommand(machine)) {
--- a/src/main/java/garnetscale/core/partition/DesiredPlacements.java
+++ b/src/main/java/garnetscale/core/partition/DesiredPlacements.java
@@ -9,23 +9,29 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Which stored placements are still to run, by the replica and by what peers say has been cancelled. */
+/** Decides which stored placements are to run, from the replica and from the cancellations that peers report. */
 final class DesiredPlacements {
 
     private final SchedulerConfig config;
     private final StateReplica replica;
     private final Map<String, MachineView> machines;
-    /** Jobs that a peer says are cancelled; the replica may not show that while this process is cut off. Oldest first. */
+    /**
+     * Jobs that peers reported as cancelled, oldest report first. The replica may not show a cancellation while this process
+     * is cut off from the state service.
+     */
     private final Set<String> cancelledByPeers = new LinkedHashSet<>();
 
-    /** {@code machines} is shared; this class marks those that run a cancelled job. */
+    /** {@code machines} is shared; this class marks the machines that run a cancelled job. */
     DesiredPlacements(SchedulerConfig config, StateReplica replica, Map<String, MachineView> machines) {
         this.config = config;
         this.replica = replica;
         this.machines = machines;
     }
 
-    /** Whether the placement's task is to run: its job is live and nobody wants the attempt stopped. */
+    /**
+     * Whether the placement's task is to run: its job is live, the task isn't finished, and neither the leader nor a peer's
+     * cancellation asks for the attempt to be stopped.
+     */
     boolean isDesired(Placement placement) {
         JobView job = replica.job(placement.task().job());
         return job != null
@@ -36,8 +42,8 @@
     }
 
     /**
-     * A peer has cancelled a job for its user. A cancelled job stays cancelled, so the peer's word is enough. As many
-     * cancellations are remembered as {@link SchedulerConfig#cancellationsRemembered} says, the newest.
+     * Handles a peer's report that a user cancelled a job. A cancelled job stays cancelled, so the report needs no
+     * confirmation. Only the newest reports are kept, {@link SchedulerConfig#cancellationsRemembered} of them.
      */
     void onCancelled(String job) {
         for (MachineView machine : machines.values()) {
--- a/src/main/java/garnetscale/core/partition/HeartbeatIntake.java
+++ b/src/main/java/garnetscale/core/partition/HeartbeatIntake.java
@@ -15,24 +15,26 @@
 import java.util.Set;
 
 /**
- * Takes a worker's heartbeat into the view of its machine: run times for the estimates, failures of tasks, and what the
- * heartbeat proves about fencing tokens. A machine on which tasks of several jobs fail is cordoned for a while.
+ * Applies a worker's heartbeat to the view of its machine: run times for the estimates, task failures, and what the heartbeat
+ * proves about fencing tokens. Cordons a machine for a while when tasks of several jobs fail on it.
  */
 final class HeartbeatIntake {
 
-    /** How long a machine is cordoned, in heartbeat intervals. */
+    /** Duration of a cordon, in heartbeat intervals. */
     private static final int CORDON_HEARTBEATS = 8;
-    /** Jobs that must fail on a machine before it is cordoned; one may have been submitted with a mistake. */
+    /**
+     * Number of jobs that may fail on a machine before it is cordoned; a single job may have been submitted with a mistake.
+     */
     private static final int MAX_FAILED_JOBS = 1;
 
     private final SchedulerConfig config;
     private final StateReplica replica;
     private final Estimator estimator;
     private final Map<String, MachineView> machines;
-    /** Jobs that fail wherever they run, by what the leader knows of all machines. */
+    /** Jobs that fail on every machine, according to the leader, which receives the status of all machines. */
     private final Set<String> suspectJobs = new HashSet<>();
 
-    /** {@code machines} is shared; this class uncordons them. */
+    /** {@code machines} is shared; this class uncordons machines in it. */
     HeartbeatIntake(
             SchedulerConfig config, StateReplica replica, Estimator estimator, Map<String, MachineView> machines) {
         this.config = config;
@@ -41,19 +43,22 @@
         this.machines = machines;
     }
 
-    /** Jobs that fail wherever they run; the set is live and not to be altered. */
+    /** Returns the jobs that fail on every machine, as a live set that callers must not modify. */
     Set<String> suspectJobs() {
         return suspectJobs;
     }
 
-    /** Replaces the jobs that fail wherever they run, and uncordons machines that only those failed on. */
+    /** Replaces the jobs that fail on every machine, and uncordons the machines that were cordoned because of these jobs. */
     void onSuspectJobs(List<String> jobs) {
         suspectJobs.clear();
         suspectJobs.addAll(jobs);
         machines.values().forEach(this::uncordon);
     }
 
-    /** Forgets failures of jobs that fail everywhere; that news comes after the failures. */
+    /**
+     * Removes failures of suspect jobs from the machine, and its cordon if too few failed jobs remain to justify it. A job is
+     * found to be suspect only after its failures have been counted.
+     */
     private void uncordon(MachineView machine) {
         if (machine.failedJobs.removeAll(suspectJobs) && machine.failedJobs.size() <= MAX_FAILED_JOBS) {
             machine.cordonedUntil = MachineView.NOT_CORDONED;
@@ -61,7 +66,7 @@
         }
     }
 
-    /** Takes in a heartbeat that is news for the machine; it is the machine's last one afterwards. */
+    /** Applies a heartbeat for which {@link MachineView#isFresh} holds, and makes it the machine's last one. */
     void accept(long now, MachineView machine, WorkerHeartbeat heartbeat) {
         if (machine.lastHeartbeat != null && heartbeat.agentEpoch() > machine.lastHeartbeat.agentEpoch()) {
             beginEpoch(now, machine);
@@ -77,7 +82,7 @@
         machine.stopsSentAt.keySet().retainAll(attempts);
         machine.lastHeartbeat = heartbeat;
         if (machine.tokenSeenAt < 0 && machine.fencing.isOfPresentTerm(heartbeat.fencingToken())) {
-            // The worker has the token from an acknowledgement or a command of this term, so this owner reaches it.
+            // The worker got the token from an acknowledgement or a command of this term, so this owner reaches it.
             machine.tokenSeenAt = now;
             machine.hasAnswered = true;
         }
@@ -87,8 +92,8 @@
     private static void beginEpoch(long now, MachineView machine) {
         machine.runningSince.clear();
         machine.fencing.clearStartsInReply();
-        // A new agent epoch has a whole lease of its own. Without this a machine whose new epoch was first seen in the
-        // answer to a command counted as terminated by the old one's time, and its tasks ran twice.
+        // A new agent epoch has a full lease of its own. Without this line, a machine whose new epoch was first seen in
+        // the answer to a command counted as terminated when the old epoch's lease ended, and its tasks ran twice.
         machine.acknowledgedAt = now;
     }
 
@@ -103,8 +108,9 @@
     }
 
     /**
-     * A machine that fails its tasks at once always has free capacity and the image, so its bids would be the only ones. Failures of
-     * one job alone say nothing about the machine.
+     * Records a failed task and cordons the machine if tasks of more than {@link #MAX_FAILED_JOBS} jobs failed on it. A
+     * machine that fails its tasks at once always has free capacity and the image, so that its bids would be the only ones.
+     * Failures of one job alone say nothing about the machine.
      */
     private void recordFailure(long now, MachineView machine, TaskStatus task) {
         boolean isSuspect = suspectJobs.contains(task.task().job());
@@ -125,7 +131,9 @@
         }
     }
 
-    /** Updates the estimate of the machine's speed by what runs on it now; it must have a heartbeat. */
+    /**
+     * Updates the estimate of the machine's speed from the tasks that run on it now. The machine must have sent a heartbeat.
+     */
     void updateEstimate(long now, MachineView machine) {
         List<Estimator.TaskProgress> running = new ArrayList<>();
         for (Map.Entry<Long, Long> entry : machine.runningSince.entrySet()) {
--- a/src/main/java/garnetscale/core/partition/MachineAdoption.java
+++ b/src/main/java/garnetscale/core/partition/MachineAdoption.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 
 /**
- * Keeps a view of each machine that has placements in an owned partition, whether it sends heartbeats or not: its tasks still
+ * Keeps a view of each machine that has placements in an owned partition, whether or not it sends heartbeats: its tasks still
  * have to be proved terminated or alive.
  */
 final class MachineAdoption {
@@ -16,8 +16,10 @@
     private final WorkerProbes probes;
     private final Map<String, MachineView> machines;
 
-    /** {@code machines} is shared; this class adds machines with placements and removes those that were scaled in,
-     * and marks those whose stored records changed. */
+    /**
+     * {@code machines} is shared; this class adds machines with placements, removes machines that were scaled in, and marks
+     * machines whose stored records changed.
+     */
     MachineAdoption(
             StateReplica replica,
             PartitionMap partitions,
@@ -31,8 +33,8 @@
         this.machines = machines;
     }
 
-    /** Marks the machines whose stored records changed since the last call, and adds those that are new. */
-    void followReplica() {
+    /** Marks the machines whose stored records changed since the last call, and adds those that have no view yet. */
+    void applyReplicaChanges() {
         for (String id : replica.takeChangedMachines()) {
             MachineView machine = machines.get(id);
             if (machine != null) {
@@ -43,9 +45,9 @@
         }
     }
 
-    /** Removes machines that don't exist any more and adds all that have placements in an owned partition. */
+    /** Removes machines that no longer exist and adds all machines that have placements in an owned partition. */
     void adoptAll() {
-        // Scaled-in machines would be published as silent for ever, and their owner be taken for isolated.
+        // Otherwise scaled-in machines would be published as silent forever, and their owner be taken for isolated.
         machines.values()
                 .removeIf(machine -> !machine.hasLiveEpoch()
                         && replica.placements(machine.id).isEmpty()
@@ -53,7 +55,7 @@
         replica.placedMachines().forEach(this::adopt);
     }
 
-    /** Adds the machine if it has placements, is in an owned partition and isn't known yet. */
+    /** Adds the machine if it has placements, is in an owned partition and has no view yet. */
     private void adopt(String id) {
         if (!machines.containsKey(id) && !replica.placements(id).isEmpty()) {
             String partition = partitions.partitionOf(id, replica.zoneOfMachine(id));
--- a/src/main/java/garnetscale/core/partition/MachineStatus.java
+++ b/src/main/java/garnetscale/core/partition/MachineStatus.java
@@ -10,16 +10,17 @@
  * @param node the name of the owner
  * @param incarnation the state lease of the owner's process
  * @param partition the partition that the machine belongs to
- * @param term the partition term that the owner acts under; the leader drops a status of an older one
+ * @param term the partition term under which the owner acts; the leader drops a status of an older term
  * @param machine the machine's name
- * @param address host and port of its worker; this and the type and zone are empty before its first heartbeat
- * @param type the name of its machine type
- * @param zone its zone
- * @param spot whether it is a spot instance
- * @param agentEpoch the agent epoch of its newest heartbeat, or 0
- * @param evictionNoticeS seconds until the cloud takes it away, by its newest heartbeat; null without eviction notice
- * @param silent whether it is out of reach or its heartbeat overdue, so that it neither bids nor counts as capacity
- * @param tasks tasks in its newest heartbeat
+ * @param address host and port of the machine's worker; empty before the first heartbeat, like type and zone
+ * @param type the name of the machine type
+ * @param zone the machine's zone
+ * @param spot whether the machine is a spot instance
+ * @param agentEpoch the agent epoch of the newest heartbeat, or 0 before the first one
+ * @param evictionNoticeS seconds from the newest heartbeat until the cloud takes the machine away; null without eviction
+ *     notice
+ * @param silent whether the machine is out of reach or its heartbeat overdue; it then neither bids nor counts as capacity
+ * @param tasks tasks in the newest heartbeat
  * @param terminated placed attempts that are proved not to be on the machine now or later
  */
 public record MachineStatus(
--- a/src/main/java/garnetscale/core/partition/MachineView.java
+++ b/src/main/java/garnetscale/core/partition/MachineView.java
@@ -8,58 +8,61 @@
 import java.util.TreeSet;
 
 /**
- * What the owner of a partition knows of one machine, and what it has sent it, within one term of the partition. A plain
- * record of state for the modules of this package; {@link PartitionOwner} drops it when the term changes.
+ * What a partition's owner knows about one machine, and what it has sent to the machine, within one term of the partition.
+ * Holds plain state for the modules of this package; {@link PartitionOwner} drops it when the term changes.
  */
 final class MachineView {
 
-    /** {@link #cordonedUntil} of a machine that isn't cordoned. */
+    /** Value of {@link #cordonedUntil} for a machine that isn't cordoned. */
     static final long NOT_CORDONED = Long.MIN_VALUE;
-    /** What a heartbeat may be late by, beside half an interval, before the machine counts as silent. */
+    /** How late a heartbeat may be, in addition to half an interval, before the machine counts as silent. */
     private static final long SILENCE_MARGIN_MS = 2000;
 
     final String id;
     final String partition;
 
-    /** The machine's fencing token and the starts that it hasn't superseded yet. */
+    /** The machine's fencing token and the starts that the token hasn't superseded yet. */
     final MachineFencing fencing;
 
-    /** The newest heartbeat, also from answers to probes and direct commands; null before the first one. */
+    /** The newest heartbeat, including answers to probes and direct commands; null before the first one. */
     WorkerHeartbeat lastHeartbeat;
     /** When {@link #lastHeartbeat} arrived. */
     long lastHeartbeatAt;
-    /** When a heartbeat of the present agent epoch was last acknowledged; the worker's lease runs from then on. */
+    /** When a heartbeat of the present agent epoch was last acknowledged; the worker's lease runs from this time. */
     long acknowledgedAt;
-    /** When a heartbeat first showed a token of this term, or -1: from then on no earlier owner can have renewed the lease. */
+    /**
+     * When a heartbeat first showed a token of this term, or -1 if none has. No earlier owner can have renewed the worker's
+     * lease after this time.
+     */
     long tokenSeenAt = -1;
     /**
-     * Whether the worker has answered a probe or a command in this term, or has shown a token of it. A heartbeat alone may be
-     * a late copy, or come from a machine that nothing reaches; neither is given work.
+     * Whether the worker has answered a probe or a command in this term, or has shown a token of this term. Until then the
+     * machine is given no work: a heartbeat alone may be a late copy, or come from a machine that nothing reaches.
      */
     boolean hasAnswered;
     /** When a probe of the worker was last requested. */
     long probedAt = Times.NEVER;
     /** Whether a direct command is in flight; there is at most one. */
     boolean commandInFlight;
-    /** Agent epochs up to this one are known to have ended. */
+    /** The newest agent epoch that is known to have ended, as all earlier ones have; -1 if none is known. */
     long expiredEpoch = -1;
-    /** Attempts of placements that will never run here again, published to the leader until it has freed them. */
+    /** Placed attempts that will never run here again, published to the leader until it has freed their placements. */
     final Set<Long> terminatedAttempts = new TreeSet<>();
-    /** When each running attempt was first seen to run, for the estimates. */
+    /** When each running attempt was first seen to run, for the run-time estimates. */
     final Map<Long, Long> runningSince = new HashMap<>();
-    /** When a direct stop was last sent for an attempt, so that it isn't repeated with every change. */
+    /** When a direct stop of each attempt was last sent, so that it isn't repeated with every change. */
     final Map<Long, Long> stopsSentAt = new HashMap<>();
-    /** Attempts in the newest heartbeat that failed. */
+    /** Failed attempts in the newest heartbeat. */
     final Set<Long> failedAttempts = new TreeSet<>();
-    /** Jobs of which an attempt failed here since one of any job completed. */
+    /** Jobs with an attempt that failed here since an attempt of any job last completed here. */
     final Set<String> failedJobs = new TreeSet<>();
-    /** Until when the machine is cordoned, which here means that it doesn't bid. */
+    /** The time until which the machine is cordoned, that is, doesn't bid. */
     long cordonedUntil = NOT_CORDONED;
     /** Whether something about the machine or its stored record changed since it was last reconciled. */
     boolean needsReconcile = true;
     /** Whether the last reconciliation left something to do, to repeat or to wait for. */
     boolean hasPendingWork;
-    /** What was last published to the leader; null if it has to be published again. */
+    /** The status that was last published to the leader; null if the status has to be published again. */
     MachineStatus publishedStatus;
     /** When {@link #publishedStatus} was published. */
     long publishedAt = Times.NEVER;
@@ -70,7 +73,7 @@
         this.fencing = new MachineFencing(partitionTerm);
     }
 
-    /** Whether a command went unanswered and no heartbeat has yet shown that this owner reaches the machine. */
+    /** Whether a command went unanswered and no heartbeat has shown since then that this owner reaches the machine. */
     boolean isUnreachable() {
         return lastHeartbeat != null && fencing.hasLostCommand(lastHeartbeat.fencingToken());
     }
@@ -85,8 +88,8 @@
         return lastHeartbeat != null && lastHeartbeat.agentEpoch() > expiredEpoch;
     }
 
-    /** Whether a heartbeat is news: newer than the last one, and not of an agent epoch that has ended. */
-    boolean isNews(WorkerHeartbeat heartbeat) {
+    /** Whether a heartbeat is newer than the last one and of an agent epoch that hasn't ended. */
+    boolean isFresh(WorkerHeartbeat heartbeat) {
         return heartbeat.isNewerThan(lastHeartbeat) && heartbeat.agentEpoch() > expiredEpoch;
     }
 }
--- a/src/main/java/garnetscale/core/partition/PartitionLeases.java
+++ b/src/main/java/garnetscale/core/partition/PartitionLeases.java
@@ -10,8 +10,8 @@
 import java.util.TreeMap;
 
 /**
- * Follows the leases of all partitions in the replica and keeps which of them this process owns, and whether it may still act
- * for them. A new term of a partition means new fencing tokens, and nothing is known of what an earlier owner sent.
+ * Tracks the leases of all partitions in the replica: which partitions this process owns, and whether it may still act for
+ * them. With a new term of a partition, fencing tokens are new and nothing is known about what an earlier owner sent.
  */
 final class PartitionLeases {
 
@@ -26,7 +26,7 @@
     private long incarnation = NO_INCARNATION;
     private long confirmedAt = Times.NEVER;
 
-    /** {@code machines} is shared; this class removes the machines of partitions that are lost. */
+    /** {@code machines} is shared; this class removes the machines of lost partitions. */
     PartitionLeases(
             SchedulerConfig config,
             StateReplica replica,
@@ -40,57 +40,60 @@
         this.requests = requests;
     }
 
-    /** The state lease that identifies this process, or -1 before the first one. */
+    /** Returns the state lease that identifies this process, or -1 before the first one. */
     long incarnation() {
         return incarnation;
     }
 
-    /** The process has a new state lease; partitions owned under an earlier one are no longer its own. */
+    /** Records a new state lease of this process. Partitions owned under an earlier state lease are no longer its own. */
     void onLeaseGranted(long stateLease) {
         incarnation = stateLease;
     }
 
-    /** The replica is complete as of a request that was sent at this time. */
+    /** Records that the replica is complete as of a request that was sent at {@code sentAt}. */
     void onReplicaConfirmed(long sentAt) {
         confirmedAt = Math.max(confirmedAt, sentAt);
     }
 
     /**
-     * Whether this process may act for its partitions. An owner that is cut off from the state service goes on for the grace,
-     * so that an outage kills no tasks, and no longer, since its partitions may have been given to another and a
-     * cancellation may have been promised (docs/design.md, "Safety").
+     * Returns whether this process may act for its partitions. An owner that is cut off from the state service continues for
+     * the grace period, so that an outage kills no tasks. It doesn't continue for longer, because its partitions may have
+     * been assigned to another owner and a user may have been promised a cancellation (docs/design.md, "Safety").
      */
     boolean mayAct(long now) {
         return now - confirmedAt <= config.graceMs();
     }
 
-    /** The partition if this process owns it, else null. */
+    /** Returns the partition if this process owns it, else null. */
     OwnedPartition owned(String partition) {
         return ownedPartitions.get(partition);
     }
 
-    /** Names of the partitions that this process owns. */
+    /** Returns a live view of the names of the partitions that this process owns. */
     Set<String> ownedNames() {
         return ownedPartitions.keySet();
     }
 
-    /** The owned partitions with their terms, as a new map. */
+    /** Returns the terms of the owned partitions by partition name, as a new map. */
     Map<String, Long> terms() {
         Map<String, Long> terms = new TreeMap<>();
         ownedPartitions.forEach((partition, owned) -> terms.put(partition, owned.term()));
         return terms;
     }
 
-    /** Sends a worker to the owner of its partition. */
+    /**
+     * Returns a redirect of a worker to the owner of its partition; it names no owner if none is known or the lease names
+     * this controller.
+     */
     HeartbeatReply redirect(String partition) {
         PartitionLease lease = replica.partition(partition);
         return new HeartbeatReply.Redirect(lease == null || lease.owner().equals(config.self()) ? null : lease.owner());
     }
 
     /**
-     * Brings the owned partitions up to the replica.
+     * Updates the owned partitions from the replica.
      *
-     * @return whether a partition was gained, also one that was lost and gained under a new term
+     * @return whether a partition was gained, including a partition that was lost and gained again under a new term
      */
     boolean refresh(long now) {
         boolean hasGained = false;
--- a/src/main/java/garnetscale/core/partition/PartitionOwner.java
+++ b/src/main/java/garnetscale/core/partition/PartitionOwner.java
@@ -16,23 +16,29 @@
 import java.util.TreeMap;
 
 /**
- * The owner of this controller's partitions: the only one that commands their machines. It brings each machine to what the
- * stored placements say, publishes the status of machines to the leader, and bids for them.
+ * Owns this controller's partitions and is the only component that commands the machines in them. Reconciles each machine
+ * with its stored placements, publishes machine status to the leader and submits the machines' bids.
  *
- * <p>It works by state, not by events: whatever was lost, late or repeated, the next heartbeat and the next revision lead to
- * the same commands. An attempt that isn't placed is stopped and cleared, one that is placed is started, and one that must not
- * run any more is called terminated only on proof (see {@link TerminationProof}).
+ * <p>Reconciliation is level-triggered: commands are derived from state, not from events. Whatever message was lost, late or
+ * repeated, the next heartbeat and the next revision of the replica lead to the same commands. An attempt without a placement
+ * is stopped and cleared, and an attempt with a placement is started. An attempt that must not run any more is reported as
+ * terminated only on proof (see {@link TerminationProof}).
  *
  * <p>This class only coordinates: it calls its modules in a fixed order. All times are milliseconds of the steady clock.
  */
 public final class PartitionOwner {
 
-    /** Sweeps over all machines in a heartbeat interval, for what time alone may change. */
+    /**
+     * Sweeps over all machines per heartbeat interval. A sweep handles the changes that the passing of time alone can cause.
+     */
     private static final int SWEEPS_PER_HEARTBEAT = 4;
 
     private final SchedulerConfig config;
     private final StateReplica replica;
-    /** Machines of the owned partitions by name; shared by the modules, each of which says what it changes. */
+    /**
+     * Machines of the owned partitions by name. The modules share this map; each constructor documents what its module
+     * changes.
+     */
     private final Map<String, MachineView> machines = new TreeMap<>();
 
     private final List<OwnerEffect> effects = new ArrayList<>();
@@ -51,7 +57,7 @@
     private LeaderInfo publishedTo;
     private long sweptAt = Times.NEVER;
 
-    /** Creates an owner without partitions; it reads {@code replica} and teaches {@code estimator}. */
+    /** Creates an owner without partitions. It reads {@code replica} and updates {@code estimator}. */
     public PartitionOwner(SchedulerConfig config, StateReplica replica, PartitionMap partitions, Estimator estimator) {
         this.config = config;
         this.replica = replica;
@@ -71,66 +77,73 @@
                 partitions, leases, machines, reachability, intake, termination, reconciler, probes, status, bids);
     }
 
-    /** Takes the effects since the last call, in the order in which they are to be carried out. */
+    /** Returns the effects added since the last call, in the order in which they must be carried out, and removes them. */
     public List<OwnerEffect> drainEffects() {
         List<OwnerEffect> drained = List.copyOf(effects);
         effects.clear();
         return drained;
     }
 
-    /** The process has a new state lease; partitions owned under an earlier one are no longer its own. */
+    /** Records a new state lease of this process. Partitions owned under an earlier state lease are no longer its own. */
     public void onLeaseGranted(long lease) {
         leases.onLeaseGranted(lease);
     }
 
-    /** The replica is complete as of a request that was sent at this time. */
+    /** Records that the replica is complete as of a request that was sent at {@code sentAt}. */
     public void onReplicaConfirmed(long sentAt) {
         leases.onReplicaConfirmed(sentAt);
     }
 
     /**
-     * Sets whether the process is late with its work. Probes then go out one at a time: nearly every worker shows by its next
-     * heartbeat what the probe would tell, and heartbeats and users wait for the same processor.
+     * Sets whether this process lags behind its work. Probes are then sent one at a time: nearly every worker's next
+     * heartbeat shows what the probe would return, and heartbeats and user requests wait for the same processor.
      */
     public void setLagging(boolean late) {
         requests.setLagging(late);
     }
 
-    /** The difference between the time of day, which job records carry, and the steady clock. */
+    /** Sets the milliseconds to add to the steady clock to get the wall-clock time, which job records carry. */
     public void setWallClockOffset(long offset) {
         bids.setWallClockOffset(offset);
     }
 
-    /** Handles a worker's heartbeat; only an acknowledgement renews the worker's lease. */
+    /** Handles a worker's heartbeat and returns the reply. Only an acknowledgement renews the worker's lease. */
     public HeartbeatReply onHeartbeat(long now, WorkerHeartbeat heartbeat) {
         refreshPartitions(now);
         return workerMessages.onHeartbeat(now, heartbeat);
     }
 
     /**
-     * A worker answered a direct command, executed or rejected, by its heartbeat; this doesn't renew its lease. Answers of a
-     * machine that isn't known any more have no effect.
+     * Handles a worker's answer to a direct command, whether the worker executed or rejected the command. The answer has the
+     * form of a heartbeat but doesn't renew the worker's lease. The answer of a machine that is no longer known updates no
+     * machine.
      */
     public void onCommandAnswer(long now, String machine, long fencingToken, WorkerHeartbeat heartbeat) {
         workerMessages.onCommandAnswer(now, machines.get(machine), heartbeat);
     }
 
-    /** A direct command under the token went unanswered and may still arrive, minutes from now. */
+    /** Handles a direct command under {@code fencingToken} that went unanswered and may still arrive, minutes from now. */
     public void onCommandLost(long now, String machine, long fencingToken) {
         reconciler.onCommandLost(machines.get(machine), fencingToken);
     }
 
-    /** A worker answered a probe by its heartbeat; this doesn't renew its lease. */
+    /** Handles a worker's answer to a probe. The answer has the form of a heartbeat but doesn't renew the worker's lease. */
     public void onProbeAnswer(long now, WorkerHeartbeat heartbeat) {
         workerMessages.onProbeAnswer(now, heartbeat);
     }
 
-    /** A probe has ended, answered or not; it no longer counts as in flight. */
+    /** Handles the end of a probe, answered or not. The probe no longer counts as in flight. */
     public void onProbeEnded() {
         requests.onProbeEnded();
     }
 
-    /** The leader's list of all machines, the started jobs it takes late bids for, and the jobs that fail everywhere. */
+    /**
+     * Handles the machine directory from the leader.
+     *
+     * @param directory all machines of the cluster
+     * @param lateBidJobs started jobs for which the leader accepts late bids
+     * @param suspectJobs jobs that fail on every machine
+     */
     public void onMachineDirectory(List<MachineAddress> directory, List<String> lateBidJobs, List<String> suspectJobs) {
         intake.onSuspectJobs(suspectJobs);
         bids.onLateBidJobs(lateBidJobs);
@@ -138,34 +151,41 @@
         sweptAt = Times.NEVER;
     }
 
-    /** A peer has cancelled a job for its user; its attempts are stopped without waiting for the replica to show it. */
+    /**
+     * Handles a peer's report that a user cancelled a job. The job's attempts are stopped without waiting until the replica
+     * shows the cancellation.
+     */
     public void onCancelled(String job) {
         desired.onCancelled(job);
     }
 
-    /** Whether the job fails wherever it runs, as far as is known here. */
+    /** Returns whether the job fails on every machine, as far as this owner knows. */
     public boolean isSuspect(String job) {
         return intake.suspectJobs().contains(job);
     }
 
-    /** Whether no worker can reach this controller, as far as it can tell; its partitions are better off elsewhere. */
+    /**
+     * Returns whether no worker can reach this controller, as far as it can detect. Its partitions should then move to other
+     * owners.
+     */
     public boolean isIsolatedFromWorkers() {
         return reachability.isIsolatedFromWorkers();
     }
 
-    /** Milliseconds until bids that were put off are due, or -1 if there are none. */
+    /** Returns the milliseconds until delayed bids are due, or -1 if no bids are pending. */
     public long msUntilNextBids(long now) {
         return bids.msUntilDue(now);
     }
 
-    /** Names of the machines in this owner's partitions, for inspection; a live view. */
+    /** Returns a live view of the names of the machines in this owner's partitions, for inspection. */
     public Collection<String> machineNames() {
         return machines.keySet();
     }
 
     /**
-     * Reconciles the machines of which something new is known, and in each sweep also those for which time alone may bring
-     * something, the silent ones and those with pending work. Does nothing while this process may not act.
+     * Reconciles the machines about which something new is known. Each sweep also reconciles the machines whose state may
+     * change with time alone: silent machines and machines with pending work. Does nothing while this process may not act for
+     * its partitions.
      */
     public void tick(long now) {
         refreshPartitions(now);
@@ -173,7 +193,7 @@
             return;
         }
         republishToNewLeader();
-        adoption.followReplica();
+        adoption.applyReplicaChanges();
         boolean isSweepDue = now - sweptAt >= config.heartbeatIntervalMs() / SWEEPS_PER_HEARTBEAT;
         if (isSweepDue) {
             sweep(now);
@@ -181,14 +201,14 @@
         probes.sendQueued(now);
         probes.checkReachability(now);
         for (MachineView machine : machines.values()) {
-            if (machine.needsReconcile || isSweepDue && isAttentionDue(now, machine)) {
+            if (machine.needsReconcile || isSweepDue && needsSweepReconcile(now, machine)) {
                 reconcile(now, machine, leases.owned(machine.partition));
             }
         }
         bids.submitIfDue(now);
     }
 
-    /** Publishes everything again, for a leader whose connection is new, and ticks. */
+    /** Publishes all status and bids again, because the connection to the leader is new, and ticks. */
     public void resynchronize(long now) {
         forgetPublished();
         tick(now);
@@ -201,8 +221,9 @@
     }
 
     /**
-     * The leader is the replica's, as for whoever carries out the effects: a peer's word of a new leader may come before it.
-     * What was published then went to the old one, and the new one took idle machines for silent and scaled them in.
+     * Publishes all status and bids again when the replica shows a new leader. Effects are sent to the replica's leader, and
+     * a peer's message about a new leader may arrive before the replica shows it. When that message triggered the
+     * publication, the status went to the old leader, and the new leader took idle machines for silent and scaled them in.
      */
     private void republishToNewLeader() {
         if (!Objects.equals(publishedTo, replica.leader())) {
@@ -222,14 +243,14 @@
 
     private void sweep(long now) {
         sweptAt = now;
-        // Time alone opens scarce types, uncordons machines and changes the order of queues.
+        // The passing of time alone opens scarce types, uncordons machines and changes the order of queues.
         bids.markStale();
         adoption.adoptAll();
         bids.retainOwnedMachines();
         probes.probeSilentMachines(now);
     }
 
-    private boolean isAttentionDue(long now, MachineView machine) {
+    private boolean needsSweepReconcile(long now, MachineView machine) {
         return machine.hasPendingWork || machine.isSilent(now, config.heartbeatIntervalMs());
     }
 
--- a/src/main/java/garnetscale/core/partition/Reachability.java
+++ b/src/main/java/garnetscale/core/partition/Reachability.java
@@ -8,22 +8,22 @@
 import java.util.function.Function;
 
 /**
- * Detects that this controller is isolated from workers. It may be cut off from them while the state service and its peers
- * still reach it; everybody else then goes on redirecting its machines to it until their leases expire. Where so many
- * heartbeats are overdue that chance can't explain the silence, it gives up its partitions by itself, and probes the machines
+ * Detects that this controller is isolated from workers. The state service and the other controllers may still reach it then,
+ * so that all others keep redirecting its machines to it until the machines' leases expire. When so many heartbeats are
+ * overdue that chance can't explain the silence, this controller gives up its partitions on its own, and probes the machines
  * that it lost until one answers.
  */
 final class Reachability {
 
-    /** Heartbeats that must be overdue together before silence means isolation rather than chance. */
-    private static final double OVERDUE_HEARTBEATS = 20;
-    /** Machines that are probed at a time while this controller is isolated. */
-    private static final int PROBES_AT_A_TIME = 3;
-    /** Silence of all workers that is always tolerated, as a fraction of the heartbeat interval. */
-    private static final int SILENCES_PER_HEARTBEAT = 4;
-    /** Silence of all workers that is tolerated at least. */
-    private static final long MIN_SILENCE_MS = 1000;
-    /** Checks in the time of a tolerated silence. */
+    /** Number of heartbeats that must be overdue at the same time before silence means isolation rather than chance. */
+    private static final double MIN_OVERDUE_HEARTBEATS = 20;
+    /** Number of machines to probe per round while this controller is isolated. */
+    private static final int PROBES_PER_ROUND = 3;
+    /** Silence of all workers is always tolerated for the heartbeat interval divided by this number. */
+    private static final int TOLERATED_SILENCES_PER_HEARTBEAT = 4;
+    /** Lower bound of the tolerated silence of all workers. */
+    private static final long MIN_TOLERATED_SILENCE_MS = 1000;
+    /** Number of checks in the time of one tolerated silence. */
     private static final int CHECKS_PER_SILENCE = 5;
 
     private final SchedulerConfig config;
@@ -38,25 +38,25 @@
         this.config = config;
     }
 
-    /** A worker reached this controller: by its heartbeat, or by its answer to a probe or a command. */
+    /** Records that a worker reached this controller, by a heartbeat or by an answer to a probe or a command. */
     void onReachable(long now) {
         reachableAt = now;
         isolatedFromWorkers = false;
         lostPartitions.clear();
     }
 
-    /** Whether no worker can reach this controller, as far as it can tell. */
+    /** Whether no worker can reach this controller, as far as it can detect. */
     boolean isIsolatedFromWorkers() {
         return isolatedFromWorkers;
     }
 
     /**
-     * Checks whether workers still reach this controller. After a pause in which this process didn't check either, nothing
-     * can be concluded: what arrived meanwhile has yet to be read.
+     * Checks whether workers still reach this controller. After a pause in which this process made no checks, nothing can be
+     * concluded: messages that arrived during the pause have yet to be read.
      *
-     * @param expected machines that heartbeats are expected from
+     * @param expected number of machines from which heartbeats are expected
      * @param partitions the partitions owned now, which are lost if this controller is isolated
-     * @return whether this check found it newly isolated
+     * @return whether this check found the controller newly isolated
      */
     boolean check(long now, int expected, Collection<String> partitions) {
         boolean hasPaused = now - checkedAt > toleratedSilenceMs() / 2;
@@ -64,8 +64,9 @@
         if (hasPaused) {
             reachableAt = now;
         }
-        boolean isSilent = expected * (double) (now - reachableAt) / config.heartbeatIntervalMs() > OVERDUE_HEARTBEATS
-                && now - reachableAt > toleratedSilenceMs();
+        boolean isSilent =
+                expected * (double) (now - reachableAt) / config.heartbeatIntervalMs() > MIN_OVERDUE_HEARTBEATS
+                        && now - reachableAt > toleratedSilenceMs();
         if (!isolatedFromWorkers && isSilent) {
             isolatedFromWorkers = true;
             lostPartitions.addAll(partitions);
@@ -79,16 +80,19 @@
         return now - checkedAt >= toleratedSilenceMs() / CHECKS_PER_SILENCE;
     }
 
-    /** However many machines there are, a busy process may be late by this much. */
+    /**
+     * Returns how long a silence of all workers is always tolerated. The lower bound is independent of the number of
+     * machines, because a busy process may be late by that much.
+     */
     private long toleratedSilenceMs() {
-        return Math.max(MIN_SILENCE_MS, config.heartbeatIntervalMs() / SILENCES_PER_HEARTBEAT);
+        return Math.max(MIN_TOLERATED_SILENCE_MS, config.heartbeatIntervalMs() / TOLERATED_SILENCES_PER_HEARTBEAT);
     }
 
     /**
-     * Returns which machines of the lost partitions to probe now; empty unless this controller is isolated.
+     * Returns the machines of the lost partitions to probe now; empty unless this controller is isolated and a round is due.
      *
      * @param machines names of all machines in the cluster
-     * @param partitionOf the partition of a machine by its name
+     * @param partitionOf returns the partition of a machine by the machine's name
      */
     Collection<String> machinesToProbe(long now, Collection<String> machines, Function<String, String> partitionOf) {
         Set<String> toProbe = new TreeSet<>();
@@ -99,7 +103,7 @@
         String[] lost = machines.stream()
                 .filter(machine -> lostPartitions.contains(partitionOf.apply(machine)))
                 .toArray(String[]::new);
-        for (int i = 0; i < Math.min(PROBES_AT_A_TIME, lost.length); i++) {
+        for (int i = 0; i < Math.min(PROBES_PER_ROUND, lost.length); i++) {
             toProbe.add(lost[nextToProbe++ % lost.length]);
         }
         return toProbe;
--- a/src/main/java/garnetscale/core/partition/StatusPublisher.java
+++ b/src/main/java/garnetscale/core/partition/StatusPublisher.java
@@ -8,12 +8,12 @@
 import java.util.List;
 
 /**
- * Publishes the status of machines to the leader: when it changes, and again while the leader hasn't acted on exits or proofs
- * in it, since the first message may have been lost with its connection.
+ * Publishes the status of machines to the leader when it changes. Publishes it again while the leader hasn't acted on exits
+ * or termination proofs in it, since the first message may have been lost with its connection.
  */
 final class StatusPublisher {
 
-    /** How long the leader has to act on news before it is published again. */
+    /** How long the leader has to act on an exit or a termination proof before the status is published again. */
     private static final long REPUBLISH_MS = 2000;
 
     private final SchedulerConfig config;
@@ -28,15 +28,18 @@
         this.effects = effects;
     }
 
-    /** Publishes the machine's status if that is due; nothing is published of a machine that nothing is known of. */
+    /**
+     * Publishes the machine's status if that is due. Nothing is published for a machine that has neither a heartbeat nor
+     * terminated attempts.
+     */
     void publish(long now, MachineView machine, OwnedPartition owned) {
         if (machine.lastHeartbeat == null && machine.terminatedAttempts.isEmpty()) {
             return;
         }
         MachineStatus status = status(now, machine, owned);
-        boolean hasNews = !status.terminated().isEmpty() || hasExitedPlacement(machine);
-        machine.hasPendingWork |= hasNews;
-        if (!status.equals(machine.publishedStatus) || hasNews && now - machine.publishedAt > REPUBLISH_MS) {
+        boolean awaitsLeader = !status.terminated().isEmpty() || hasExitedPlacement(machine);
+        machine.hasPendingWork |= awaitsLeader;
+        if (!status.equals(machine.publishedStatus) || awaitsLeader && now - machine.publishedAt > REPUBLISH_MS) {
             machine.publishedStatus = status;
             machine.publishedAt = now;
             effects.add(new OwnerEffect.PublishStatus(status));
--- a/src/main/java/garnetscale/core/partition/TerminationProof.java
+++ b/src/main/java/garnetscale/core/partition/TerminationProof.java
@@ -8,7 +8,7 @@
 
 /**
  * Proves that attempts which are placed on a machine don't run there and never will, so that the leader may free their
- * placements. Absence alone proves nothing (docs/design.md, "Safety").
+ * placements. The absence of an attempt alone proves nothing (docs/design.md, "Safety").
  */
 final class TerminationProof {
 
@@ -23,14 +23,14 @@
     }
 
     /**
-     * Brings the machine's terminated attempts up to date. Proved are placements of an earlier agent epoch, and those no
-     * longer desired that the newest heartbeat lacks while no start of them is still on its way.
+     * Updates the machine's terminated attempts. Two kinds of placement are proved terminated: those of an ended agent epoch,
+     * and those that are no longer desired, are missing in the newest heartbeat and have no start that may still arrive.
      */
     void proveTerminated(MachineView machine, OwnedPartition owned) {
         Set<Long> attempts = new HashSet<>();
         for (Placement placement : replica.placements(machine.id)) {
             attempts.add(placement.attempt());
-            if (isOfEndedEpoch(machine, placement) || isStoppedForGood(machine, owned, placement)) {
+            if (isOfEndedEpoch(machine, placement) || isStoppedPermanently(machine, owned, placement)) {
                 machine.terminatedAttempts.add(placement.attempt());
             }
         }
@@ -42,7 +42,7 @@
                 || machine.lastHeartbeat != null && placement.agentEpoch() < machine.lastHeartbeat.agentEpoch();
     }
 
-    private boolean isStoppedForGood(MachineView machine, OwnedPartition owned, Placement placement) {
+    private boolean isStoppedPermanently(MachineView machine, OwnedPartition owned, Placement placement) {
         return machine.lastHeartbeat != null
                 && placement.agentEpoch() == machine.lastHeartbeat.agentEpoch()
                 && !desired.isDesired(placement)
@@ -52,15 +52,17 @@
     }
 
     /**
-     * Expires the agent epoch of a machine that can't have been acknowledged for its whole lease. Until the worker has shown
-     * a token of this term an earlier owner may have acknowledged it for the grace, hence the longer time.
+     * Expires the agent epoch of a machine once no heartbeat of it can have been acknowledged for a whole worker lease. Until
+     * the worker has shown a token of this term, an earlier owner may have acknowledged its heartbeats throughout the grace
+     * period, hence the longer wait in that case.
      */
     void expire(long now, MachineView machine, OwnedPartition owned) {
         if (now <= leaseEnd(machine, owned)) {
             return;
         }
         if (machine.lastHeartbeat == null) {
-            // Silent since this term began: whatever its epoch is, the stored placements are of that one or older.
+            // No heartbeat since this term began. The stored placements are of the machine's current epoch, which is
+            // unknown, or of an older one.
             for (Placement placement : replica.placements(machine.id)) {
                 machine.terminatedAttempts.add(placement.attempt());
             }
@@ -69,7 +71,7 @@
         }
     }
 
-    /** The latest time at which the worker may still have a lease. */
+    /** Returns the latest time at which the worker may still hold a lease. */
     private long leaseEnd(MachineView machine, OwnedPartition owned) {
         return machine.tokenSeenAt >= 0
                 ? Math.max(machine.acknowledgedAt, machine.tokenSeenAt) + config.workerExpiryMs()
--- a/src/main/java/garnetscale/core/partition/WorkerMessageHandler.java
+++ b/src/main/java/garnetscale/core/partition/WorkerMessageHandler.java
@@ -8,8 +8,8 @@
 import java.util.Map;
 
 /**
- * Handles what workers send: heartbeats, and their answers to probes and to direct commands, which have the form of a
- * heartbeat but don't renew the worker's lease. Any of them may be late, repeated or lost.
+ * Handles messages from workers: heartbeats, and answers to probes and direct commands. An answer has the form of a heartbeat
+ * but doesn't renew the worker's lease. Any of these messages may be late, repeated or lost.
  */
 final class WorkerMessageHandler {
 
@@ -24,7 +24,7 @@
     private final StatusPublisher status;
     private final BidSubmitter bids;
 
-    /** {@code machines} is shared; this class adds those that it is the first to learn of. */
+    /** {@code machines} is shared; this class adds machines that have no view yet. */
     WorkerMessageHandler(
             PartitionMap partitions,
             PartitionLeases leases,
@@ -48,7 +48,7 @@
         this.bids = bids;
     }
 
-    /** Replies to a heartbeat; the owned partitions must be up to the replica. */
+    /** Returns the reply to a heartbeat. The owned partitions must have been refreshed from the replica. */
     HeartbeatReply onHeartbeat(long now, WorkerHeartbeat heartbeat) {
         reachability.onReachable(now);
         String partition = partitions.partitionOf(heartbeat.machine(), heartbeat.zone());
@@ -60,7 +60,7 @@
             return new HeartbeatReply.Reject("term not confirmed within the grace");
         }
         MachineView machine = viewOf(heartbeat.machine(), partition, owned);
-        if (!machine.isNews(heartbeat)) {
+        if (!machine.isFresh(heartbeat)) {
             return new HeartbeatReply.Reject("report overtaken");
         }
         if (heartbeat.fencingToken() > machine.fencing.token()
@@ -71,8 +71,9 @@
     }
 
     /**
-     * Everything that a reconciliation would do is done here, but for what only a direct command can: that is due when the
-     * acknowledgement is lost. Most heartbeats bring nothing new, and bids are made anew only for those that do.
+     * Acknowledges a heartbeat and does everything that a reconciliation would do, except for sending direct commands; these
+     * are due only if the acknowledgement is lost. Most heartbeats change nothing, and bids are computed again only after a
+     * change.
      */
     private HeartbeatReply acknowledge(long now, MachineView machine, OwnedPartition owned, WorkerHeartbeat heartbeat) {
         machine.fencing.onTokenSeen(heartbeat.fencingToken());
@@ -94,14 +95,14 @@
         return new HeartbeatReply.Acknowledge(machine.fencing.token(), commands);
     }
 
-    /** Takes in the answer to a direct command; {@code machine} is null if it isn't known any more. */
+    /** Handles the answer to a direct command. {@code machine} is null if it is no longer known. */
     void onCommandAnswer(long now, MachineView machine, WorkerHeartbeat heartbeat) {
         reachability.onReachable(now);
         if (!reconciler.endCommand(machine)) {
             return;
         }
         machine.hasAnswered = true;
-        if (machine.isNews(heartbeat)) {
+        if (machine.isFresh(heartbeat)) {
             intake.accept(now, machine, heartbeat);
         }
         OwnedPartition owned = leases.owned(machine.partition);
@@ -110,7 +111,7 @@
         }
     }
 
-    /** Takes in the answer to a probe, unless the partition has another owner by now. */
+    /** Handles the answer to a probe. It updates no machine if the partition has another owner by now. */
     void onProbeAnswer(long now, WorkerHeartbeat heartbeat) {
         reachability.onReachable(now);
         String partition = partitions.partitionOf(heartbeat.machine(), heartbeat.zone());
@@ -121,7 +122,7 @@
         MachineView machine = viewOf(heartbeat.machine(), partition, owned);
         machine.hasAnswered = true;
         machine.needsReconcile = true;
-        if (machine.isNews(heartbeat)) {
+        if (machine.isFresh(heartbeat)) {
             machine.fencing.onTokenSeen(heartbeat.fencingToken());
             intake.accept(now, machine, heartbeat);
             status.publish(now, machine, owned);
--- a/src/main/java/garnetscale/core/partition/WorkerProbes.java
+++ b/src/main/java/garnetscale/core/partition/WorkerProbes.java
@@ -8,12 +8,13 @@
 import java.util.TreeMap;
 
 /**
- * Probes workers for their status: those that should send heartbeats here and don't, as after a change of owner, and those
- * that have yet to show that this owner reaches them. While no worker reaches this process, it probes machines that it lost.
+ * Probes workers for their status: workers that should send heartbeats to this controller and don't, for example after a
+ * change of owner, and workers that haven't shown yet that this owner reaches them. While no worker reaches this process,
+ * probes the machines that it lost.
  */
 final class WorkerProbes {
 
-    /** As long as the answer to a probe is waited for. */
+    /** How long the answer to a probe is awaited. */
     private static final long PROBE_TIMEOUT_MS = 2000;
 
     private final SchedulerConfig config;
@@ -25,7 +26,7 @@
     private final List<OwnerEffect> effects;
     private final Map<String, MachineAddress> machineDirectory = new TreeMap<>();
 
-    /** {@code machines} is shared; this class adds machines of the directory that it probes. */
+    /** {@code machines} is shared; this class adds the machines of the directory that it probes. */
     WorkerProbes(
             SchedulerConfig config,
             PartitionMap partitions,
@@ -43,18 +44,18 @@
         this.effects = effects;
     }
 
-    /** Replaces the leader's list of all machines. */
+    /** Replaces the machine directory, the leader's list of all machines. */
     void onMachineDirectory(List<MachineAddress> directory) {
         machineDirectory.clear();
         directory.forEach(machine -> machineDirectory.put(machine.machine(), machine));
     }
 
-    /** Whether the leader's list has the machine. */
+    /** Whether the machine directory contains the machine. */
     boolean isInDirectory(String machine) {
         return machineDirectory.containsKey(machine);
     }
 
-    /** Queues probes of machines in owned partitions that should send heartbeats here and don't. */
+    /** Queues probes of the machines in owned partitions that should send heartbeats to this controller and don't. */
     void probeSilentMachines(long now) {
         for (MachineAddress address : machineDirectory.values()) {
             String partition = partitions.partitionOf(address.machine(), address.zone());
@@ -74,7 +75,10 @@
         }
     }
 
-    /** Probes a worker that sends heartbeats until it has answered once in this term, to learn whether this owner reaches it. */
+    /**
+     * Queues a probe of a worker that sends heartbeats, unless it has answered in this term, to find out whether this owner
+     * reaches it.
+     */
     void probeUnlessAnswered(long now, MachineView machine) {
         if (!machine.hasAnswered && now - machine.probedAt > PROBE_TIMEOUT_MS) {
             machine.probedAt = now;
@@ -84,7 +88,7 @@
         }
     }
 
-    /** Sends the queued probes that the limiter admits; a machine that sent a heartbeat and has answered needs none. */
+    /** Sends the queued probes that the limiter admits. A machine that isn't silent and has answered needs no probe. */
     void sendQueued(long now) {
         for (MachineAddress machine = next(now); machine != null; machine = next(now)) {
             effects.add(new OwnerEffect.ProbeWorker(machine.machine(), machine.address()));
@@ -98,7 +102,7 @@
         });
     }
 
-    /** Finds out whether this process is isolated from workers, and while it is, whether any answers again. */
+    /** Checks whether this process is isolated from workers, and while it is, probes lost machines until one answers. */
     void checkReachability(long now) {
         if (!reachability.isCheckDue(now)) {
             return;
--- a/src/main/java/garnetscale/core/partition/WorkerRequestLimiter.java
+++ b/src/main/java/garnetscale/core/partition/WorkerRequestLimiter.java
@@ -8,10 +8,10 @@
 import java.util.function.Predicate;
 
 /**
- * Bounds the direct requests to workers that are in flight; each takes a socket and a good part of a millisecond. After a
- * change of owner every machine is to be probed at once, and a hundred hanging workers answer nothing. Commands may use the
- * whole bound, probes half of it. A probe that exceeds its bound is queued; a command isn't, since the acknowledgement of the
- * machine's next heartbeat carries the same commands.
+ * Limits the direct requests to workers that are in flight. Each request takes a socket and a good part of a millisecond;
+ * after a change of owner every machine is to be probed at once, and a hundred workers that hang don't answer. Commands may
+ * use the whole limit, probes half of it. A probe above the limit is queued. A command isn't, since the acknowledgement of
+ * the machine's next heartbeat carries the same commands.
  */
 final class WorkerRequestLimiter {
 
@@ -22,7 +22,7 @@
     private int probes;
     private boolean lagging;
 
-    /** Creates a limiter for {@code max} requests in flight, probes and commands together. */
+    /** Creates a limiter for at most {@code max} requests in flight, probes and commands together. */
     WorkerRequestLimiter(int max) {
         this.max = max;
     }
@@ -36,7 +36,7 @@
         return true;
     }
 
-    /** A command was answered or lost. */
+    /** Records that a command was answered or lost. */
     void onCommandEnded() {
         commands--;
     }
@@ -48,7 +48,7 @@
         }
     }
 
-    /** Sets whether the process is late with its work; probes then go out one at a time. */
+    /** Sets whether this process lags behind its work; probes are then sent one at a time. */
     void setLagging(boolean lagging) {
         this.lagging = lagging;
     }
@@ -57,22 +57,22 @@
         return lagging ? 1 : Math.max(1, max / 2);
     }
 
-    /** Counts a probe that is sent without having been queued and regardless of the bound; there are few of them. */
+    /** Counts a probe that is sent without having been queued and regardless of the limit; there are few such probes. */
     void onUnqueuedProbe() {
         probes++;
     }
 
-    /** A probe was answered or lost. */
+    /** Records that a probe was answered or lost. */
     void onProbeEnded() {
         probes--;
     }
 
     /**
-     * Takes the next machine to probe off the queue and counts the probe as in flight. Machines that need no probe any more
-     * are dropped from the queue.
+     * Removes the next machine to probe from the queue and counts the probe as in flight. Machines that no longer need a
+     * probe are dropped from the queue.
      *
-     * @param isNeeded whether the machine of this name still needs a probe
-     * @return null if nothing is queued or the bound is reached
+     * @param isNeeded returns whether the machine with the given name still needs a probe
+     * @return the machine, or null if nothing is queued or the limit is reached
      */
     MachineAddress nextProbe(Predicate<String> isNeeded) {
         while (!queuedProbes.isEmpty() && probes < maxProbes() && commands + probes < max) {
@@ -86,7 +86,7 @@
         return null;
     }
 
-    /** Drops all queued probes, as when a partition changes its owner. */
+    /** Drops all queued probes, for example when a partition changes its owner. */
     void clearQueuedProbes() {
         queuedProbes.clear();
         queuedMachines.clear();
--- a/src/test/java/garnetscale/core/partition/CancellationMemoryTest.java
+++ b/src/test/java/garnetscale/core/partition/CancellationMemoryTest.java
@@ -8,9 +8,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * What an owner keeps of its peers' cancellations is bounded, and the oldest go first: a cancellation that its replica doesn't
- * show yet counts however many thousand others come with it. One that is forgotten is still kept by the grace, which expires
- * the machine's agent epoch in time without any word of a peer.
+ * The memory for cancellations that peers report is bounded, and the oldest are dropped first. A cancellation that the
+ * replica doesn't show yet must count even if several thousand others arrive with it. A dropped cancellation is still
+ * enforced by the grace, which expires the machine's agent epoch in time without any report of a peer.
  */
 class CancellationMemoryTest {
 
@@ -23,7 +23,7 @@
         owner.onReplicaConfirmed(0);
     }
 
-    /** The commands in the reply to a heartbeat that shows the task running. */
+    /** Returns the commands in the reply to a heartbeat that shows the task running. */
     private List<WorkerCommand> commandsInReply() {
         HeartbeatReply reply =
                 owner.onHeartbeat(++now, fixture.heartbeat(OwnerFixture.FIRST_TOKEN, List.of(OwnerFixture.running())));
@@ -45,7 +45,7 @@
     }
 
     @Test
-    void theOldestIsForgottenFirstSoThatTheMemoryIsBounded() {
+    void theOldestCancellationIsDroppedFirst() {
         owner.onCancelled("wk-1");
         cancelOthers(remembered);
         assertEquals(List.of(), commandsInReply());
--- a/src/test/java/garnetscale/core/partition/HeartbeatReplyTest.java
+++ b/src/test/java/garnetscale/core/partition/HeartbeatReplyTest.java
@@ -10,7 +10,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Which heartbeats are acknowledged, and which are rejected and why. */
+/** Tests which heartbeats are acknowledged, and which are rejected and why. */
 class HeartbeatReplyTest {
 
     private static final long FIRST_TOKEN = OwnerFixture.FIRST_TOKEN;
@@ -19,7 +19,7 @@
     private final PartitionOwner owner = fixture.owner;
 
     @Test
-    void anAcknowledgementStartsWhatIsPlaced() {
+    void anAcknowledgementStartsPlacedTasks() {
         fixture.placeTask();
         owner.onReplicaConfirmed(0);
         HeartbeatReply reply = owner.onHeartbeat(0, fixture.heartbeat(FIRST_TOKEN, List.of()));
@@ -30,7 +30,7 @@
     }
 
     @Test
-    void aCopyIsRejected() {
+    void aRepeatedHeartbeatIsRejected() {
         owner.onReplicaConfirmed(0);
         WorkerHeartbeat heartbeat = fixture.heartbeat(FIRST_TOKEN, List.of());
         assertInstanceOf(HeartbeatReply.Acknowledge.class, owner.onHeartbeat(0, heartbeat));
@@ -47,7 +47,7 @@
     }
 
     @Test
-    void afterTheGraceEverythingIsRejected() {
+    void afterTheGraceHeartbeatsAreRejected() {
         owner.onReplicaConfirmed(0);
         long grace = fixture.config.graceMs();
         assertInstanceOf(
@@ -58,7 +58,7 @@
     }
 
     @Test
-    void withoutItsStateLeaseTheOwnerKnowsNoOwner() {
+    void afterANewStateLeaseTheRedirectNamesNoOwner() {
         owner.onLeaseGranted(2);
         assertEquals(
                 new HeartbeatReply.Redirect(null), owner.onHeartbeat(0, fixture.heartbeat(FIRST_TOKEN, List.of())));
--- a/src/test/java/garnetscale/core/partition/MachineFencingTest.java
+++ b/src/test/java/garnetscale/core/partition/MachineFencingTest.java
@@ -7,7 +7,7 @@
 import garnetscale.core.cluster.FencingTokens;
 import org.junit.jupiter.api.Test;
 
-/** A start counts as superseded only once the worker has shown a token above every one that it was sent under. */
+/** A start counts as superseded only once the worker has shown a token above every token under which the start was sent. */
 class MachineFencingTest {
 
     private static final long TERM = FencingTokens.partitionTerm(3, 1);
@@ -23,7 +23,7 @@
     }
 
     @Test
-    void aDirectStartRaisesTheTokenAndIsSupersededOnceThatIsSeen() {
+    void aDirectStartRaisesTheTokenAndIsSupersededOnceTheNewTokenIsSeen() {
         fencing.onDirectStart(ATTEMPT);
         assertFalse(fencing.isStartSuperseded(ATTEMPT, FIRST, TERM));
         assertEquals(FIRST + 1, fencing.token());
--- a/src/test/java/garnetscale/core/partition/OwnerFixture.java
+++ b/src/test/java/garnetscale/core/partition/OwnerFixture.java
@@ -26,7 +26,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** The owner of partition a/0, in whose replica one job of one task waits, and its worker m-000000. */
+/** The owner of partition a/0 and its worker m-000000; the owner's replica has one waiting job of one task. */
 final class OwnerFixture {
 
     static final long TERM = FencingTokens.partitionTerm(1, 1);
@@ -76,7 +76,7 @@
         replica.reset(state.list(Keys.REPLICATED, null, LIST_LIMIT), state.revision());
     }
 
-    /** The worker's next heartbeat, of its first agent epoch. */
+    /** Returns the worker's next heartbeat in its first agent epoch. */
     WorkerHeartbeat heartbeat(long fencingToken, List<TaskStatus> tasks) {
         return new WorkerHeartbeat(MACHINE, "h:1", "t", "a", false, 1, ++tick, fencingToken, null, tasks);
     }
@@ -85,7 +85,7 @@
         return new TaskStatus(TASK, ATTEMPT, TaskState.RUNNING, null, false);
     }
 
-    /** The first task of a job, which failed. */
+    /** Returns the status of a failed attempt of the job's first task. */
     static TaskStatus failed(String job, long attempt) {
         return new TaskStatus(new TaskId(job, 0), attempt, TaskState.EXITED, ExitCause.ERROR, false);
     }
--- a/src/test/java/garnetscale/core/partition/PartitionOwnerBidTest.java
+++ b/src/test/java/garnetscale/core/partition/PartitionOwnerBidTest.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Bids are made anew when there is news; time alone has to count as news, too. */
+/** Bids are computed again only after a change, and the passing of time alone must count as a change too. */
 class PartitionOwnerBidTest {
 
     private static final long HEARTBEAT_MS = 1000;
@@ -29,9 +29,9 @@
         }
     }
 
-    /** A machine that failed two jobs doesn't bid for a while. The end of that while comes with no news at all. */
+    /** A machine that failed two jobs is cordoned and doesn't bid. No message or state change marks the end of the cordon. */
     @Test
-    void aCordonThatIsOverBringsABid() {
+    void aMachineBidsOnceItsCordonHasEnded() {
         List<TaskStatus> tasks = List.of(OwnerFixture.failed("wk-8", 1), OwnerFixture.failed("wk-9", 2));
         for (long now = 0; now <= 6 * HEARTBEAT_MS; now += HEARTBEAT_MS) {
             heartbeat(now, tasks);
@@ -43,9 +43,9 @@
         assertEquals(1, bids, "it is no longer cordoned");
     }
 
-    /** Heartbeats without news bring no batch: with a thousand machines bids would be made all the time. */
+    /** Heartbeats that change nothing must cause no batch: with a thousand machines, bids would be computed all the time. */
     @Test
-    void heartbeatsWithoutNewsBringNoBatch() {
+    void unchangedHeartbeatsCauseNoBatch() {
         heartbeat(0, List.of());
         heartbeat(200, List.of());
         assertEquals(1, bids);
--- a/src/test/java/garnetscale/core/partition/ReachabilityTest.java
+++ b/src/test/java/garnetscale/core/partition/ReachabilityTest.java
@@ -9,7 +9,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** A controller that no worker reaches, while the state service and its peers do. */
+/** Tests a controller that no worker reaches while the state service and its peers still do. */
 class ReachabilityTest {
 
     private static final int MACHINES = 100;
@@ -18,7 +18,7 @@
     private final Reachability reachability =
             new Reachability(TestConfig.large().controllers(List.of()).build());
 
-    /** Checks every quarter of a second until the given time; returns when it found itself isolated, or -1. */
+    /** Checks every 250 ms until the given time. Returns the time at which isolation was found, or -1. */
     private long checkUntilIsolated(long from, long until, int expected) {
         for (long now = from; now <= until; now += 250) {
             if (reachability.check(now, expected, Set.of("a/0"))) {
@@ -28,9 +28,9 @@
         return -1;
     }
 
-    /** It used to take until the last machine had been silent for 9.5 s, nearly half of a lease. */
+    /** Guards against late detection: only once the last machine had been silent for 9.5 s, nearly half of a lease. */
     @Test
-    void aHundredOverdueHeartbeatsAreNoticedWithinTwoSeconds() {
+    void aHundredOverdueHeartbeatsAreDetectedWithinTwoSeconds() {
         reachability.onReachable(0);
         long at = checkUntilIsolated(0, 10_000, MACHINES);
         assertTrue(at > 1000 && at <= 2000, "noticed at " + at);
@@ -42,9 +42,9 @@
         assertEquals(-1, checkUntilIsolated(0, 8000, 2));
     }
 
-    /** After a standstill of its own nothing is known: what the workers sent waits to be read. */
+    /** After a pause of the process nothing can be concluded: messages from the workers have yet to be read. */
     @Test
-    void aStandstillIsNoIsolation() {
+    void aPauseOfTheProcessIsNotIsolation() {
         reachability.onReachable(0);
         checkUntilIsolated(0, 500, MACHINES);
         assertFalse(reachability.check(30_000, MACHINES, Set.of("a/0")));
@@ -52,7 +52,7 @@
     }
 
     @Test
-    void itProbesTheMachinesThatItLostUntilOneAnswers() {
+    void anIsolatedControllerProbesLostMachinesUntilOneAnswers() {
         reachability.onReachable(0);
         long at = checkUntilIsolated(0, 10_000, MACHINES);
         assertEquals(3, reachability.machinesToProbe(at, ALL, machine -> "a/0").size());
--- a/src/test/java/garnetscale/core/partition/TerminationProofTest.java
+++ b/src/test/java/garnetscale/core/partition/TerminationProofTest.java
@@ -9,7 +9,10 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** A placed attempt is terminated by proof alone; that a heartbeat lacks it, or that there is none, isn't one. */
+/**
+ * A placed attempt is terminated only by proof. That a heartbeat lacks the attempt, or that no heartbeat arrives, is no
+ * proof.
+ */
 class TerminationProofTest {
 
     private static final Set<Long> NONE = Set.of();
@@ -55,16 +58,16 @@
     }
 
     @Test
-    void aNewerAgentEpochTerminatesAttemptsOfTheOneBefore() {
+    void aNewerAgentEpochTerminatesAttemptsOfEarlierEpochs() {
         machine.lastHeartbeat = emptyHeartbeat(2, 0);
         assertEquals(PROVED, proved());
     }
 
     @Test
-    void aMachineWithoutHeartbeatIsTerminatedAfterTheFence() {
-        long fence = OWNED_SINCE + fixture.config.fencingDelayMs();
-        assertEquals(NONE, provedAt(fence));
-        assertEquals(PROVED, provedAt(fence + 1));
+    void aMachineWithoutHeartbeatIsTerminatedAfterTheFencingDelay() {
+        long fencingEnd = OWNED_SINCE + fixture.config.fencingDelayMs();
+        assertEquals(NONE, provedAt(fencingEnd));
+        assertEquals(PROVED, provedAt(fencingEnd + 1));
     }
 
     @Test
@@ -78,11 +81,12 @@
         assertEquals(PROVED, provedAt(expiry + 1));
     }
 
+    /** Until the machine has seen the token, an earlier owner may have acknowledged its heartbeats for the grace. */
     @Test
-    void withoutTheTokenAnEarlierOwnerMayHaveAcknowledgedItForTheGrace() {
+    void aMachineThatHasNotSeenTheTokenIsTerminatedAfterTheFencingDelay() {
         machine.lastHeartbeat = emptyHeartbeat(1, OwnerFixture.FIRST_TOKEN - 1);
-        long fence = OWNED_SINCE + fixture.config.fencingDelayMs();
-        assertEquals(NONE, provedAt(fence));
-        assertEquals(PROVED, provedAt(fence + 1));
+        long fencingEnd = OWNED_SINCE + fixture.config.fencingDelayMs();
+        assertEquals(NONE, provedAt(fencingEnd));
+        assertEquals(PROVED, provedAt(fencingEnd + 1));
     }
 }
--- a/src/test/java/garnetscale/core/partition/WorkerRequestLimiterTest.java
+++ b/src/test/java/garnetscale/core/partition/WorkerRequestLimiterTest.java
@@ -7,7 +7,7 @@
 import garnetscale.core.machine.MachineAddress;
 import org.junit.jupiter.api.Test;
 
-/** Direct requests are bounded, and a process that lags sends one probe at a time. */
+/** Direct requests are limited, and a process that lags sends one probe at a time. */
 class WorkerRequestLimiterTest {
 
     private static final int MAX = 8;
@@ -29,7 +29,7 @@
     }
 
     @Test
-    void probesHaveHalfOfTheBound() {
+    void probesMayUseHalfOfTheLimit() {
         enqueueEight();
         assertEquals(MAX / 2, startAllProbes());
         requests.onProbeEnded();
@@ -37,8 +37,9 @@
     }
 
     /**
-     * After the end of all controllers a new owner probed every machine of its partitions while their heartbeats and the users
-     * waited. Never none at all: a machine that sends no heartbeat has to be probed some day however long the lag lasts.
+     * Guards against probes that delay heartbeats and user requests: after all controllers had ended, a new owner probed every
+     * machine of its partitions while these waited. One probe is always allowed, since a machine that sends no heartbeat has
+     * to be probed eventually, however long the lag lasts.
      */
     @Test
     void aLaggingProcessProbesOneAtATime() {
@@ -53,7 +54,7 @@
     }
 
     @Test
-    void commandsHaveTheWholeBound() {
+    void commandsMayUseTheWholeLimit() {
         requests.setLagging(true);
         for (int i = 0; i < MAX; i++) {
             assertEquals(true, requests.tryStartCommand());
