--- a/src/main/java/garnetscale/core/partition/HeartbeatIntake.java
+++ b/src/main/java/garnetscale/core/partition/HeartbeatIntake.java
@@ -81,7 +81,7 @@
         machine.fencing.dropSupersededStarts(heartbeat.fencingToken());
         machine.stopsSentAt.keySet().retainAll(attempts);
         machine.lastHeartbeat = heartbeat;
-        if (machine.tokenSeenAt < 0 && machine.fencing.isOfPresentTerm(heartbeat.fencingToken())) {
+        if (machine.tokenSeenAt < 0 && machine.fencing.isOfCurrentTerm(heartbeat.fencingToken())) {
             // The worker got the token from an acknowledgement or a command of this term, so this owner reaches it.
             machine.tokenSeenAt = now;
             machine.hasAnswered = true;
--- a/src/main/java/garnetscale/core/partition/MachineFencing.java
+++ b/src/main/java/garnetscale/core/partition/MachineFencing.java
@@ -35,20 +35,20 @@
     }
 
     /**
-     * Records that the worker has seen the token, of the present term or an earlier one. Afterwards the machine's token isn't
-     * lower.
+     * Records that the worker has seen the token, of the current term or an earlier one. The machine's token is never lower
+     * than a token that the worker has seen.
      */
     void onTokenSeen(long seenToken) {
         token = Math.max(token, seenToken);
     }
 
     /** Whether the worker has seen a token of the term that the machine's token belongs to. */
-    boolean isOfPresentTerm(long seenToken) {
+    boolean isOfCurrentTerm(long seenToken) {
         return seenToken >= FencingTokens.firstToken(FencingTokens.partitionTermOf(token));
     }
 
     /**
-     * Whether the term has a higher token than the present one. Without a higher token a lost command couldn't be superseded.
+     * Whether the term has a higher token than the current one. Without a higher token a lost command couldn't be superseded.
      */
     boolean canRaise() {
         return FencingTokens.sameTerm(token + 1, token);
@@ -72,7 +72,7 @@
         return lostCommandToken >= seenToken;
     }
 
-    /** Records that a start of the attempt is sent directly under the present token. */
+    /** Records that a start of the attempt is sent directly under the current token. */
     void onDirectStart(long attempt) {
         directStarts.put(attempt, token);
     }
--- a/src/main/java/garnetscale/core/partition/MachineView.java
+++ b/src/main/java/garnetscale/core/partition/MachineView.java
@@ -28,7 +28,7 @@
     WorkerHeartbeat lastHeartbeat;
     /** When {@link #lastHeartbeat} arrived. */
     long lastHeartbeatAt;
-    /** When a heartbeat of the present agent epoch was last acknowledged; the worker's lease runs from this time. */
+    /** When a heartbeat of the current agent epoch was last acknowledged; the worker's lease runs from this time. */
     long acknowledgedAt;
     /**
      * When a heartbeat first showed a token of this term, or -1 if none has. No earlier owner can have renewed the worker's
--- a/src/main/java/garnetscale/core/partition/PartitionOwner.java
+++ b/src/main/java/garnetscale/core/partition/PartitionOwner.java
@@ -222,8 +222,8 @@
 
     /**
      * Publishes all status and bids again when the replica shows a new leader. Effects are sent to the replica's leader, and
-     * a peer's message about a new leader may arrive before the replica shows it. When that message triggered the
-     * publication, the status went to the old leader, and the new leader took idle machines for silent and scaled them in.
+     * a peer's message about a new leader may arrive before the replica shows it. Reacting to that message instead sent the
+     * status to the old leader, and the new leader took idle machines for silent and scaled them in.
      */
     private void republishToNewLeader() {
         if (!Objects.equals(publishedTo, replica.leader())) {
--- a/src/test/java/garnetscale/core/partition/CancellationMemoryTest.java
+++ b/src/test/java/garnetscale/core/partition/CancellationMemoryTest.java
@@ -10,7 +10,7 @@
 /**
  * The memory for cancellations that peers report is bounded, and the oldest are dropped first. A cancellation that the
  * replica doesn't show yet must count even if several thousand others arrive with it. A dropped cancellation is still
- * enforced by the grace, which expires the machine's agent epoch in time without any report of a peer.
+ * enforced by the grace period, which expires the machine's agent epoch in time without any report of a peer.
  */
 class CancellationMemoryTest {
 
--- a/src/test/java/garnetscale/core/partition/PartitionOwnerBidTest.java
+++ b/src/test/java/garnetscale/core/partition/PartitionOwnerBidTest.java
@@ -36,11 +36,11 @@
         for (long now = 0; now <= 6 * HEARTBEAT_MS; now += HEARTBEAT_MS) {
             heartbeat(now, tasks);
         }
-        assertEquals(0, bids, "it failed two jobs");
+        assertEquals(0, bids, "a machine that failed two jobs is cordoned");
         for (long now = 7 * HEARTBEAT_MS; now <= 10 * HEARTBEAT_MS; now += HEARTBEAT_MS) {
             heartbeat(now, tasks);
         }
-        assertEquals(1, bids, "it is no longer cordoned");
+        assertEquals(1, bids, "the cordon has ended");
     }
 
     /** Heartbeats that change nothing must cause no batch: with a thousand machines, bids would be computed all the time. */
--- a/src/test/java/garnetscale/core/partition/ReachabilityTest.java
+++ b/src/test/java/garnetscale/core/partition/ReachabilityTest.java
@@ -33,7 +33,7 @@
     void aHundredOverdueHeartbeatsAreDetectedWithinTwoSeconds() {
         reachability.onReachable(0);
         long at = checkUntilIsolated(0, 10_000, MACHINES);
-        assertTrue(at > 1000 && at <= 2000, "noticed at " + at);
+        assertTrue(at > 1000 && at <= 2000, "isolation detected at " + at + " ms");
     }
 
     @Test
--- a/src/test/java/garnetscale/core/partition/TerminationProofTest.java
+++ b/src/test/java/garnetscale/core/partition/TerminationProofTest.java
@@ -81,7 +81,7 @@
         assertEquals(PROVED, provedAt(expiry + 1));
     }
 
-    /** Until the machine has seen the token, an earlier owner may have acknowledged its heartbeats for the grace. */
+    /** Until the machine has seen the token, an earlier owner may have acknowledged its heartbeats for the grace period. */
     @Test
     void aMachineThatHasNotSeenTheTokenIsTerminatedAfterTheFencingDelay() {
         machine.lastHeartbeat = emptyHeartbeat(1, OwnerFixture.FIRST_TOKEN - 1);
--- a/src/test/java/garnetscale/core/partition/WorkerRequestLimiterTest.java
+++ b/src/test/java/garnetscale/core/partition/WorkerRequestLimiterTest.java
@@ -22,7 +22,7 @@
         return started;
     }
 
-    private void enqueueEight() {
+    private void enqueueProbes() {
         for (int i = 0; i < MAX; i++) {
             requests.enqueueProbe(new MachineAddress("m-" + i, "h:" + i, "a"));
         }
@@ -30,7 +30,7 @@
 
     @Test
     void probesMayUseHalfOfTheLimit() {
-        enqueueEight();
+        enqueueProbes();
         assertEquals(MAX / 2, startAllProbes());
         requests.onProbeEnded();
         assertEquals(1, startAllProbes());
@@ -43,7 +43,7 @@
      */
     @Test
     void aLaggingProcessProbesOneAtATime() {
-        enqueueEight();
+        enqueueProbes();
         requests.setLagging(true);
         assertNotNull(requests.nextProbe(machine -> true));
         assertNull(requests.nextProbe(machine -> true));
