--- a/src/main/java/garnetscale/core/leader/AttemptNumbers.java
+++ b/src/main/java/garnetscale/core/leader/AttemptNumbers.java
@@ -39,7 +39,7 @@
     }
 
     /** Whether it is time to step down. */
-    boolean isNearlyUsedUp() {
+    boolean isNearlyExhausted() {
         return sequence >= FencingTokens.MAX_ATTEMPTS - RESERVED;
     }
 }
--- a/src/main/java/garnetscale/core/leader/BidRanking.java
+++ b/src/main/java/garnetscale/core/leader/BidRanking.java
@@ -13,15 +13,15 @@
 import java.util.List;
 import java.util.Map;
 
-/** Ranks the usable bids for a job, the best first; made anew for each scheduling cycle. */
+/** Ranks the usable bids for a job, best first. A new instance is created for each scheduling cycle. */
 final class BidRanking {
 
-    /** How a sort key is made up, from its low bits on: the bid's index, its finish in tenths of a second, its rank. */
+    /** A sort key consists, from its low bits on, of the bid's index, its finish in tenths of a second, and its rank. */
     private static final int INDEX_BITS = 22;
 
     private static final int FINISH_BITS = 18;
 
-    /** A bid that may be taken, and the machine that it is of. */
+    /** A usable bid, and the machine that it is for. */
     record Candidate(MachineState machine, Bid bid) {}
 
     private final StateReplica replica;
@@ -29,7 +29,10 @@
     private final Map<String, MachineState> machines;
     private final LoadSnapshot load;
     private final long now;
-    /** Whether the partition's owner bids, asked once a cycle: there are thousands of bids and a handful of partitions. */
+    /**
+     * Whether the owner of a partition bids, by partition. Looked up once per cycle, because there are thousands of bids but
+     * only a handful of partitions.
+     */
     private final Map<String, Boolean> ownerBids = new HashMap<>();
 
     BidRanking(LeaderContext context, LoadSnapshot load, long now) {
@@ -41,8 +44,9 @@
     }
 
     /**
-     * Usable bids by their finish, whole seconds alike, since estimates are no better than that. Among equals spot machines go
-     * first: what costs a task nothing there leaves ordinary ones to those that would lose by it.
+     * Returns the usable bids for the job, sorted by their finish. Bids within the same whole second count as equal, because
+     * estimates are no more accurate than that. Among equals, spot machines come first: a job that loses nothing by running on
+     * one leaves regular machines to jobs that would lose by it.
      */
     List<Candidate> ranked(JobSpec job) {
         List<Candidate> usable = usable(job);
@@ -72,7 +76,7 @@
         return usable;
     }
 
-    /** Orders equals by their groups' load. */
+    /** Orders bids of equal rank by the load of their machine groups. */
     private List<Candidate> spread(List<Candidate> ranked, JobSpec job) {
         return new SpreadOrder(load)
                 .spread(
@@ -82,7 +86,10 @@
                         candidate -> candidate.bid().slots() * job.cpus());
     }
 
-    /** Equal for bids that count as equal: whole seconds of the finish, spot machines before others. */
+    /**
+     * Returns the rank of a bid, which is the same for bids that count as equal: by finish in whole seconds, with spot machines
+     * before others.
+     */
     private static long rank(Candidate candidate) {
         return 2 * Math.round(candidate.bid().finishS())
                 + (candidate.machine().status.spot() ? 0 : 1);
--- a/src/main/java/garnetscale/core/leader/DrainStops.java
+++ b/src/main/java/garnetscale/core/leader/DrainStops.java
@@ -8,16 +8,18 @@
 import java.util.function.Consumer;
 
 /**
- * Drains machines with an eviction notice: what can write a checkpoint does so while there is time, what would not be finished
- * starts again elsewhere at once, and what will be finished is left to.
+ * Drains machines with an eviction notice. A task that would not finish in time is stopped: if it writes checkpoints, it writes
+ * one while there is still time; otherwise it starts again elsewhere at once. A task that will finish in time is left running.
  */
 final class DrainStops {
 
-    /** Estimates are rough: a task counts as lost only when it would need this many times the seconds that are left. */
+    /**
+     * A task counts as lost only if it needs more than this many times the seconds that are left, because estimates are rough.
+     */
     private static final double LOST_RATIO = 1.3;
-    /** A checkpoint may take longer to write than its job says. */
+    /** Factor on the time that a job declares for writing a checkpoint, because writing may take longer. */
     private static final double CHECKPOINT_SLACK = 1.5;
-    /** A task is stopped when no more is left than this many times what its stop takes. */
+    /** A task that writes checkpoints is stopped once the time left is less than this many times the duration of its stop. */
     private static final double STOP_AHEAD_RATIO = 2;
 
     private final StateReplica replica;
@@ -32,7 +34,7 @@
         this.log = context.log();
     }
 
-    /** Adds the stops that are due to the cycle's draft. */
+    /** Adds due stops to the cycle's draft. */
     void plan(SchedulingCycle cycle) {
         for (MachineState machine : cycle.machines()) {
             if (machine.status.evictionNoticeS() != null && !machine.status.silent()) {
@@ -71,8 +73,8 @@
     }
 
     /**
-     * Seconds until a stop that is decided now has freed the room: the owner's command, the checkpoint if the job writes any, and
-     * the heartbeat that proves the exit.
+     * Returns the seconds until a stop that is decided now has freed the task's capacity. They cover the owner's command, the
+     * checkpoint if the job writes any, and the heartbeat that proves the exit.
      */
     static double stopS(JobSpec job, long heartbeatIntervalMs) {
         double checkpointS = job.writesCheckpoints() ? job.checkpointWriteS() * CHECKPOINT_SLACK + 1 : 0;
--- a/src/main/java/garnetscale/core/leader/ExitRecorder.java
+++ b/src/main/java/garnetscale/core/leader/ExitRecorder.java
@@ -15,28 +15,28 @@
 import org.agrona.collections.Long2ObjectHashMap;
 
 /**
- * Frees placements, and records tasks as finished, once there is proof that an attempt has ended: its exit, its owner's proof of
- * termination, or the cloud's word that its machine is terminated (docs/design.md, "Safety"). A machine that isn't heard of
- * proves nothing.
+ * Frees placements and records tasks as finished once there is proof that an attempt has ended: its exit, the owner's proof of
+ * its termination, or the cloud's confirmation that its machine is terminated (docs/design.md, "Safety"). The silence of a
+ * machine proves nothing.
  */
 final class ExitRecorder {
 
     /**
-     * What an owner published of an attempt that ended.
+     * The end of an attempt, as published by the partition's owner.
      *
-     * @param partitionTerm of the owner's lease; another owner's word counts no more once the partition has a new one
-     * @param status        how it exited, or null when it was terminated without an exit
+     * @param partitionTerm term of the owner's lease; once the partition has a new term, this report doesn't count any more
+     * @param status        exit of the attempt, or null if it was terminated without one
      */
     private record Exit(String machine, String partition, long partitionTerm, long attempt, TaskStatus status) {}
 
     private final StateReplica replica;
     private final MachineEvaluator evaluator;
     private final Consumer<String> log;
-    /** Exits that aren't stored yet, by attempt. */
+    /** Reported exits that aren't stored yet, by attempt. */
     private final Long2ObjectHashMap<Exit> exits = new Long2ObjectHashMap<>();
-    /** Attempts that their owner has proof of termination of, and that aren't freed yet. */
+    /** Attempts of whose termination the owner has proof and that aren't freed yet, by attempt. */
     private final Long2ObjectHashMap<Exit> terminated = new Long2ObjectHashMap<>();
-    /** Machines that the cloud says are terminated for good. */
+    /** Machines that the cloud reports as terminated for good. */
     private final Set<String> terminatedMachines = new HashSet<>();
 
     ExitRecorder(LeaderContext context, MachineEvaluator evaluator) {
@@ -45,21 +45,21 @@
         this.log = context.log();
     }
 
-    /** A new leadership begins: owners publish what they know anew. */
+    /** Discards everything at the start of a new term; owners publish again what they know. */
     void clear() {
         exits.clear();
         terminated.clear();
         terminatedMachines.clear();
     }
 
-    /** Notes the attempts that the owner has proof of termination of. */
+    /** Remembers the attempts of whose termination the owner has proof. */
     void onTerminated(MachineStatus status) {
         for (long attempt : status.terminated()) {
             terminated.put(attempt, new Exit(status.machine(), status.partition(), status.term(), attempt, null));
         }
     }
 
-    /** Notes the exits that the machine's worker listed. */
+    /** Remembers the exits that the machine's worker reported. */
     void onExits(MachineStatus status) {
         for (TaskStatus task : status.tasks()) {
             if (task.exited()) {
@@ -70,17 +70,17 @@
         }
     }
 
-    /** The cloud has proof that nothing is on the machine any more. */
+    /** Handles the proof of the cloud that nothing runs on the machine any more. */
     void onMachineTerminated(String machine) {
         terminatedMachines.add(machine);
     }
 
-    /** Whether the cloud said that the machine is terminated. */
+    /** Returns whether the cloud has reported the machine as terminated. */
     boolean isTerminated(String machine) {
         return terminatedMachines.contains(machine);
     }
 
-    /** Adds to the draft what is proven; false when it didn't all fit, and the rest waits for the next transaction. */
+    /** Adds all proven ends to the draft. Returns false if they didn't all fit; the rest waits for the next transaction. */
     boolean record(long now, TransactionDraft draft) {
         return recordExits(now, draft) && freeTerminatedAttempts(draft) && freeTerminatedMachines(draft);
     }
@@ -154,7 +154,7 @@
         return sorted;
     }
 
-    /** The stored placement of the attempt, or null when it is freed already. */
+    /** Returns the stored placement of the attempt, or null if it has already been freed. */
     private Placement placement(Exit exit) {
         for (Placement placement : replica.placements(exit.machine())) {
             if (placement.attempt() == exit.attempt()) {
--- a/src/main/java/garnetscale/core/leader/FailureTracker.java
+++ b/src/main/java/garnetscale/core/leader/FailureTracker.java
@@ -12,31 +12,35 @@
 import java.util.function.Predicate;
 
 /**
- * Tells jobs that fail by their own fault from faulty machines, by who else succeeds. A job that fails on several machines and
- * completes nothing is quarantined, and its failures are held against none of the machines, neither those to come nor those from
- * before: two bad submissions that are spread over a fleet would otherwise take all of it out of service. A quarantined job is
- * retried ever more rarely, with a task at a time, until one of its tasks completes or its user cancels it. Of a job that has
- * completed tasks, single tasks are quarantined in the same way.
+ * Distinguishes jobs that fail by their own fault from faulty machines, by whether other tasks succeed. A job that fails on
+ * several machines and completes no task is quarantined. Its failures, past and future, are then not counted against any
+ * machine; otherwise two faulty submissions spread over a fleet would take all of it out of service.
+ *
+ * <p>A quarantined job is retried one task at a time, at growing intervals, until one of its tasks completes or its user
+ * cancels it. If a job has completed tasks, single tasks of it are quarantined in the same way.
  */
 final class FailureTracker {
 
     /** Machines that a job must fail on, without completing a task, before it is quarantined. */
     private static final int MACHINES_TO_QUARANTINE = 3;
-    /** Tasks of a quarantined job that may be placed at a time: enough to find out, few enough to cost nothing. */
+    /**
+     * Tasks of a quarantined job that may be placed at a time: enough to find out whether it still fails, and few enough to
+     * cost nothing.
+     */
     private static final int MAX_TRIAL_TASKS = 1;
-    /** Attempts whose exits are remembered as evaluated. */
+    /** Maximum number of attempts whose exits are remembered as evaluated. */
     private static final int MAX_EVALUATED_ATTEMPTS = 4096;
-    /** The pause before a quarantined job or task is retried; it doubles with each retry, so many times. */
-    private static final long FIRST_PAUSE_MS = 1000;
+    /** Backoff before a quarantined job or task is first retried. It doubles with each retry. */
+    private static final long INITIAL_BACKOFF_MS = 1000;
+    /** Maximum number of times that the backoff doubles. */
+    private static final int MAX_BACKOFF_DOUBLINGS = 5;
 
-    private static final int MAX_DOUBLINGS = 5;
-
-    /** The failures of a job, or of a task of a job that has completed others. */
+    /** Failures of a job, or of a task of a job that has completed others. */
     private static final class FailureHistory {
         final Set<String> machines = new HashSet<>();
         int retries;
         boolean hasCompletedTasks;
-        long notBefore = Times.NEVER;
+        long retryAt = Times.NEVER;
 
         boolean isQuarantined() {
             return !hasCompletedTasks && machines.size() >= MACHINES_TO_QUARANTINE;
@@ -44,12 +48,15 @@
     }
 
     private final Map<String, FailureHistory> jobs = new HashMap<>();
-    /** Failing tasks of jobs that have completed others. */
+    /** Failures of single tasks, of jobs that have completed others. */
     private final Map<TaskId, FailureHistory> tasks = new HashMap<>();
 
     private final Set<Long> evaluatedAttempts = new LinkedHashSet<>();
 
-    /** False when the attempt's exit was evaluated before: a transaction may be drafted several times. */
+    /**
+     * Returns whether this is the first evaluation of the attempt's exit, and remembers that it is evaluated. An exit may come
+     * up again, because a transaction may be drafted several times.
+     */
     boolean isFirstEvaluation(long attempt) {
         if (!evaluatedAttempts.add(attempt)) {
             return false;
@@ -62,21 +69,24 @@
         return true;
     }
 
-    /** The task completed. */
+    /** Records that the task completed. */
     void recordCompletion(TaskId task) {
         tasks.remove(task);
         recordCompletion(task.job());
     }
 
-    /** Some task of the job completed, whoever saw it. */
+    /** Records that some task of the job completed, under this leader or an earlier one. */
     void recordCompletion(String job) {
         FailureHistory history = jobs.computeIfAbsent(job, id -> new FailureHistory());
         history.hasCompletedTasks = true;
         history.machines.clear();
-        history.notBefore = Times.NEVER;
+        history.retryAt = Times.NEVER;
     }
 
-    /** Records a failure on a machine; true when the job or the task, rather than the machine, is at fault from now on. */
+    /**
+     * Records a failure on a machine. Returns whether from now on the job or the task is considered at fault, rather than the
+     * machine.
+     */
     boolean recordFailure(long now, TaskId task, String machine) {
         FailureHistory ofJob = jobs.computeIfAbsent(task.job(), id -> new FailureHistory());
         FailureHistory history =
@@ -87,47 +97,53 @@
         if (!history.isQuarantined()) {
             return false;
         }
-        // The tasks that were placed with the first failures end about now, too: they are no retries.
-        if (now >= history.notBefore) {
-            history.notBefore = now + (FIRST_PAUSE_MS << Math.min(MAX_DOUBLINGS, history.retries++));
+        // Tasks that were placed together with the first failing ones end about now too. They are not retries.
+        if (now >= history.retryAt) {
+            history.retryAt = now + (INITIAL_BACKOFF_MS << Math.min(MAX_BACKOFF_DOUBLINGS, history.retries++));
         }
         return true;
     }
 
-    /** Whether the job itself seems to be at fault. */
+    /** Returns whether the job itself seems to be at fault. */
     boolean isQuarantined(String job) {
         FailureHistory history = jobs.get(job);
         return history != null && history.isQuarantined();
     }
 
-    /** Whether the task fails by its own fault or its job's. */
+    /** Returns whether the task or its job seems to be at fault. */
     boolean isQuarantined(TaskId task) {
         FailureHistory history = tasks.get(task);
         return isQuarantined(task.job()) || history != null && history.isQuarantined();
     }
 
-    /** Whether others of the job's tasks completed, so that a failure says something about the machine. */
+    /**
+     * Returns whether tasks of the job have completed, in which case a failure of another one says something about the machine.
+     */
     boolean hasCompletedTasks(String job) {
         FailureHistory history = jobs.get(job);
         return history != null && history.hasCompletedTasks;
     }
 
-    /** Whether the task's pause after its last failure is over. */
+    /** Returns whether the backoff after the task's last failure is over. */
     boolean mayStart(long now, TaskId task) {
         FailureHistory history = tasks.get(task);
-        return history == null || now >= history.notBefore;
+        return history == null || now >= history.retryAt;
     }
 
-    /** How many tasks of the job may be placed now, when {@code placed} of them are already. */
+    /**
+     * Returns how many more tasks of the job may be placed now.
+     *
+     * @param placed number of tasks of the job that are placed already
+     */
     int allowedPlacements(long now, String job, int placed) {
         FailureHistory history = jobs.get(job);
         if (history == null || !history.isQuarantined()) {
             return Integer.MAX_VALUE;
         }
-        return now < history.notBefore ? 0 : Math.max(0, MAX_TRIAL_TASKS - placed);
+        return now < history.retryAt ? 0 : Math.max(0, MAX_TRIAL_TASKS - placed);
     }
 
-    /** Quarantined jobs, in the order of their names. */
+    /** Returns the quarantined jobs, sorted by ID. */
     Set<String> quarantinedJobs() {
         Set<String> quarantined = new TreeSet<>();
         jobs.forEach((job, history) -> {
@@ -138,7 +154,7 @@
         return quarantined;
     }
 
-    /** Forgets jobs other than those that are still stored. */
+    /** Forgets jobs that are no longer stored. */
     void retain(Predicate<String> isStored) {
         jobs.keySet().removeIf(isStored.negate());
         tasks.keySet().removeIf(task -> !isStored.test(task.job()));
--- a/src/main/java/garnetscale/core/leader/LateBidStops.java
+++ b/src/main/java/garnetscale/core/leader/LateBidStops.java
@@ -10,7 +10,10 @@
 import java.util.Map;
 import java.util.function.Consumer;
 
-/** Stops tasks of decommissioned machines for which a late bid is much better; the stop must be confirmed first. */
+/**
+ * Stops tasks on decommissioned machines for which a late bid promises a much earlier finish. The stop must be confirmed before
+ * the task starts again elsewhere.
+ */
 final class LateBidStops {
 
     private final StateReplica replica;
@@ -27,7 +30,7 @@
         this.log = context.log();
     }
 
-    /** Adds the stops that are due to the cycle's draft. */
+    /** Adds due stops to the cycle's draft. */
     void plan(SchedulingCycle cycle) {
         for (MachineState machine : cycle.machines()) {
             if (machine.decommissioned && !machine.status.silent()) {
--- a/src/main/java/garnetscale/core/leader/Leader.java
+++ b/src/main/java/garnetscale/core/leader/Leader.java
@@ -20,11 +20,12 @@
 import java.util.function.Consumer;
 
 /**
- * The leader: leases partitions to controllers, takes bids, keeps quotas and places tasks; the only writer of placements and
- * finished tasks. It has at most one transaction under way (see {@link TransactionPipeline}) and drafts each from the replica
- * alone plus what the owners of partitions have published, so that a lost answer costs a fresh look and nothing else.
+ * The leader: leases partitions to controllers, collects bids, enforces quotas and places tasks. It is the only writer of
+ * placements and of finished tasks. It has at most one transaction in flight (see {@link TransactionPipeline}) and drafts each
+ * one only from the replica and from what partition owners have published, so a lost response costs no more than a new draft.
  *
- * <p>Every controller has one; while it doesn't lead, it only watches for its turn. Times are milliseconds of the steady clock.
+ * <p>Every controller has an instance. While its controller doesn't lead, an instance only watches for its turn to be elected.
+ * Times are milliseconds of the steady clock.
  */
 public final class Leader {
 
@@ -43,7 +44,11 @@
 
     private long wallClockOffset;
 
-    /** {@code log} takes one line for each event that operators may want to know of. */
+    /**
+     * Creates the leader of a controller that doesn't lead yet.
+     *
+     * @param log receives one line for each event of interest to operators
+     */
     public Leader(SchedulerConfig config, StateReplica replica, PartitionMap partitions, Consumer<String> log) {
         this.replica = replica;
         this.context = LeaderContext.of(config, replica, log);
@@ -61,17 +66,20 @@
 
     // ---- leadership
 
-    /** The state service granted this process a lease, which identifies it from now on. */
+    /** Sets the lease that the state service granted to this process. The lease identifies the process from now on. */
     public void onLeaseGranted(long lease) {
         election.onLeaseGranted(lease);
     }
 
-    /** The term that this process leads under by the replica, or -1. */
+    /** Returns the term under which this process leads according to the replica, or -1 if it doesn't lead. */
     public long leadingTerm() {
         return election.leadingTerm();
     }
 
-    /** Takes up leadership when the replica says so, and drops all that was known under an earlier term. */
+    /**
+     * Returns whether this controller leads according to the replica. If it leads under a new term, this method first begins
+     * that term and discards everything known from an earlier one.
+     */
     public boolean leads(long now) {
         if (election.takeUp(now)) {
             beginTerm(now);
@@ -92,46 +100,50 @@
         context.log().accept("took leadership, term=" + election.term());
     }
 
-    /** The transaction that makes this controller the leader, or null when there is one that isn't known to be down. */
+    /**
+     * Returns the transaction that makes this controller the leader, or null if there is a leader that isn't known to be down.
+     */
     public Transaction election(long now) {
         return election.elect(now);
     }
 
     /**
-     * The transaction by which this leader steps down, or null: when its term's numbers are used up, or when no worker reaches
-     * it. To be asked of a leader alone.
+     * Returns the transaction by which this leader steps down, or null if it should keep leading. A leader steps down when the
+     * numbers of its term are nearly exhausted or when no worker reaches it. Call this only while this controller leads.
      */
     public Transaction resignation(long now) {
-        if (attempts.isNearlyUsedUp() || partitionAssigner.isNearlyUsedUp()) {
+        if (attempts.isNearlyExhausted() || partitionAssigner.isNearlyExhausted()) {
             return election.resignForNewTerm();
         }
         return election.resignIfIsolated(now, machines.values());
     }
 
-    /** The transaction to send after one whose outcome is unknown; see {@link LeaderElection#fence}. */
+    /** Returns the transaction to send after one whose outcome is unknown; see {@link LeaderElection#fence}. */
     public Transaction fence() {
         return election.fence();
     }
 
     // ---- messages
 
-    /** What to add to the steady clock's milliseconds for the time of day. */
+    /** Sets the offset in milliseconds that is added to the steady clock to get the time of day. */
     public void setWallClockOffset(long offset) {
         wallClockOffset = offset;
     }
 
-    /** A controller's process seems to be down, or is heard of again. */
+    /** Handles a change in the reachability of another controller: its process seems to be down, or is reachable again. */
     public void onPeerReachability(long now, String node, boolean down) {
-        failureDetector.suspect(now, node, down);
+        failureDetector.onPeerReachability(now, node, down);
     }
 
-    /** A controller's heartbeat says whether workers reach it. */
+    /** Handles a controller's heartbeat, which reports whether workers reach that controller. */
     public void onWorkerReachability(long now, String node, boolean isolatedFromWorkers) {
         failureDetector.onWorkerReachability(node, isolatedFromWorkers);
         balancer.onSignOfLife(now, node);
     }
 
-    /** A partition's owner published a machine's status; dropped if the owner isn't the current one. */
+    /**
+     * Handles a machine status published by a partition's owner. The status is dropped if the sender isn't the current owner.
+     */
     public void onMachineStatus(long now, MachineStatus status) {
         PartitionLease lease = replica.partition(status.partition());
         if (!election.isLeading()
@@ -150,27 +162,33 @@
         exitRecorder.onExits(status);
     }
 
-    /** A controller submitted the bids of its machines. */
+    /** Handles the bids that a controller submitted for its machines; ignored while this controller doesn't lead. */
     public void onBids(long now, BidBatch batch) {
         if (election.isLeading()) {
             context.auction().onBatch(now, batch);
         }
     }
 
-    /** The cloud answered a delete with 200, or lists the machine as failed: nothing is on it any more. */
+    /**
+     * Handles the cloud's proof that nothing runs on the machine any more: it answered a delete with 200, or lists the machine
+     * as failed.
+     */
     public void onMachineTerminated(String machine) {
         exitRecorder.onMachineTerminated(machine);
         machines.remove(machine);
     }
 
-    /** A machine left the cloud's list long ago. Lists are late, so this frees nothing: it only ends an empty record. */
+    /**
+     * Handles a machine that disappeared from the cloud's list long ago. Lists lag behind, so this frees no placement. It only
+     * removes the machine's record if that has no placements.
+     */
     public void onMachineVanished(String machine) {
         if (replica.placements(machine).isEmpty()) {
             onMachineTerminated(machine);
         }
     }
 
-    /** An operator's request to change the cluster's version; see {@link UpgradePlanner#request}. */
+    /** Handles an operator's request to change the cluster's version; see {@link UpgradePlanner#request}. */
     public UpgradeDecision upgrade(long now, UpgradeStep step) {
         return leads(now)
                 ? upgrades.request(now, step)
@@ -179,7 +197,7 @@
 
     // ---- planning
 
-    /** The next transaction, or null when this controller doesn't lead or there is nothing to change. */
+    /** Returns the next transaction, or null if this controller doesn't lead or there is nothing to change. */
     public Transaction plan(long now) {
         if (!leads(now)) {
             return null;
@@ -196,53 +214,64 @@
         return placements.plan(now, now + wallClockOffset);
     }
 
-    /** Milliseconds until planning again may lead to something without any news, or -1. */
+    /**
+     * Returns the milliseconds until a bidding window closes, when planning may produce a transaction without any new input, or
+     * -1 if there is no such time.
+     */
     public long millisToNextPlan(long now) {
         return context.auction().msUntilNextClose(now);
     }
 
-    // ---- what others are told
+    // ---- queries
 
-    /** What the partitions' owners last published of each machine. */
+    /** Returns the status of each machine that its partition's owner last published. */
     public Collection<MachineStatus> machines() {
         List<MachineStatus> list = new ArrayList<>(machines.size());
         machines.values().forEach(machine -> list.add(machine.status));
         return list;
     }
 
-    /** Started jobs for which late bids are wanted, in the order of their names. */
+    /** Returns the started jobs for which late bids are requested, sorted by ID. */
     public List<String> jobsWantingLateBids() {
         Set<String> jobs = new TreeSet<>(machineEvaluator.jobsOnSlowMachines());
         jobs.addAll(balancer.jobsWantingBids());
         return List.copyOf(jobs);
     }
 
-    /** Machines to be scaled in, with nothing on them any more. */
+    /** Returns decommissioned machines without placements, which are ready to be scaled in. */
     public List<String> decommissionedMachines() {
         return machineEvaluator.emptyDecommissioned();
     }
 
-    /** Whether there are new ones among the quarantined jobs since this was last asked. */
+    /** Returns whether jobs or tasks have been quarantined since the last call. */
     public boolean takeNewlyQuarantined() {
         return machineEvaluator.takeNewlyQuarantined();
     }
 
-    /** Quarantined jobs, which fail on every machine: nothing is scaled out, preempted or kept from bidding on their account. */
+    /**
+     * Returns the quarantined jobs, which fail on every machine. Because of them, no machine is scaled out, no task is
+     * preempted and no machine is kept from bidding.
+     */
     public Set<String> quarantinedJobs() {
         return context.failures().quarantinedJobs();
     }
 
-    /** The load of the fleet when load balancing last ran; empty on a controller that doesn't lead, or while that is off. */
+    /**
+     * Returns the fleet's load as of the last load-balancing pass. Empty if this controller doesn't lead or load balancing is
+     * off.
+     */
     public LoadSnapshot load() {
         return election.isLeading() ? balancer.load() : LoadSnapshot.EMPTY;
     }
 
-    /** Tasks that this leader moved lately, oldest first; see {@link Move}. */
+    /**
+     * Returns the tasks that this leader moved recently, oldest first; see {@link Move}. Empty if this controller doesn't lead.
+     */
     public List<Move> recentMoves() {
         return election.isLeading() ? balancer.recentMoves() : List.of();
     }
 
-    /** The numbers of the attempts that it places. */
+    /** Returns the numbering of the attempts that this leader places. */
     AttemptNumbers attempts() {
         return attempts;
     }
--- a/src/main/java/garnetscale/core/leader/LeaderElection.java
+++ b/src/main/java/garnetscale/core/leader/LeaderElection.java
@@ -11,34 +11,37 @@
 import java.util.function.Consumer;
 
 /**
- * Decides when this controller takes leadership, deposes a leader whose process is down, or resigns. The leader is whoever the
- * leader key in the state service names; it is written with a lease, so that it goes when its process does.
+ * Decides when this controller becomes the leader, deposes a leader whose process is down, or resigns. The leader is the
+ * controller that the leader key in the state service names. The key is attached to that controller's lease in the state
+ * service, so it is deleted when the process dies.
  */
 final class LeaderElection {
 
-    /** The term of a controller that doesn't lead. */
+    /** Term of a controller that doesn't lead. */
     static final long NO_TERM = -1;
 
-    /** The incarnation of a process that hasn't been granted a lease yet. */
+    /** Incarnation of a process that hasn't been granted a lease yet. */
     private static final long NO_INCARNATION = -1;
-    /** A leader is in sight for so many controller leases before it may be deposed. */
+    /** Controller leases for which a leader must have been visible in the replica before it may be deposed. */
     private static final int LEASES_BEFORE_DEPOSING = 4;
-    /** How long a leader that resigned leaves it to others, in multiples of the time that it was patient for. */
-    private static final int PAUSE_AFTER_RESIGNING = 4;
+    /**
+     * Time for which a leader that resigned leaves the leadership to other controllers, in multiples of the isolation timeout.
+     */
+    private static final int ISOLATION_TIMEOUTS_AFTER_RESIGNING = 4;
 
     private final SchedulerConfig config;
     private final StateReplica replica;
     private final PeerFailureDetector failureDetector;
     private final Consumer<String> log;
 
-    /** This process's lease in the state service. */
+    /** This process's lease in the state service, or {@link #NO_INCARNATION}. */
     private long incarnation = NO_INCARNATION;
-    /** No election before this time. */
+    /** Time before which this controller isn't a candidate, unless it is the only controller. */
     private long candidateFrom = Times.NEVER;
 
-    /** The term of the leadership that this process has taken up, or {@link #NO_TERM}, and since when it leads. */
+    /** Term of the leadership that this process has taken up, or {@link #NO_TERM}. */
     private long term = NO_TERM;
-
+    /** When the term that was last taken up began. */
     private long leadingSince;
 
     private LeaderInfo lastSeenLeader;
@@ -52,12 +55,12 @@
         this.log = log;
     }
 
-    /** The state service granted this process a lease, which identifies it from now on. */
+    /** Sets the lease that the state service granted to this process. The lease identifies the process from now on. */
     void onLeaseGranted(long lease) {
         incarnation = lease;
     }
 
-    /** The term that this process leads under by the replica, or {@link #NO_TERM}. */
+    /** Returns the term under which this process leads according to the replica, or {@link #NO_TERM}. */
     long leadingTerm() {
         LeaderInfo leader = replica.leader();
         return leader != null && leader.node().equals(config.self()) && leader.incarnation() == incarnation
@@ -65,35 +68,39 @@
                 : NO_TERM;
     }
 
-    /** Follows the replica; true when this process now takes up leadership, under a term that it hasn't led under before. */
+    /**
+     * Updates the term from the replica. Returns true if this process takes up leadership by this call, under a term that it
+     * hasn't led under before.
+     */
     boolean takeUp(long now) {
-        long termNow = leadingTerm();
-        boolean isNewTerm = termNow != NO_TERM && termNow != term;
-        term = termNow;
+        long currentTerm = leadingTerm();
+        boolean isNewTerm = currentTerm != NO_TERM && currentTerm != term;
+        term = currentTerm;
         if (isNewTerm) {
             leadingSince = now;
         }
         return isNewTerm;
     }
 
-    /** The term of the leadership that was taken up, or {@link #NO_TERM}. */
+    /** Returns the term of the leadership that was taken up, or {@link #NO_TERM}. */
     long term() {
         return term;
     }
 
-    /** Whether this process led when it last looked. */
+    /** Returns whether this process led when the term was last updated from the replica. */
     boolean isLeading() {
         return term != NO_TERM;
     }
 
     /**
-     * The transaction that makes this controller the leader, or null when there is one. The term comes from a counter that
-     * the same transaction raises, so no two leaders share one.
+     * Returns the transaction that makes this controller the leader, or null if the current leader stays or this controller
+     * isn't a candidate at present. The term comes from a counter that the same transaction increments, so no two leaders share
+     * a term.
      */
     Transaction elect(long now) {
         LeaderInfo leader = replica.leader();
-        // A leader key of this controller's earlier process is replaced at once: a controller runs one process at a
-        // time.
+        // A leader key left by an earlier process of this controller is replaced at once, because a controller runs
+        // one process at a time.
         boolean isOfEarlierProcess =
                 leader != null && leader.node().equals(config.self()) && leader.incarnation() != incarnation;
         boolean isDown = isLeaderDown(now);
@@ -112,10 +119,14 @@
     }
 
     /**
-     * Whether to depose the present leader before its lease expires. Safe at any time, since every transaction of a leader is
-     * guarded by the key that this replaces. So that two controllers don't go on deposing each other, only a fresh suspicion
-     * counts: who outlives it by a lease wasn't down. Neither does one that was wrong a while ago, or that is of all others at
-     * once: then it is the network, and the state service knows better who lives. A leader that no worker reaches is no loss.
+     * Returns whether to depose the current leader before its lease expires. This is safe at any time, because every
+     * transaction of a leader is guarded by the key that this replaces.
+     *
+     * <p>Three rules keep two controllers from deposing each other over and over. Only a recent suspicion counts, because a
+     * process that outlives a suspicion by a controller lease wasn't down. A suspicion doesn't count if the same controller was
+     * falsely suspected a while ago. It doesn't count either if all other controllers are suspected at once: then the network
+     * is at fault, and the state service knows better which processes are alive. The last two rules don't protect a leader that
+     * no worker reaches, since deposing it loses nothing.
      */
     private boolean isLeaderDown(long now) {
         LeaderInfo leader = replica.leader();
@@ -128,31 +139,35 @@
                         && (failureDetector.suspectsAll() || failureDetector.wasFalselySuspected(now, leader.node()))) {
             return false;
         }
-        return failureDetector.isFreshlySuspected(now, leader.node())
+        return failureDetector.isRecentlySuspected(now, leader.node())
                 && now - lastSeenLeaderSince > LEASES_BEFORE_DEPOSING * config.controllerLeaseMs();
     }
 
-    /** Steps down because the leader's term has no numbers left: a new term is needed, this controller's or another's. */
+    /**
+     * Returns the transaction by which this leader steps down because its term has no numbers left. A new term is needed, under
+     * this controller or another.
+     */
     Transaction resignForNewTerm() {
-        log.accept("resigning leadership: the numbers of the term are used up, term=" + term);
+        log.accept("resigning leadership: the numbers of the term are nearly exhausted, term=" + term);
         return resignation();
     }
 
     /**
-     * The transaction by which a leader that no worker reaches makes room for one that may do better; null while some machine
-     * sends heartbeats, there is no other controller, or it is too early to tell.
+     * Returns the transaction by which a leader that no worker reaches steps down, so that a controller that workers may reach
+     * can take over. Returns null if some machine sends heartbeats, if there is no other controller, or if it is too early to
+     * tell.
      */
     Transaction resignIfIsolated(long now, Collection<MachineState> machines) {
         boolean isIsolated = machines.stream().allMatch(machine -> machine.status.silent());
-        long patienceMs = failureDetector.isolationPatienceMs();
+        long timeoutMs = failureDetector.isolationTimeoutMs();
         if (!isIsolated
                 || machines.isEmpty()
                 || replica.controllers().size() < 2
-                || now - leadingSince < patienceMs
+                || now - leadingSince < timeoutMs
                 || now < candidateFrom) {
             return null;
         }
-        candidateFrom = now + PAUSE_AFTER_RESIGNING * patienceMs;
+        candidateFrom = now + ISOLATION_TIMEOUTS_AFTER_RESIGNING * timeoutMs;
         log.accept("resigning leadership: no machine sends heartbeats, term=" + term + " machines=" + machines.size());
         return resignation();
     }
@@ -164,8 +179,9 @@
     }
 
     /**
-     * A transaction that changes nothing but the leader key's modRevision. Sent after one whose outcome is unknown: once it is
-     * in, the unknown one has either been applied, and the replica will show it, or never will be.
+     * Returns a transaction that changes nothing but the leader key's modRevision. It is sent after a transaction whose outcome
+     * is unknown. Once the fence is applied, that transaction either has been applied, and the replica will show it, or will
+     * never be.
      */
     Transaction fence() {
         return new Transaction()
--- a/src/main/java/garnetscale/core/leader/MachineEvaluator.java
+++ b/src/main/java/garnetscale/core/leader/MachineEvaluator.java
@@ -17,21 +17,24 @@
 import java.util.function.Consumer;
 
 /**
- * Decides which machines are fit for work, by how fast their tasks run and by which tasks fail on them: cordons them for a while,
- * decommissions them, and forgets those that are silent and empty. What fails by its own fault is told by the
- * {@link FailureTracker}.
+ * Decides which machines are fit for work, by how fast their tasks run and by which tasks fail on them. Cordons machines for a
+ * while, decommissions them, and forgets machines that are silent and have no placements. {@link FailureTracker} decides
+ * whether a job or task fails by its own fault.
  */
 final class MachineEvaluator {
 
-    /** A machine this many times slower than its peers is decommissioned. */
+    /** Factor by which a machine must be slower than its peers to be decommissioned. */
     private static final double SLOW_FACTOR = 2.2;
-    /** Tasks of jobs that succeed elsewhere that fail on a machine in a row before it is decommissioned. */
+    /** Failures in a row on a machine, of tasks whose jobs succeed elsewhere, after which the machine is decommissioned. */
     private static final int FAILURES_TO_DECOMMISSION = 4;
-    /** Of the machines, one in so many may be decommissioned at a time: of more it is rather something else. */
+    /**
+     * At most one in this many machines may be decommissioned at a time. If more seem faulty, the cause is probably not the
+     * machines.
+     */
     private static final int MACHINES_PER_DECOMMISSIONED = 8;
-    /** The longest time that a machine is cordoned for, in heartbeat intervals. */
+    /** Longest time that a machine is cordoned, in heartbeat intervals. */
     private static final long MAX_CORDON_INTERVALS = 32;
-    /** Worker leases after which a silent machine that holds nothing is forgotten. */
+    /** Worker leases after which a silent machine without placements is forgotten. */
     private static final int LEASES_TO_FORGET = 2;
 
     private final SchedulerConfig config;
@@ -54,7 +57,7 @@
         this.log = context.log();
     }
 
-    /** Forgets silent machines and evaluates the speed of the others, twice in a heartbeat interval. */
+    /** Forgets silent machines and evaluates the speed of the others, at most twice per heartbeat interval. */
     void evaluate(long now) {
         if (now - evaluatedAt >= config.heartbeatIntervalMs() / 2) {
             evaluatedAt = now;
@@ -64,8 +67,8 @@
     }
 
     /**
-     * Forgets machines that are silent and that hold nothing. Those that the cloud took before this leader's first list leave
-     * no other trace; with them in the count too many would seem silent for any to be given up early.
+     * Forgets silent machines without placements. Machines that the cloud took away before this leader's first list leave no
+     * other trace. If they were counted, too many machines would seem silent for any to be given up early.
      */
     private void forgetSilent(long now) {
         machines.values()
@@ -102,15 +105,16 @@
 
     /** Decommissions a machine, unless too many are already. */
     private void decommission(MachineState machine, String reason, String details) {
-        long decommissionedNow =
+        long decommissionedCount =
                 machines.values().stream().filter(other -> other.decommissioned).count();
-        if (!machine.decommissioned && decommissionedNow < Math.max(1, machines.size() / MACHINES_PER_DECOMMISSIONED)) {
+        if (!machine.decommissioned
+                && decommissionedCount < Math.max(1, machines.size() / MACHINES_PER_DECOMMISSIONED)) {
             machine.decommissioned = true;
             log.accept("decommissioning machine: " + reason + ", machine=" + machine.id + details);
         }
     }
 
-    /** Draws conclusions from an attempt's exit; called again with the same one, does nothing. */
+    /** Evaluates the exit of an attempt; does nothing if it was evaluated before. */
     void onExit(long now, String machineId, Placement placement, TaskStatus status) {
         if (!failures.isFirstEvaluation(placement.attempt())) {
             return;
@@ -120,7 +124,7 @@
             failures.recordCompletion(placement.task());
             if (machine != null) {
                 machine.failedTasks.clear();
-                machine.timesCordoned = 0;
+                machine.consecutiveCordons = 0;
             }
             return;
         }
@@ -154,46 +158,47 @@
     }
 
     /**
-     * A task failed whose job may be free of faults: the machine is cordoned, longer each time that it fails after a pause, and
-     * decommissioned once several tasks failed of jobs that succeed elsewhere. A job that has completed nothing yet has no say
-     * in that: hundreds of tasks of a bad submission fail before it is known for one.
+     * Records a failure for which the machine may be at fault. The machine is cordoned, for longer each time that a task fails
+     * after a cordon has ended. It is decommissioned once several tasks have failed on it whose jobs succeed elsewhere. Tasks
+     * of a job that has completed none yet don't count toward that: hundreds of tasks of a faulty submission can fail before it
+     * is recognized as faulty.
      */
     private void recordMachineFailure(long now, MachineState machine, TaskId task) {
         machine.failedTasks.add(task);
         if (now >= machine.cordonedUntil) {
-            machine.timesCordoned++;
-            machine.cordonedUntil =
-                    now + Math.min(MAX_CORDON_INTERVALS, 1L << machine.timesCordoned) * config.heartbeatIntervalMs();
+            machine.consecutiveCordons++;
+            machine.cordonedUntil = now
+                    + Math.min(MAX_CORDON_INTERVALS, 1L << machine.consecutiveCordons) * config.heartbeatIntervalMs();
         }
-        long ofSuccessfulJobs = machine.failedTasks.stream()
+        long failuresOfSuccessfulJobs = machine.failedTasks.stream()
                 .filter(failed -> failures.hasCompletedTasks(failed.job()))
                 .count();
-        if (ofSuccessfulJobs >= FAILURES_TO_DECOMMISSION) {
+        if (failuresOfSuccessfulJobs >= FAILURES_TO_DECOMMISSION) {
             decommission(machine, "tasks of jobs that succeed elsewhere fail on it", "");
         }
     }
 
-    /** Takes back what was held against a machine for tasks that turn out to fail on every machine. */
+    /** Discards failures of tasks that turned out to fail on every machine. If no other failures are left, ends the cordon. */
     private void uncordon(MachineState machine) {
         if (machine.failedTasks.removeIf(failures::isQuarantined) && machine.failedTasks.isEmpty()) {
-            machine.timesCordoned = 0;
+            machine.consecutiveCordons = 0;
             machine.cordonedUntil = Times.NEVER;
         }
     }
 
-    /** Jobs with tasks on machines that were found slow when speed was last evaluated. */
+    /** Returns the jobs with tasks on machines that were slow when speed was last evaluated. */
     Set<String> jobsOnSlowMachines() {
         return jobsOnSlowMachines;
     }
 
-    /** Whether jobs or tasks were quarantined since this was last asked. */
+    /** Returns whether jobs or tasks have been quarantined since the last call. */
     boolean takeNewlyQuarantined() {
         boolean result = hasNewlyQuarantined;
         hasNewlyQuarantined = false;
         return result;
     }
 
-    /** Decommissioned machines that nothing is placed on any more. */
+    /** Returns decommissioned machines without placements. */
     List<String> emptyDecommissioned() {
         List<String> ids = new ArrayList<>();
         for (MachineState machine : machines.values()) {
--- a/src/main/java/garnetscale/core/leader/MachineState.java
+++ b/src/main/java/garnetscale/core/leader/MachineState.java
@@ -27,7 +27,7 @@
     /** Nothing is placed here before this time: the machine rejected or failed tasks. */
     long cordonedUntil = Times.NEVER;
     /** How often it was cordoned in a row because tasks failed. */
-    int timesCordoned;
+    int consecutiveCordons;
     /** Tasks that failed here without one completing between them, except those that fail on every machine. */
     final Set<TaskId> failedTasks = new HashSet<>();
     /** To be scaled in as soon as nothing is placed on it: it is slow, or its tasks fail. */
--- a/src/main/java/garnetscale/core/leader/PartitionAssigner.java
+++ b/src/main/java/garnetscale/core/leader/PartitionAssigner.java
@@ -19,33 +19,46 @@
 import java.util.Map;
 import java.util.function.Consumer;
 
-/** Decides which controller owns which partition. Used by the leader alone, in whose term the terms of partitions are numbered. */
+/**
+ * Decides which controller owns each partition. Only the leader uses it; the terms of partitions are numbered within the
+ * leader's term.
+ */
 final class PartitionAssigner {
 
-    /** A controller has to have been there, and the leader to have led, for so many controller leases before rebalancing. */
+    /**
+     * Controller leases for which a controller must have been live, and the leader must have led, before a partition is moved
+     * to that controller to rebalance.
+     */
     private static final int LEASES_BEFORE_REBALANCING = 2;
-    /** A partition whose owner heard none of its machines isn't rebalanced for so many controller leases. */
+    /**
+     * Controller leases for which a partition isn't rebalanced after it was taken from an owner that was isolated from its
+     * machines.
+     */
     private static final int LEASES_AFTER_ISOLATION = 8;
-    /** What a partition that a controller owns already weighs, against 1 for its being in another zone than the new one. */
+    /** Cost of each partition that a controller already owns. Being in another zone than the partition costs 1. */
     private static final int COST_PER_PARTITION = 2;
 
     private final SchedulerConfig config;
     private final StateReplica replica;
     private final PartitionMap partitions;
     private final PeerFailureDetector failureDetector;
-    /** What the owners last published of each machine. */
+    /** Live view of the leader's machines, with the status that their owners last published. */
     private final Collection<MachineState> machines;
 
     private final Consumer<String> log;
-    /** Since when each controller process has been there, by {@link #processKey}. */
+    /** When each controller process was first seen, by {@link #processKey}. */
     private final Map<String, Long> controllerSince = new HashMap<>();
-    /** When a partition was last given to another owner because its own is isolated from its machines. */
+    /** When a partition was last taken from an owner that was isolated from its machines, by partition. */
     private final Map<String, Long> reassignedAt = new HashMap<>();
 
     private long leadingSince;
     private int sequence;
 
-    /** {@code machines} is a live view of the leader's machines. */
+    /**
+     * Creates an assigner without a term; {@link #begin} must be called first.
+     *
+     * @param machines live view of the leader's machines
+     */
     PartitionAssigner(
             SchedulerConfig config,
             StateReplica replica,
@@ -61,7 +74,7 @@
         this.log = log;
     }
 
-    /** A new leader's term begins: nothing is known of an earlier one. */
+    /** Begins a term of the leader; nothing is known from an earlier one. */
     void begin(long now) {
         leadingSince = now;
         sequence = 0;
@@ -69,21 +82,21 @@
         reassignedAt.clear();
     }
 
-    /** Whether the leader's term is about to have no numbers left for the terms of partitions. */
-    boolean isNearlyUsedUp() {
+    /** Returns whether the leader's term is about to run out of numbers for the terms of partitions. */
+    boolean isNearlyExhausted() {
         return sequence >= FencingTokens.MAX_PARTITION_TERMS - partitions.all().size();
     }
 
     /**
-     * The transaction that leases partitions without a live owner, or moves a partition to an idle controller in its zone; null
-     * when all is well.
+     * Returns the transaction that leases partitions without a usable owner, or else moves a partition to an idle controller in
+     * its zone. Returns null if there is nothing to change.
      */
     Transaction plan(long now, long leaderTerm) {
         observeControllers(now);
-        // How many partitions each controller owns.
+        // Each occurrence of a controller stands for one partition that it owns.
         Multiset<String> owned = HashMultiset.create();
         Map<String, String> isolatedOwners = new HashMap<>();
-        List<String> toLease = withoutOwner(now, owned, isolatedOwners);
+        List<String> toLease = partitionsToLease(now, owned, isolatedOwners);
         if (toLease.isEmpty()) {
             String rebalanced = partitionToRebalance(now, owned);
             if (rebalanced != null) {
@@ -107,14 +120,19 @@
         replica.controllers().forEach(node -> controllerSince.putIfAbsent(processKey(node), now));
     }
 
-    /** Partitions that nobody owns, or that should go to another owner; notes who owns the others, and whom to pass over. */
-    private List<String> withoutOwner(long now, Multiset<String> owned, Map<String, String> isolatedOwners) {
+    /**
+     * Returns the partitions that have no live owner or should go to another one.
+     *
+     * @param owned          receives the owner of each other partition
+     * @param isolatedOwners receives the owner to pass over for a partition because it is isolated from its machines
+     */
+    private List<String> partitionsToLease(long now, Multiset<String> owned, Map<String, String> isolatedOwners) {
         List<String> found = new ArrayList<>();
         for (String partition : partitions.all()) {
             PartitionLease lease = replica.partition(partition);
             if (lease == null || !isOwnerAlive(lease)) {
                 found.add(partition);
-            } else if (hearsNoMachine(now, partition) || isIsolatedFromWorkers(lease.owner())) {
+            } else if (hasOnlySilentMachines(now, partition) || isIsolatedFromWorkers(lease.owner())) {
                 reassignedAt.put(partition, now);
                 isolatedOwners.put(partition, lease.owner());
                 found.add(partition);
@@ -125,11 +143,11 @@
         return found;
     }
 
-    /** The controller to own the partition, or null when there is none that can. */
+    /** Returns the controller that should own the partition, or null if none can. */
     private ControllerInfo bestOwner(String partition, Multiset<String> owned, String isolatedOwner) {
         ControllerInfo best = null;
         for (ControllerInfo node : replica.controllers()) {
-            if (failureDetector.isSuspect(node.name())
+            if (failureDetector.isSuspected(node.name())
                     || node.name().equals(isolatedOwner)
                     || isIsolatedFromWorkers(node.name())
                     || !canRead(node)) {
@@ -149,19 +167,23 @@
         log.accept("leasing partition, partition=" + partition + " owner=" + owner.name() + " term=" + term);
     }
 
-    /** A controller that says so itself is believed at once, as long as another one may do better. */
+    /**
+     * Returns whether the controller is isolated from workers while another one may not be. A controller's own report of its
+     * isolation is believed at once, but only as long as another controller may do better.
+     */
     private boolean isIsolatedFromWorkers(String controller) {
         return failureDetector.isIsolatedFromWorkers(controller)
                 && replica.controllers().stream()
                         .anyMatch(node -> !failureDetector.isIsolatedFromWorkers(node.name())
-                                && !failureDetector.isSuspect(node.name()));
+                                && !failureDetector.isSuspected(node.name()));
     }
 
     /**
-     * Whether the owner hears none of the partition's machines, which are several: it may be cut off from the workers while the
-     * state service and its peers still reach it.
+     * Returns whether the partition has several machines, all of them silent, and neither the leader's election nor the
+     * partition's last reassignment is recent enough to explain that. The owner may be cut off from the workers while the state
+     * service and its peers still reach it.
      */
-    private boolean hearsNoMachine(long now, String partition) {
+    private boolean hasOnlySilentMachines(long now, String partition) {
         int silent = 0;
         for (MachineState machine : machines) {
             if (machine.status.partition().equals(partition)) {
@@ -173,10 +195,13 @@
         }
         return silent > 1
                 && replica.controllers().size() > 1
-                && now - reassignedAt.getOrDefault(partition, leadingSince) > failureDetector.isolationPatienceMs();
+                && now - reassignedAt.getOrDefault(partition, leadingSince) > failureDetector.isolationTimeoutMs();
     }
 
-    /** A partition in the zone of a controller that owns none, if its owner owns several or is in another zone; or null. */
+    /**
+     * Returns a partition to move to a controller in the same zone that owns none, or null if there is none. Such a partition's
+     * owner owns several or is in another zone. The partition is no longer counted in {@code owned}.
+     */
     private String partitionToRebalance(long now, Multiset<String> owned) {
         for (ControllerInfo node : replica.controllers()) {
             if (owned.contains(node.name()) || !mayTakeOver(now, node)) {
@@ -188,9 +213,9 @@
                         < LEASES_AFTER_ISOLATION * config.controllerLeaseMs()) {
                     continue;
                 }
-                boolean isOwnerCrowded = owned.count(lease.owner()) > 1;
+                boolean ownsSeveral = owned.count(lease.owner()) > 1;
                 if (PartitionMap.zoneOf(partition).equals(node.zone())
-                        && (isOwnerCrowded || !zone(lease.owner()).equals(node.zone()))) {
+                        && (ownsSeveral || !zone(lease.owner()).equals(node.zone()))) {
                     owned.remove(lease.owner());
                     return partition;
                 }
@@ -200,12 +225,12 @@
     }
 
     private boolean mayTakeOver(long now, ControllerInfo node) {
-        long settledMs = LEASES_BEFORE_REBALANCING * config.controllerLeaseMs();
-        return !failureDetector.isSuspect(node.name())
+        long minLiveMs = LEASES_BEFORE_REBALANCING * config.controllerLeaseMs();
+        return !failureDetector.isSuspected(node.name())
                 && !failureDetector.isIsolatedFromWorkers(node.name())
                 && canRead(node)
-                && now - controllerSince.get(processKey(node)) >= settledMs
-                && now - leadingSince >= settledMs;
+                && now - controllerSince.get(processKey(node)) >= minLiveMs
+                && now - leadingSince >= minLiveMs;
     }
 
     private String zone(String controller) {
@@ -226,11 +251,14 @@
         ControllerInfo node = replica.controller(lease.owner());
         return node != null
                 && node.incarnation() == lease.incarnation()
-                && !failureDetector.isSuspect(node.name())
+                && !failureDetector.isSuspected(node.name())
                 && canRead(node);
     }
 
-    /** Whether a controller can read what is stored; one that can't decides nothing, and so can't own a partition. */
+    /**
+     * Returns whether the controller can read the layout of the stored data. A controller that can't makes no decisions, so it
+     * can't own a partition.
+     */
     private boolean canRead(ControllerInfo node) {
         return node.layouts()
                 .contains(Math.max(replica.layout(), replica.version().active()));
--- a/src/main/java/garnetscale/core/leader/PeerFailureDetector.java
+++ b/src/main/java/garnetscale/core/leader/PeerFailureDetector.java
@@ -11,29 +11,31 @@
 import java.util.function.Consumer;
 
 /**
- * What this controller suspects of the others: which of them it has no link with, and which are isolated from the workers. Only a
- * reason to act sooner, never a proof.
+ * Tracks what this controller suspects of the others: which of them it has no connection to, and which are isolated from the
+ * workers. A suspicion is only a reason to act sooner, never a proof.
  */
 final class PeerFailureDetector {
 
-    /** A controller that was wrongly suspected isn't believed to be down again for so many controller leases. */
-    private static final int LEASES_AFTER_FALSE_ALARM = 8;
-    /** How long nothing may be heard of any machine before that counts as isolation: the sum of these. */
+    /** Controller leases for which a controller that was falsely suspected isn't believed to be down again. */
+    private static final int LEASES_AFTER_FALSE_SUSPICION = 8;
+    /**
+     * Part of the isolation timeout, in controller leases. The timeout is the sum of this and {@link #ISOLATION_HEARTBEATS}.
+     */
     private static final int ISOLATION_LEASES = 2;
-
+    /** Part of the isolation timeout, in heartbeat intervals. */
     private static final int ISOLATION_HEARTBEATS = 4;
-    /** In place of the incarnation of a controller that the replica doesn't show. */
+    /** Stands for the incarnation of a controller that isn't in the replica. */
     private static final long UNKNOWN_INCARNATION = -1;
 
     private final SchedulerConfig config;
     private final StateReplica replica;
     private final Consumer<String> log;
-    /** Since when this controller has no link with another. */
+    /** When this controller lost its connection to each suspected controller. */
     private final Map<String, Long> suspectedSince = new HashMap<>();
-    /** The incarnation that each suspicion was of. */
+    /** Incarnation of each controller when it was last suspected. */
     private final Map<String, Long> suspectedIncarnations = new HashMap<>();
-    /** When a suspicion last turned out to be wrong. */
-    private final Map<String, Long> falseAlarms = new HashMap<>();
+    /** When a suspicion of each controller last turned out to be false. */
+    private final Map<String, Long> falselySuspectedAt = new HashMap<>();
 
     private final Set<String> isolatedFromWorkers = new HashSet<>();
 
@@ -43,8 +45,8 @@
         this.log = log;
     }
 
-    /** A controller's process seems to be down, or is heard of again. */
-    void suspect(long now, String controller, boolean isDown) {
+    /** Handles a change in the reachability of another controller: its process seems to be down, or is reachable again. */
+    void onPeerReachability(long now, String controller, boolean isDown) {
         boolean isNew = isDown
                 ? suspectedSince.putIfAbsent(controller, now) == null
                 : suspectedSince.remove(controller) != null;
@@ -55,14 +57,14 @@
         if (isDown) {
             suspectedIncarnations.put(controller, info == null ? UNKNOWN_INCARNATION : info.incarnation());
         } else if (info != null && info.incarnation() == suspectedIncarnations.get(controller)) {
-            // It is the same process: not down, but a link that fails, and may do so again.
-            falseAlarms.put(controller, now);
+            // The same process is back, so it was not down. The connection to it failed and may fail again.
+            falselySuspectedAt.put(controller, now);
         }
         log.accept((isDown ? "controller seems to be down" : "controller is reachable again") + ", controller="
                 + controller);
     }
 
-    /** A controller says whether workers reach it. */
+    /** Handles the report of a controller whether workers reach it. */
     void onWorkerReachability(String controller, boolean isIsolated) {
         if (isIsolated ? isolatedFromWorkers.add(controller) : isolatedFromWorkers.remove(controller)) {
             log.accept((isIsolated ? "controller is isolated from workers" : "controller is reached by workers again")
@@ -70,36 +72,45 @@
         }
     }
 
-    /** Whether this controller has no link with the other. */
-    boolean isSuspect(String controller) {
+    /** Returns whether this controller has no connection to the other. */
+    boolean isSuspected(String controller) {
         return suspectedSince.containsKey(controller);
     }
 
-    /** Suspected for less than a controller lease: who outlives that wasn't down. */
-    boolean isFreshlySuspected(long now, String controller) {
+    /**
+     * Returns whether the controller has been suspected for less than a controller lease. A process that outlives its suspicion
+     * by that wasn't down.
+     */
+    boolean isRecentlySuspected(long now, String controller) {
         Long since = suspectedSince.get(controller);
         return since != null && now - since < config.controllerLeaseMs();
     }
 
-    /** Whether a suspicion of the controller was wrong a while ago. */
+    /** Returns whether a suspicion of the controller turned out to be false a while ago. */
     boolean wasFalselySuspected(long now, String controller) {
-        return now - falseAlarms.getOrDefault(controller, Times.NEVER)
-                < LEASES_AFTER_FALSE_ALARM * config.controllerLeaseMs();
+        return now - falselySuspectedAt.getOrDefault(controller, Times.NEVER)
+                < LEASES_AFTER_FALSE_SUSPICION * config.controllerLeaseMs();
     }
 
-    /** Whether all others are suspected, several of them: then it is the network, or this controller. */
+    /**
+     * Returns whether all other controllers are suspected and there are several. The fault then lies with the network or with
+     * this controller.
+     */
     boolean suspectsAll() {
         int others = config.controllers().size() - 1;
         return others > 1 && suspectedSince.size() >= others;
     }
 
-    /** Whether the controller last said that no worker reaches it. */
+    /** Returns whether the controller last reported that no worker reaches it. */
     boolean isIsolatedFromWorkers(String controller) {
         return isolatedFromWorkers.contains(controller);
     }
 
-    /** Milliseconds without a heartbeat of any machine after which a leader or an owner counts as isolated from workers. */
-    long isolationPatienceMs() {
+    /**
+     * Returns the milliseconds without a heartbeat from any machine after which a leader or a partition's owner counts as
+     * isolated from the workers.
+     */
+    long isolationTimeoutMs() {
         return ISOLATION_LEASES * config.controllerLeaseMs() + ISOLATION_HEARTBEATS * config.heartbeatIntervalMs();
     }
 }
--- a/src/main/java/garnetscale/core/leader/PlacementPlanner.java
+++ b/src/main/java/garnetscale/core/leader/PlacementPlanner.java
@@ -10,8 +10,8 @@
 import garnetscale.core.upgrade.ClusterVersion;
 
 /**
- * Drafts the transaction of one scheduling cycle: records what ended, places waiting tasks, and stops tasks that make room, must
- * leave their machine or would run better elsewhere.
+ * Drafts the transaction of one scheduling cycle: records tasks that ended, places waiting tasks, and stops tasks that must
+ * make room for others, must leave their machine or would run better elsewhere.
  */
 final class PlacementPlanner {
 
@@ -46,12 +46,17 @@
         this.balancer = balancer;
     }
 
-    /** A new leadership begins. */
+    /** Discards what is known from an earlier term, when a new one begins. */
     void clear() {
         preemptionStops.clear();
     }
 
-    /** The transaction, or null when there is nothing to change; {@code wallMs} is the time of day. */
+    /**
+     * Returns the transaction, or null if there is nothing to change.
+     *
+     * @param now    milliseconds of the steady clock
+     * @param wallMs time of day in milliseconds since 1970
+     */
     Transaction plan(long now, long wallMs) {
         TransactionDraft draft = new TransactionDraft(replica, QuotaUsage.of(config, replica), logLimits());
         SchedulingCycle cycle =
@@ -69,7 +74,7 @@
         return draft.isEmpty() ? null : draft.toTransaction();
     }
 
-    /** What the active version allows a transaction to hold. */
+    /** Returns the limits on a transaction under the active cluster version. */
     private LogWriter.Limits logLimits() {
         ClusterVersion version = replica.version();
         return new LogWriter.Limits(
@@ -81,7 +86,7 @@
 
     private void recordExits(SchedulingCycle cycle) {
         if (exitRecorder.record(cycle.now(), cycle.draft())) {
-            preemptionStops.forgetEnded();
+            preemptionStops.forgetEndedJobs();
             context.failures().retain(job -> replica.job(job) != null);
         }
     }
--- a/src/main/java/garnetscale/core/leader/Preemption.java
+++ b/src/main/java/garnetscale/core/leader/Preemption.java
@@ -16,29 +16,47 @@
 import java.util.Set;
 
 /**
- * Preempts less urgent tasks for jobs that must start at once and find no room. What loses least work goes first: tasks that write
- * checkpoints, then young ones; a task that is past a fifth of its time is let finish. What is being stopped already counts as
- * room on its way, so that one need isn't answered twice; and no task is preempted twice, unless it has written a checkpoint
- * meanwhile, or a full fleet would start and stop the same ones over and over.
+ * Preempts tasks of lower priority for jobs that can't be placed because no machine has room. Tasks that lose the least work
+ * are preempted first: tasks that write checkpoints, then tasks that have run for a short time. A task that writes no
+ * checkpoints and is past a fifth of its estimated time is left to finish.
+ *
+ * <p>Tasks that are already being stopped count as freed room, so that tasks aren't preempted twice for the same need. No task
+ * is preempted twice unless it has written a checkpoint in the meantime. Otherwise a full fleet would start and stop the same
+ * tasks over and over.
  */
 final class Preemption {
 
-    /** The part of its estimate after which a task that writes no checkpoints is left alone. */
-    private static final double YOUNG_SHARE = 0.2;
-    /** Stops in one transaction: this many, or more in a fleet of which they would be a smaller part than one in so many. */
+    /** Share of its estimated run time after which a task that writes no checkpoints isn't preempted. */
+    private static final double MAX_PREEMPTIBLE_SHARE = 0.2;
+    /** Smallest limit on the stops for one job in one transaction. */
     private static final int MIN_STOP_LIMIT = 8;
-
+    /** The limit rises to one stop per this many machines in a large fleet. */
     private static final int MACHINES_PER_STOP = 16;
-    /** In place of the seconds of lost work, for a task that is to be left alone. */
-    private static final double LEAVE_ALONE = -1;
+    /** Stands for the seconds of lost work of a task that must not be preempted. */
+    private static final double NOT_PREEMPTIBLE = -1;
 
-    /** A machine, with the room that what is to stay on it leaves, and what may be stopped on it, cheapest first. */
-    private record Candidate(MachineState machine, MachineType type, FreeCapacity room, List<Victim> victims) {}
+    /**
+     * A machine on which tasks may be preempted.
+     *
+     * @param free    capacity that the tasks that aren't being stopped leave free
+     * @param victims tasks that may be preempted, the one that loses the least work first
+     */
+    private record Candidate(MachineState machine, MachineType type, FreeCapacity free, List<Victim> victims) {}
 
+    /**
+     * A task that may be preempted.
+     *
+     * @param lostCpuS CPU-seconds of work that are lost if it is stopped
+     */
     private record Victim(Placement placement, JobView job, double lostCpuS) {}
 
-    /** What to stop on one machine so that at least one task more fits there, how many fit, and the work that this loses. */
-    private record Stops(Candidate on, List<Victim> victims, int gain, double lostCpuS) {}
+    /**
+     * Stops on one machine that make room there for at least one more task of a job.
+     *
+     * @param gainedSlots number of additional tasks that fit
+     * @param lostCpuS    CPU-seconds of work that the stops lose
+     */
+    private record Stops(Candidate candidate, List<Victim> victims, int gainedSlots, double lostCpuS) {}
 
     private final StateReplica replica;
     private final Estimator estimator;
@@ -48,9 +66,9 @@
     private final List<Candidate> candidates = new ArrayList<>();
 
     /**
-     * Looks at all machines, once for all the jobs that room is to be made for in the cycle.
+     * Examines all machines, once for all jobs for which tasks are preempted in the cycle.
      *
-     * @param preemptedTasks tasks that were preempted before, which this adds to
+     * @param preemptedTasks tasks that were preempted before; this object adds to it
      */
     Preemption(StateReplica replica, SchedulingCycle cycle, Estimator estimator, Set<TaskId> preemptedTasks) {
         this.replica = replica;
@@ -73,7 +91,7 @@
             if (job == null || placement.stop() != Placement.Stop.KEEP) {
                 continue;
             }
-            candidate.room().take(job.spec());
+            candidate.free().take(job.spec());
             if (job.isLive()
                     && (!preemptedTasks.contains(placement.task())
                             || hasWrittenCheckpoint(candidate.machine(), placement, job))) {
@@ -96,8 +114,14 @@
     }
 
     /**
-     * Stops what makes room for up to so many tasks of the job; returns how many were stopped. A job that needn't start at
-     * once has a claim on what is borrowed only, and where it isn't within its team's guarantee on work of low priority only.
+     * Stops tasks of lower priority to make room for waiting tasks of the job. For a job that needn't start at once, only tasks
+     * that run beyond their team's guarantee are stopped; if that job is itself beyond its team's guarantee, only tasks of the
+     * lowest priority among them.
+     *
+     * @param tasks        number of tasks of the job to make room for
+     * @param isUrgent     whether the job must start at once
+     * @param isGuaranteed whether the job is within its team's guarantee
+     * @return the number of tasks stopped
      */
     int makeRoom(JobView job, int tasks, boolean isUrgent, boolean isGuaranteed) {
         JobSpec spec = job.spec();
@@ -112,28 +136,28 @@
                     break;
                 }
                 for (Victim victim : stops.victims()) {
-                    stop(stops.on(), victim);
+                    stop(stops.candidate(), victim);
                     stopped++;
                 }
-                missing -= stops.gain();
+                missing -= stops.gainedSlots();
                 hasStopped = true;
             }
         }
         return stopped;
     }
 
-    /** How many tasks of the job fit without any stop. */
+    /** Returns how many tasks of the job fit without further stops. */
     private int slots(JobSpec spec) {
         int slots = 0;
         for (Candidate candidate : candidates) {
             if (allows(candidate, spec)) {
-                slots += candidate.room().slots(spec);
+                slots += candidate.free().slots(spec);
             }
         }
         return slots;
     }
 
-    /** The cheapest stops on each machine, by the work that is lost for each task that then fits. */
+    /** Returns the cheapest stops on each machine, sorted by the work that they lose for each task that then fits. */
     private List<Stops> cheapestFirst(JobSpec spec, boolean isUrgent, boolean isGuaranteed) {
         List<Stops> cheapest = new ArrayList<>();
         for (Candidate candidate : candidates) {
@@ -144,42 +168,42 @@
                 cheapest.add(stops);
             }
         }
-        cheapest.sort(Comparator.comparingDouble(stops -> stops.lostCpuS() / stops.gain()));
+        cheapest.sort(Comparator.comparingDouble(stops -> stops.lostCpuS() / stops.gainedSlots()));
         return cheapest;
     }
 
     /**
-     * The fewest of the cheapest stops that make room for a task more, or null. Counted by machine: a large task isn't
-     * helped by as many small ones that are stopped on different machines.
+     * Returns the fewest of the machine's cheapest stops that make room for one more task, or null if there are none. Stops are
+     * counted per machine, because stopping small tasks on different machines makes no room for a large one.
      */
     private Stops cheapest(Candidate candidate, JobSpec spec, boolean isUrgent, boolean isGuaranteed) {
-        FreeCapacity room = candidate.room().copy();
-        int slotsBefore = room.slots(spec);
+        FreeCapacity free = candidate.free().copy();
+        int slotsBefore = free.slots(spec);
         List<Victim> chosen = new ArrayList<>();
         double lostCpuS = 0;
         for (Victim victim : candidate.victims()) {
             JobSpec other = victim.job().spec();
-            boolean hasClaim =
+            boolean mayPreempt =
                     isUrgent || draft.quota().borrows(other) && (isGuaranteed || other.priority() == Priority.LOW);
-            if (other.priority().compareTo(spec.priority()) <= 0 || !hasClaim) {
+            if (other.priority().compareTo(spec.priority()) <= 0 || !mayPreempt) {
                 continue;
             }
             chosen.add(victim);
             lostCpuS += victim.lostCpuS();
-            room.release(other);
-            if (room.slots(spec) > slotsBefore) {
-                return new Stops(candidate, chosen, room.slots(spec) - slotsBefore, lostCpuS);
+            free.release(other);
+            if (free.slots(spec) > slotsBefore) {
+                return new Stops(candidate, chosen, free.slots(spec) - slotsBefore, lostCpuS);
             }
         }
         return null;
     }
 
-    private void stop(Candidate on, Victim victim) {
+    private void stop(Candidate candidate, Victim victim) {
         JobSpec spec = victim.job().spec();
-        on.victims().remove(victim);
-        on.room().release(spec);
+        candidate.victims().remove(victim);
+        candidate.free().release(spec);
         preemptedTasks.add(victim.placement().task());
-        draft.stop(on.machine().id, victim.placement(), spec);
+        draft.stop(candidate.machine().id, victim.placement(), spec);
     }
 
     private static boolean allows(Candidate candidate, JobSpec job) {
@@ -187,13 +211,13 @@
         return JobQueue.allows(candidate.type(), machine.status.zone(), machine.status.spot(), job);
     }
 
-    /** Seconds of work that stopping would lose, or {@link #LEAVE_ALONE}. */
+    /** Returns the seconds of work that stopping the task would lose, or {@link #NOT_PREEMPTIBLE}. */
     private double lostS(MachineState machine, Placement placement, JobView job) {
         Long since = machine.runningSince.get(placement.attempt());
         double ranS = since == null ? 0 : cycle.secondsSince(since);
         if (job.spec().writesCheckpoints()) {
             return Math.min(ranS, job.spec().checkpointWriteS());
         }
-        return ranS > YOUNG_SHARE * estimator.runTimeS(job.spec(), machine.id) ? LEAVE_ALONE : ranS;
+        return ranS > MAX_PREEMPTIBLE_SHARE * estimator.runTimeS(job.spec(), machine.id) ? NOT_PREEMPTIBLE : ranS;
     }
 }
--- a/src/main/java/garnetscale/core/leader/PreemptionStops.java
+++ b/src/main/java/garnetscale/core/leader/PreemptionStops.java
@@ -15,18 +15,21 @@
 import java.util.function.Consumer;
 
 /**
- * Decides when, and for which waiting jobs, tasks are preempted. Preemption is for jobs that find no room: for those that must
- * start at once, for those within a guarantee, for which what others borrow is taken back, and for any job where work of the lowest
- * priority has the room. In a cycle that placed something only work of the lowest priority is a reason to look: other work loses
- * more by preemption than the wait for room costs.
+ * Decides when and for which waiting jobs tasks are preempted. Preemption is for jobs that find no room on any machine: for
+ * jobs that must start at once; for jobs within a guarantee, by taking back what other teams borrow; and for any job while
+ * tasks of the lowest priority occupy the room. In a cycle that placed tasks, only tasks of the lowest priority are a reason to
+ * look for victims, because preempting other tasks loses more than waiting for room costs.
  */
 final class PreemptionStops {
 
-    /** Jobs at the head of the queue that others are preempted for at a time: where they find nobody, those behind won't either. */
+    /**
+     * Jobs at the head of the queue for which tasks are preempted at a time. If there are no victims for these, there are none
+     * for the jobs behind them either.
+     */
     private static final int MAX_JOBS = 4;
-    /** Bidding windows until the next look after one that preempted nothing: while work of the lowest priority runs, or else. */
+    /** Bidding windows to wait after a search that preempted nothing, while tasks of the lowest priority run. */
     private static final int LONG_PAUSE_WINDOWS = 4;
-
+    /** Bidding windows to wait after a search that preempted nothing, while no tasks of the lowest priority run. */
     private static final int SHORT_PAUSE_WINDOWS = 2;
 
     private final SchedulerConfig config;
@@ -37,7 +40,7 @@
     private final HeadroomReserve reserve;
     private final FailureTracker failures;
     private final Consumer<String> log;
-    /** Tasks that were preempted once. */
+    /** Tasks that have been preempted before. */
     private final Set<TaskId> preemptedTasks = new HashSet<>();
 
     private long dueAt = Times.NEVER;
@@ -53,42 +56,50 @@
         this.log = context.log();
     }
 
-    /** A new leadership begins. */
+    /** Discards what is known from an earlier term, when a new one begins. */
     void clear() {
         preemptedTasks.clear();
     }
 
-    /** Forgets tasks of jobs that ended. */
-    void forgetEnded() {
+    /** Forgets tasks of jobs that have ended. */
+    void forgetEndedJobs() {
         preemptedTasks.removeIf(task -> replica.job(task.job()) == null);
     }
 
-    /** Adds the stops that are due to the cycle's draft; {@code placedNothing}: no task was placed in this cycle. */
+    /**
+     * Adds due stops to the cycle's draft.
+     *
+     * @param placedNothing whether the cycle placed no task
+     */
     void plan(SchedulingCycle cycle, boolean placedNothing) {
         if (cycle.now() < dueAt) {
             return;
         }
-        boolean hasLowWork =
+        boolean hasLowPriorityTasks =
                 replica.jobs().stream().anyMatch(job -> job.spec().priority() == Priority.LOW && job.placedCount() > 0);
-        if (!hasLowWork && !placedNothing) {
+        if (!hasLowPriorityTasks && !placedNothing) {
             return;
         }
-        dueAt = cycle.now() + (hasLowWork ? config.bidWindowMs() : config.bidWindowMs() / 2);
-        if (!preempt(cycle, placedNothing, hasLowWork)) {
-            // A full fleet without anybody to preempt: the search was for nothing, and soon would be again.
-            dueAt = cycle.now() + (hasLowWork ? LONG_PAUSE_WINDOWS : SHORT_PAUSE_WINDOWS) * config.bidWindowMs();
+        dueAt = cycle.now() + (hasLowPriorityTasks ? config.bidWindowMs() : config.bidWindowMs() / 2);
+        if (!preempt(cycle, placedNothing, hasLowPriorityTasks)) {
+            // The fleet is full and there are no victims, so another search soon would find none either.
+            dueAt = cycle.now()
+                    + (hasLowPriorityTasks ? LONG_PAUSE_WINDOWS : SHORT_PAUSE_WINDOWS) * config.bidWindowMs();
         }
     }
 
-    /** Preempts for the first jobs that find no room; false when there were some, and nothing could be preempted for them. */
-    private boolean preempt(SchedulingCycle cycle, boolean placedNothing, boolean hasLowWork) {
+    /**
+     * Preempts tasks for the first jobs that find no room. Returns false if there are such jobs and nothing could be preempted
+     * for any of them.
+     */
+    private boolean preempt(SchedulingCycle cycle, boolean placedNothing, boolean hasLowPriorityTasks) {
         int jobsWithoutRoom = 0;
         int preempted = 0;
         Preemption preemption = null;
         for (JobView job : JobQueue.sort(replica.jobs(), order, cycle.wallMs())) {
             boolean isUrgent = placedNothing && reserve.isUrgent(job);
             boolean isGuaranteed = cycle.draft().quota().guarantees(job.spec());
-            if (!isUrgent && !isGuaranteed && !hasLowWork || !findsNoRoom(cycle, job)) {
+            if (!isUrgent && !isGuaranteed && !hasLowPriorityTasks || !findsNoRoom(cycle, job)) {
                 continue;
             }
             if (jobsWithoutRoom++ >= MAX_JOBS) {
@@ -97,7 +108,7 @@
             if (preemption == null) {
                 preemption = new Preemption(replica, cycle, estimator, preemptedTasks);
             }
-            int stopped = preemption.makeRoom(job, waitingTasks(cycle, job), isUrgent, isGuaranteed);
+            int stopped = preemption.makeRoom(job, waitingCount(cycle, job), isUrgent, isGuaranteed);
             if (stopped > 0) {
                 log.accept("preempting tasks, tasks=" + stopped + " for_job="
                         + job.spec().id() + " team=" + job.spec().team());
@@ -107,8 +118,8 @@
         return jobsWithoutRoom == 0 || preempted > 0;
     }
 
-    /** Tasks of the job that the draft leaves waiting. */
-    private static int waitingTasks(SchedulingCycle cycle, JobView job) {
+    /** Returns the number of tasks of the job that still wait once the draft is applied. */
+    private static int waitingCount(SchedulingCycle cycle, JobView job) {
         return job.unstartedCount() - cycle.draft().placedCount(job.spec().id());
     }
 
@@ -116,7 +127,7 @@
         String id = job.spec().id();
         boolean isBiddingOpen =
                 !auction.isWindowClosed(cycle.now(), job) && !auction.bids(id).isEmpty();
-        return waitingTasks(cycle, job) > 0
+        return waitingCount(cycle, job) > 0
                 && !isBiddingOpen
                 && !failures.isQuarantined(id)
                 && cycle.draft().quota().allows(job.spec());
--- a/src/main/java/garnetscale/core/leader/SchedulingCycle.java
+++ b/src/main/java/garnetscale/core/leader/SchedulingCycle.java
@@ -3,16 +3,16 @@
 import java.util.Collection;
 
 /**
- * What the steps of one scheduling cycle share.
+ * State shared by the steps of one scheduling cycle.
  *
  * @param now      milliseconds of the steady clock
- * @param wallMs   the time of day in milliseconds since 1970, which job records carry
- * @param machines all machines that the leader knows of
- * @param draft    the transaction that the cycle leads to
+ * @param wallMs   time of day in milliseconds since 1970, the clock of job records
+ * @param machines all machines known to the leader
+ * @param draft    transaction that the steps add to
  */
 record SchedulingCycle(long now, long wallMs, Collection<MachineState> machines, TransactionDraft draft) {
 
-    /** Seconds from a time of the steady clock until now. */
+    /** Returns the seconds from a time of the steady clock, in milliseconds, until now. */
     double secondsSince(long time) {
         return (now - time) / 1000.0;
     }
--- a/src/main/java/garnetscale/core/leader/TaskPlacer.java
+++ b/src/main/java/garnetscale/core/leader/TaskPlacer.java
@@ -21,14 +21,15 @@
 import java.util.function.LongSupplier;
 
 /**
- * Places waiting tasks with the best bids, jobs in the order of the queue; made anew for each scheduling cycle. Every restriction
- * is checked again here against the draft, whatever a bid says: a bid is an offer as of an older revision.
+ * Places waiting tasks on the machines with the best bids, taking jobs in queue order. A new instance is created for each
+ * scheduling cycle. Every restriction is checked again here against the draft, whatever a bid says, because a bid is an offer
+ * as of an older revision.
  */
 final class TaskPlacer {
 
-    /** Placements of one machine: this many, or more where the records of the store are large. */
+    /** Smallest limit on the placements of one machine. The limit is higher where the state service allows larger values. */
     private static final int MIN_PLACEMENTS_PER_MACHINE = 8;
-    /** What a stored placement may take on average. */
+    /** Bytes that a stored placement may take on average. */
     private static final int BYTES_PER_PLACEMENT = 64;
 
     private static final int NO_TASK = -1;
@@ -44,14 +45,14 @@
     private final FreeCapacityCache storedCapacities;
     private final BidRanking ranking;
     private final int placementsPerMachine;
-    /** What is free on each machine that was looked at, by the draft. */
+    /** Free capacity once the draft is applied, by machine, of the machines examined so far. */
     private final Map<String, FreeCapacity> capacities = new HashMap<>();
-    /** Tasks of a job by zone, for jobs that are bound by where their other tasks are. */
-    private final Map<String, Multiset<String>> zonesOfJob = new HashMap<>();
+    /** Zones of each job's placed tasks, one entry per task, by job. Only for jobs with a zone affinity or anti-affinity. */
+    private final Map<String, Multiset<String>> zonesByJob = new HashMap<>();
 
-    /** CPUs of all serving machines, and those of them that are free by the draft. */
+    /** CPUs of all serving machines. */
     private double fleetCpus;
-
+    /** CPUs of all serving machines that are free once the draft is applied. */
     private double freeCpus;
 
     TaskPlacer(LeaderContext context, HeadroomReserve reserve, LoadSnapshot load, SchedulingCycle cycle) {
@@ -69,15 +70,15 @@
                 Math.max(MIN_PLACEMENTS_PER_MACHINE, context.config().maxValueBytes() / BYTES_PER_PLACEMENT);
     }
 
-    /** A waiting job while its tasks are placed. */
+    /** A job whose waiting tasks are being placed. */
     private static final class WaitingTasks {
         final JobView job;
         final boolean borrows;
-        /** CPUs that the job must leave free if the reserve binds it. */
+        /** CPUs that the job must leave free if the headroom reserve applies to it. */
         final double reservedCpus;
-        /** How many more of its tasks may be placed. */
+        /** Number of further tasks of the job that may be placed. */
         int allowed;
-        /** The next of them, or {@link #NO_TASK}. */
+        /** Index of the next task to place, or {@link #NO_TASK}. */
         int next;
 
         WaitingTasks(JobView job, boolean borrows, double reservedCpus, int allowed, int next) {
@@ -89,7 +90,12 @@
         }
     }
 
-    /** Adds placements to the draft, numbered by {@code attempts}; returns how many. */
+    /**
+     * Adds placements to the draft.
+     *
+     * @param attempts supplies the number of each placement's attempt
+     * @return the number of placements added
+     */
     int placeTasks(LongSupplier attempts) {
         reserve.observe(cycle.now(), replica.jobs());
         sumCapacities();
@@ -105,7 +111,7 @@
             MachineType type = replica.type(machine.status.type());
             if (machine.isServing() && type != null) {
                 freeCpus += draft.changes(machine.id)
-                        ? room(machine).cpus()
+                        ? freeCapacity(machine).cpus()
                         : storedCapacities.of(machine.id, type).cpus();
                 fleetCpus += type.cpus();
             }
@@ -134,21 +140,21 @@
         return placed;
     }
 
-    /** Places as many tasks on the bidder as its bid has slots for, and returns how many those are. */
+    /** Places tasks on the bidder, at most as many as its bid has slots for, and returns the number placed. */
     private int placeOn(WaitingTasks waiting, BidRanking.Candidate candidate, LongSupplier attempts) {
         JobSpec spec = waiting.job.spec();
         MachineState machine = candidate.machine();
         Bid bid = candidate.bid();
-        FreeCapacity room = room(machine);
+        FreeCapacity free = freeCapacity(machine);
         int placed = 0;
         while (placed < bid.slots() && waiting.next != NO_TASK) {
             if (isHeldBack(waiting.job, waiting.borrows, waiting.reservedCpus)) {
                 waiting.next = NO_TASK;
                 break;
             }
-            if (!room.fits(spec)
+            if (!free.fits(spec)
                     || !draft.quota().allows(spec)
-                    || !allowsZone(waiting.job, machine)
+                    || !allowsAnotherInZone(waiting.job, machine)
                     || draft.placements(machine.id).size() >= placementsPerMachine
                     || !draft.hasRoomForChange()) {
                 break;
@@ -156,9 +162,9 @@
             TaskId task = new TaskId(spec.id(), waiting.next);
             Placement placement = new Placement(task, attempts.getAsLong(), bid.agentEpoch(), Placement.Stop.KEEP);
             draft.place(machine.id, replica.type(machine.status.type()), machine.status.zone(), placement, spec);
-            room.take(spec);
+            free.take(spec);
             freeCpus -= spec.cpus();
-            if (isBoundByZone(spec)) {
+            if (hasZoneConstraint(spec)) {
                 zones(waiting.job).add(machine.status.zone());
             }
             placed++;
@@ -167,17 +173,20 @@
         return placed;
     }
 
-    /** Whether the job is of low priority and its team beyond its guarantee, if it has one: such work waits for ever. */
+    /**
+     * Returns whether the job is of low priority and not covered by a guarantee of its team. Such work may be kept waiting
+     * without limit.
+     */
     private boolean borrows(JobView job) {
         return job.spec().priority() == Priority.LOW && !draft.quota().guarantees(job.spec());
     }
 
-    /** Whether a task of the job would take room that is reserved for others. */
+    /** Returns whether placing a task of the job would take capacity that is reserved for urgent jobs. */
     private boolean isHeldBack(JobView job, boolean borrows, double reservedCpus) {
         return freeCpus - job.spec().cpus() < reservedCpus && reserve.binds(job, borrows, cycle.wallMs());
     }
 
-    /** The first task from there on that isn't started and may be, or {@link #NO_TASK}. */
+    /** Returns the index of the first task at or after {@code from} that is unstarted and may start, or {@link #NO_TASK}. */
     private int nextTask(JobView job, int from) {
         int next = job.nextUnstarted(from);
         while (next >= 0
@@ -187,36 +196,40 @@
         return next < 0 ? NO_TASK : next;
     }
 
-    private FreeCapacity room(MachineState machine) {
+    private FreeCapacity freeCapacity(MachineState machine) {
         return capacities.computeIfAbsent(machine.id, id -> {
             MachineType type = replica.type(machine.status.type());
             if (!draft.changes(id)) {
                 return storedCapacities.of(id, type).copy();
             }
-            FreeCapacity room = new FreeCapacity(type);
-            storedCapacities.take(room, draft.placements(id));
-            return room;
+            FreeCapacity free = new FreeCapacity(type);
+            storedCapacities.take(free, draft.placements(id));
+            return free;
         });
     }
 
-    private static boolean isBoundByZone(JobSpec job) {
+    private static boolean hasZoneConstraint(JobSpec job) {
         return job.zoneAffinity() || job.zoneAntiAffinity();
     }
 
-    private boolean allowsZone(JobView job, MachineState machine) {
-        if (!isBoundByZone(job.spec())) {
+    /**
+     * Returns whether the job's zone constraints allow another task on the machine. Affinity puts all tasks of a job in one
+     * zone; anti-affinity puts at most half of them, rounded up, in any one zone.
+     */
+    private boolean allowsAnotherInZone(JobView job, MachineState machine) {
+        if (!hasZoneConstraint(job.spec())) {
             return true;
         }
         Multiset<String> zones = zones(job);
-        int here = zones.count(machine.status.zone());
-        if (job.spec().zoneAffinity() && zones.size() != here) {
+        int inSameZone = zones.count(machine.status.zone());
+        if (job.spec().zoneAffinity() && zones.size() != inSameZone) {
             return false;
         }
-        return !job.spec().zoneAntiAffinity() || here + 1 <= (job.spec().tasks() + 1) / 2;
+        return !job.spec().zoneAntiAffinity() || inSameZone + 1 <= (job.spec().tasks() + 1) / 2;
     }
 
     private Multiset<String> zones(JobView job) {
-        return zonesOfJob.computeIfAbsent(job.spec().id(), id -> {
+        return zonesByJob.computeIfAbsent(job.spec().id(), id -> {
             Multiset<String> zones = HashMultiset.create();
             for (String machine : replica.placedMachines()) {
                 for (Placement placement : draft.placements(machine)) {
--- a/src/main/java/garnetscale/core/leader/TransactionDraft.java
+++ b/src/main/java/garnetscale/core/leader/TransactionDraft.java
@@ -25,42 +25,46 @@
 import java.util.Set;
 
 /**
- * A transaction in the making: changes of placements and of finished tasks on top of the replica. Everything in it is applied at
- * once or not at all, so room and quota that it frees may be used by it. All of it but the ends of jobs goes into one entry of the
- * work logWriter.
+ * A transaction being drafted: changes of placements and of finished tasks on top of the replica. It is applied atomically, so
+ * the capacity and quota that it frees may be used by its own placements. Everything in it except the ends of jobs goes into
+ * one entry of the work log.
  */
 final class TransactionDraft {
 
-    /** An image with a longer name isn't recorded: a few of them would fill a machine's record. */
+    /** An image with a longer name isn't recorded, because a few of them would fill a machine's record. */
     private static final int MAX_IMAGE_NAME_LENGTH = 100;
-    /** Images that are recorded of a machine. */
+    /** Maximum number of images recorded for a machine. */
     private static final int MAX_IMAGES = 16;
-    /** A job's end takes two operations: its job key goes, and a terminal one comes. */
+    /** Operations that end a job: its job key is deleted, and a terminal record is written. */
     private static final int OPS_PER_JOB_END = 2;
 
     private final StateReplica replica;
     private final QuotaUsage quota;
     private final LogWriter logWriter;
     private final int opLimit;
-    /** Placements of the machines that the draft changes. */
+    /** Placements of the machines that the draft changes, by machine. */
     private final Map<String, List<Placement>> changed = new LinkedHashMap<>();
-    /** Zones of the same machines. */
+    /** Zones of the machines in {@link #changed}. */
     private final Map<String, String> zones = new HashMap<>();
-    /** Images that the same machines cache, with their gigabytes, least recently used first. */
+    /** Images cached on the machines in {@link #changed}, with their size in GB, least recently used first. */
     private final Map<String, Map<String, Double>> images = new HashMap<>();
 
     private final Set<String> removedMachines = new HashSet<>();
-    /** The finished tasks of jobs that the draft finishes tasks of, those from before included. */
+    /** Finished tasks, by job, of the jobs of which the draft finishes tasks; includes tasks that finished earlier. */
     private final Map<String, BitSet> finished = new LinkedHashMap<>();
-    /** The stored parts of these sets that change. */
+    /** Stored parts of the sets in {@link #finished} that change. */
     private final Set<String> finishedParts = new LinkedHashSet<>();
-    /** How many tasks the draft places, by job. */
+    /** Number of tasks that the draft places, by job. */
     private final Map<String, Integer> placedCounts = new HashMap<>();
 
     private final Set<String> endedJobs = new LinkedHashSet<>();
     private int ops;
 
-    /** An empty draft; {@code quota} is what teams use by the replica, and is counted on as the draft grows. */
+    /**
+     * Creates an empty draft.
+     *
+     * @param quota what teams use according to the replica; updated as the draft grows
+     */
     TransactionDraft(StateReplica replica, QuotaUsage quota, LogWriter.Limits limits) {
         this.replica = replica;
         this.quota = quota;
@@ -69,37 +73,37 @@
         this.ops = logWriter.ops();
     }
 
-    /** What teams use once the draft is applied. */
+    /** Returns what teams use once the draft is applied. */
     QuotaUsage quota() {
         return quota;
     }
 
-    /** Whether there is nothing to send; a due compaction of the work log is something. */
+    /** Returns whether there is nothing to send. A due compaction of the work log counts as something to send. */
     boolean isEmpty() {
         return changed.isEmpty() && endedJobs.isEmpty() && !logWriter.compacts();
     }
 
-    /** Whether a change of a machine's placements still fits. */
+    /** Returns whether a change of a machine's placements still fits. */
     boolean hasRoomForChange() {
         return ops <= opLimit && logWriter.fits(0);
     }
 
-    /** Whether an exit still fits: a change of a machine's placements, and the end of the job that may come with it. */
+    /** Returns whether an exit still fits: a change of a machine's placements, and the end of the job that may come with it. */
     boolean hasRoomForExit() {
         return ops + OPS_PER_JOB_END <= opLimit && logWriter.fits(0);
     }
 
-    /** Whether a job's end, and nothing else, still fits. */
+    /** Returns whether the end of a job, and nothing else, still fits. */
     boolean hasRoomForJobEnd() {
         return ops + OPS_PER_JOB_END <= opLimit;
     }
 
-    /** Whether it changes what is placed on the machine. */
+    /** Returns whether the draft changes the machine's placements. */
     boolean changes(String machine) {
         return changed.containsKey(machine);
     }
 
-    /** What is placed on the machine once the draft is applied. */
+    /** Returns the machine's placements once the draft is applied. */
     List<Placement> placements(String machine) {
         List<Placement> list = changed.get(machine);
         return list == null ? replica.placements(machine) : list;
@@ -114,7 +118,7 @@
         });
     }
 
-    /** Removes a placement, and counts it as unused quota. */
+    /** Removes a placement and releases its quota. */
     void free(String machine, Placement placement) {
         edit(machine, replica.zoneOfMachine(machine)).remove(placement);
         logWriter.reserve(LogWriter.sizeOfAttempt());
@@ -124,22 +128,22 @@
         }
     }
 
-    /** Marks a placement to be stopped, with a checkpoint if the job writes any. */
+    /** Marks a placement to be stopped, after writing a checkpoint if the job writes any. */
     void stop(String machine, Placement placement, JobSpec job) {
         stop(machine, placement, job.writesCheckpoints() ? Placement.Stop.CHECKPOINT : Placement.Stop.NOW);
     }
 
-    /** Marks a placement to be stopped; nothing happens when the draft freed it. */
-    void stop(String machine, Placement placement, Placement.Stop how) {
+    /** Marks a placement to be stopped; does nothing if the draft has already freed it. */
+    void stop(String machine, Placement placement, Placement.Stop stop) {
         List<Placement> list = edit(machine, replica.zoneOfMachine(machine));
         int index = list.indexOf(placement);
         if (index >= 0) {
-            list.set(index, placement.withStop(how));
+            list.set(index, placement.withStop(stop));
             logWriter.reserve(LogWriter.sizeOfAttempt());
         }
     }
 
-    /** Places a task of the job on a machine of that type in that zone. */
+    /** Places a task of the job on a machine of the given type and zone. */
     void place(String machine, MachineType type, String zone, Placement placement, JobSpec job) {
         edit(machine, zone).add(placement);
         logWriter.reserve(LogWriter.sizeOfPlacement(job, images.get(machine).keySet()));
@@ -148,7 +152,7 @@
         placedCounts.merge(job.id(), 1, Integer::sum);
     }
 
-    /** Records that the machine caches the job's image; what it used longest ago goes where it doesn't all fit. */
+    /** Records that the machine caches the job's image, and drops the least recently used images if they don't all fit. */
     private static void recordImage(Map<String, Double> cached, MachineType type, JobSpec job) {
         if (job.image().length() > MAX_IMAGE_NAME_LENGTH) {
             return;
@@ -166,14 +170,14 @@
         }
     }
 
-    /** The machine is terminated for good, and its record is removed once it has no placements. */
+    /** Handles a machine that is terminated for good: its record is removed if it has no placements left. */
     void removeMachine(String machine) {
         if (edit(machine, replica.zoneOfMachine(machine)).isEmpty()) {
             removedMachines.add(machine);
         }
     }
 
-    /** Records a task as finished; the last one ends its job. */
+    /** Records a task as finished. The last task to finish ends its job. */
     void finish(JobView job, int task) {
         String id = job.spec().id();
         BitSet tasks = finished.computeIfAbsent(id, key -> job.finishedSet());
@@ -187,12 +191,12 @@
         }
     }
 
-    /** How many tasks of the job the draft places. */
+    /** Returns the number of tasks of the job that the draft places. */
     int placedCount(String job) {
         return placedCounts.getOrDefault(job, 0);
     }
 
-    /** Ends a cancelled job without placements: its key leaves the mirrored part of the store. */
+    /** Ends a cancelled job without placements; its key leaves the part of the store that the replica mirrors. */
     void recordCancelled(JobView job) {
         endJob(job.spec().id());
     }
@@ -204,8 +208,8 @@
     }
 
     /**
-     * The transaction. It is guarded by the leader's key, by the work log's last entry, and by the keys of the jobs that it ends:
-     * a cancellation in between makes it fail, and it is drafted anew.
+     * Returns the transaction. It is guarded by the leader key, by the last entry of the work log, and by the keys of the jobs
+     * that it ends. If one of these jobs is cancelled in the meantime, the transaction fails and is drafted anew.
      */
     Transaction toTransaction() {
         Transaction transaction = new Transaction().guard(Keys.LEADER, replica.modRevision(Keys.LEADER));
@@ -226,7 +230,7 @@
         return records;
     }
 
-    /** The changed parts of the sets of finished tasks, but those of jobs that end. */
+    /** Returns the changed parts of the sets of finished tasks, except those of jobs that end. */
     private Map<String, BitSet> finishedSets() {
         Map<String, BitSet> sets = new LinkedHashMap<>();
         for (String part : finishedParts) {
--- a/src/main/java/garnetscale/core/leader/TransactionPipeline.java
+++ b/src/main/java/garnetscale/core/leader/TransactionPipeline.java
@@ -7,41 +7,50 @@
 import java.util.function.Supplier;
 
 /**
- * The leader's transactions, one at a time. The next is drafted only once the replica shows the one before; after one of unknown
- * outcome the leader's key is first written anew. Every transaction of a leader is guarded by that key's modRevision, so the
- * unknown one has then either been applied, and the replica shows it, or never will be. Without this, a late one could free a
- * placement that a later one's owner has started again.
+ * Serializes the leader's transactions. The next one is drafted only once the replica shows the previous one. After a
+ * transaction of unknown outcome, a fence is sent first: a transaction that rewrites the leader key. Every transaction of a
+ * leader is guarded by that key's modRevision, so once the fence is applied, the unknown transaction either has been applied,
+ * and the replica shows it, or will never be. Without the fence, a delayed transaction could free a placement that a later
+ * transaction wrote and whose owner has started the task again.
  */
 public final class TransactionPipeline {
 
-    /** In place of a revision where there is none. */
+    /** Stands for a revision that is not set. */
     private static final long NO_REVISION = -1;
 
     private final StateReplica replica;
     private final Leader leader;
-    private boolean isUnderWay;
-    /** The leader key's modRevision that guards the transaction under way. */
+    private boolean isInFlight;
+    /** Leader key's modRevision that guards the transaction in flight. */
     private long guardedBy;
-    /** The leader key's modRevision that guards a transaction of unknown outcome. */
+    /** Leader key's modRevision that guards a transaction of unknown outcome, or {@link #NO_REVISION} if there is none. */
     private long unknownGuardedBy = NO_REVISION;
-    /** The revision that the replica must have before the next transaction. */
+    /** Revision that the replica must reach before the next transaction, or {@link #NO_REVISION}. */
     private long awaitedRevision = NO_REVISION;
 
-    /** A pipeline without a transaction under way; {@code leader} writes the fences. */
+    /**
+     * Creates a pipeline without a transaction in flight.
+     *
+     * @param leader supplies the fences
+     */
     public TransactionPipeline(StateReplica replica, Leader leader) {
         this.replica = replica;
         this.leader = leader;
     }
 
-    /** This controller leads under a new term; the old one's transactions fail by their guard. */
+    /** Starts over when this controller leads under a new term. Transactions of the old term fail by their guard. */
     public void restart() {
         unknownGuardedBy = NO_REVISION;
         awaitedRevision = NO_REVISION;
     }
 
-    /** The transaction to send now, or null; {@code planner} is asked only when it is safe to go on, and may return null. */
+    /**
+     * Returns the transaction to send now, or null if there is none.
+     *
+     * @param planner drafts the next transaction or returns null; called only when it is safe to send another one
+     */
     public Transaction next(Supplier<Transaction> planner) {
-        if (isUnderWay || replica.revision() < awaitedRevision) {
+        if (isInFlight || replica.revision() < awaitedRevision) {
             return null;
         }
         if (unknownGuardedBy >= 0 && replica.modRevision(Keys.LEADER) != unknownGuardedBy) {
@@ -49,25 +58,29 @@
         }
         Transaction transaction = unknownGuardedBy >= 0 ? leader.fence() : planner.get();
         if (transaction != null) {
-            isUnderWay = true;
+            isInFlight = true;
             guardedBy = replica.modRevision(Keys.LEADER);
         }
         return transaction;
     }
 
-    /** The transaction ended, at a revision that the replica must have caught up with before the next. */
+    /**
+     * Records the outcome of the transaction in flight.
+     *
+     * @param revision revision that the replica must reach before the next transaction
+     */
     public void ended(TransactionOutcome result, long revision) {
         switch (result) {
             case OK, CONFLICT -> awaitedRevision = revision;
             case MAYBE, NO_LEASE -> unknownGuardedBy = guardedBy;
-            // Nothing was carried out, so nothing is to be waited for.
+            // Nothing was applied, so there is nothing to wait for.
             case REFUSED -> {}
-            default -> throw new IllegalArgumentException("unknown outcome of a transaction: " + result);
+            default -> throw new IllegalArgumentException("unexpected transaction outcome: " + result);
         }
     }
 
-    /** The pause after a transaction is over. */
+    /** Ends the pause after a transaction, so that the next one may be sent. */
     public void ready() {
-        isUnderWay = false;
+        isInFlight = false;
     }
 }
--- a/src/test/java/garnetscale/core/leader/MachineEvaluatorTest.java
+++ b/src/test/java/garnetscale/core/leader/MachineEvaluatorTest.java
@@ -67,7 +67,7 @@
         MachineState machine = machine("m-1", false);
         exit(machine, "wk-1", ExitCause.ERROR);
         exitAgain(machine, "wk-1", ExitCause.ERROR);
-        assertEquals(1, machine.timesCordoned);
+        assertEquals(1, machine.consecutiveCordons);
         assertEquals(1, log.size(), log.toString());
     }
 
--- a/src/test/java/garnetscale/core/leader/PartitionAssignerTest.java
+++ b/src/test/java/garnetscale/core/leader/PartitionAssignerTest.java
@@ -65,7 +65,7 @@
         state.join("n1", 2, "a");
         assertEquals(Map.of("a/0", "n0", "a/1", "n1"), assign());
         long before = replica.partition("a/1").term();
-        failureDetector.suspect(now, "n1", true);
+        failureDetector.onPeerReachability(now, "n1", true);
         assertEquals(Map.of("a/0", "n0", "a/1", "n0"), assign());
         assertTrue(replica.partition("a/1").term() > before, "terms only rise");
         assertNull(assigner.plan(now, TERM));
@@ -94,18 +94,18 @@
     @Test
     void whoIsHeardOfAgainAsTheSameProcessWasFalselySuspected() {
         state.join("n1", 2, "a");
-        failureDetector.suspect(now, "n1", true);
-        assertTrue(failureDetector.isFreshlySuspected(now, "n1"));
+        failureDetector.onPeerReachability(now, "n1", true);
+        assertTrue(failureDetector.isRecentlySuspected(now, "n1"));
         assertFalse(
-                failureDetector.isFreshlySuspected(now + config.controllerLeaseMs(), "n1"),
+                failureDetector.isRecentlySuspected(now + config.controllerLeaseMs(), "n1"),
                 "who outlives its lease wasn't down");
-        failureDetector.suspect(now, "n1", false);
+        failureDetector.onPeerReachability(now, "n1", false);
         assertTrue(failureDetector.wasFalselySuspected(now, "n1"));
         assertFalse(failureDetector.wasFalselySuspected(now + 8 * config.controllerLeaseMs(), "n1"));
-        failureDetector.suspect(now, "n1", true);
+        failureDetector.onPeerReachability(now, "n1", true);
         state.join("n1", 3, "a");
         now += 9 * config.controllerLeaseMs();
-        failureDetector.suspect(now, "n1", false);
+        failureDetector.onPeerReachability(now, "n1", false);
         assertFalse(failureDetector.wasFalselySuspected(now, "n1"), "it is a new process: it had been down");
     }
 }
