--- a/src/main/java/garnetscale/core/leader/AttemptNumbers.java
+++ b/src/main/java/garnetscale/core/leader/AttemptNumbers.java
@@ -3,43 +3,43 @@
 import garnetscale.core.cluster.FencingTokens;
 
 /**
- * Numbers the attempts that a leader places. They are numbered inside its term; once those of a term are used up the leader
- * has to step down, since the next number would belong to the term after it and be given twice.
+ * Numbers the attempts that a leader places, within its term. Once the numbers of a term are exhausted, the leader must step
+ * down, because the next number would belong to the following term and be assigned twice.
  */
 final class AttemptNumbers {
 
-    /** Numbers that are left when it is time to step down: more than any one transaction places. */
-    private static final int RESERVED = 1 << 16;
+    /** Numbers that are left when the leader should step down: more than any one transaction places. */
+    private static final int RESERVED_NUMBERS = 1 << 16;
 
     private long term;
     private int sequence;
 
     /** Begins a term. */
-    void begin(long newTerm) {
-        begin(newTerm, 0);
+    void beginTerm(long newTerm) {
+        beginTerm(newTerm, 0);
     }
 
-    /** Begins behind the number that was given last in a term. */
-    void begin(long newTerm, int lastSequence) {
+    /** Begins a term in which numbers up to {@code lastSequence} have been assigned. */
+    void beginTerm(long newTerm, int lastSequence) {
         term = newTerm;
         sequence = lastSequence;
     }
 
     /**
-     * The number of the next attempt, higher than all before.
+     * Returns the number of the next attempt, which is higher than all before.
      *
-     * @throws IllegalStateException when the term's numbers are used up
+     * @throws IllegalStateException if the numbers of the term are exhausted
      */
     long next() {
         if (sequence >= FencingTokens.MAX_ATTEMPTS) {
             throw new IllegalStateException(
-                    "can't number another attempt: the numbers of the term are used up, term=" + term);
+                    "attempt numbers of the term are exhausted, term=" + term + " max=" + FencingTokens.MAX_ATTEMPTS);
         }
         return FencingTokens.attempt(term, ++sequence);
     }
 
-    /** Whether it is time to step down. */
+    /** Returns whether the leader should step down because few numbers are left. */
     boolean isNearlyExhausted() {
-        return sequence >= FencingTokens.MAX_ATTEMPTS - RESERVED;
+        return sequence >= FencingTokens.MAX_ATTEMPTS - RESERVED_NUMBERS;
     }
 }
--- a/src/main/java/garnetscale/core/leader/AwardTimes.java
+++ b/src/main/java/garnetscale/core/leader/AwardTimes.java
@@ -4,43 +4,43 @@
 import java.util.TreeMap;
 
 /**
- * When this leader placed its attempts. Heartbeats that tell of a task's start may come late or be lost; since an attempt can't
- * have begun before it was placed, this bounds how long it has run. Attempts are numbered in the order of their placements, so that
- * one entry serves all that were placed within the resolution.
+ * Remembers when this leader placed its attempts. Heartbeats that report a task's start may be late or lost. Since an attempt
+ * can't have begun before it was placed, the time of its placement bounds how long it has run. Attempts are numbered in the
+ * order of their placement, so one entry serves all attempts placed within the resolution.
  */
 final class AwardTimes {
 
-    /** Entries that are kept; attempts from before the oldest one count as unknown. */
+    /** Maximum number of entries; the times of attempts older than the oldest entry are unknown. */
     private static final int MAX_ENTRIES = 4096;
 
     private final long resolutionMs;
-    /** The time of an entry by its first attempt. */
-    private final TreeMap<Long, Long> timesByFirstAttempt = new TreeMap<>();
+    /** Time of each entry, by its first attempt. */
+    private final TreeMap<Long, Long> timeByFirstAttempt = new TreeMap<>();
 
     AwardTimes(long resolutionMs) {
         this.resolutionMs = resolutionMs;
     }
 
-    /** A new leadership begins: when an earlier leader placed attempts isn't known. */
+    /** Discards all entries at the start of a new term; when an earlier leader placed attempts is unknown. */
     void clear() {
-        timesByFirstAttempt.clear();
+        timeByFirstAttempt.clear();
     }
 
-    /** An attempt, with a higher number than all before, is placed. */
+    /** Records that an attempt was placed. Its number must be higher than all before. */
     void add(long now, long attempt) {
-        if (!timesByFirstAttempt.isEmpty()
-                && now - timesByFirstAttempt.lastEntry().getValue() < resolutionMs) {
+        if (!timeByFirstAttempt.isEmpty()
+                && now - timeByFirstAttempt.lastEntry().getValue() < resolutionMs) {
             return;
         }
-        timesByFirstAttempt.put(attempt, now);
-        if (timesByFirstAttempt.size() > MAX_ENTRIES) {
-            timesByFirstAttempt.pollFirstEntry();
+        timeByFirstAttempt.put(attempt, now);
+        if (timeByFirstAttempt.size() > MAX_ENTRIES) {
+            timeByFirstAttempt.pollFirstEntry();
         }
     }
 
-    /** When the attempt was placed, at most the resolution too early; null where that isn't known. */
+    /** Returns when the attempt was placed, or null if that is unknown. The time may be too early by up to the resolution. */
     Long at(long attempt) {
-        Map.Entry<Long, Long> entry = timesByFirstAttempt.floorEntry(attempt);
+        Map.Entry<Long, Long> entry = timeByFirstAttempt.floorEntry(attempt);
         return entry == null ? null : entry.getValue();
     }
 }
--- a/src/main/java/garnetscale/core/leader/Balancer.java
+++ b/src/main/java/garnetscale/core/leader/Balancer.java
@@ -34,13 +34,13 @@
 import java.util.function.Consumer;
 
 /**
- * Carries out load balancing for the leader: turns what the leader knows into the input of the {@link MovePlanner}, and its moves
- * into stops of the draft. It stops tasks and nothing else; where they start again is up to the bids.
+ * Carries out load balancing for the leader: builds the input of the {@link MovePlanner} from what the leader knows, and adds
+ * the planned moves to the draft as stops. It only stops tasks; where they start again is up to the bids.
  */
 final class Balancer {
 
-    /** In the log in place of a job, when the moved task itself ends earlier elsewhere. */
-    private static final String NO_BENEFICIARY = "none";
+    /** Logged in place of a job if the move is for the moved task itself, which ends earlier elsewhere. */
+    private static final String NO_OTHER_BENEFICIARY = "none";
 
     private final BalanceSettings settings;
     private final long heartbeatIntervalMs;
@@ -75,7 +75,7 @@
         this.budget = new MoveBudget(settings.moving(), config.workerLeaseMs());
     }
 
-    /** A new leadership begins. */
+    /** Discards what is known from an earlier term, when a new one begins. */
     void begin(long now) {
         observer.clear();
         budget.begin(now);
@@ -83,32 +83,32 @@
         dueAt = now;
     }
 
-    /** A controller gave a sign of life. */
-    void onSignOfLife(long now, String node) {
-        observer.onSignOfLife(now, node);
+    /** Records that a message of the controller has arrived. */
+    void onControllerMessage(long now, String node) {
+        observer.onControllerMessage(now, node);
     }
 
-    /** The load of the fleet as of the last pass; empty while load balancing is off. */
+    /** Returns the fleet's load as of the last pass; empty while load balancing is off. */
     LoadSnapshot load() {
         return observer.snapshot();
     }
 
-    /** Jobs with tasks that might move, for which late bids are wanted. */
+    /** Returns the jobs with tasks that might move, for which late bids are requested. */
     Set<String> jobsWantingBids() {
         return jobsWantingBids;
     }
 
-    /** Moves that were decided within the budget's window, oldest first. */
+    /** Returns the moves that were decided within the budget's window, oldest first. */
     List<Move> recentMoves() {
         return budget.recent();
     }
 
-    /** Takes back what was decided in a transaction that wasn't applied; called before each draft. */
+    /** Takes back moves whose transaction wasn't applied, and logs moves whose transaction was. Called before each draft. */
     void reconcile() {
         for (Move move : budget.reconcile(this::isUnchanged)) {
             log.accept("moving task, task=" + move.task() + " machine=" + move.machine() + " from=" + move.from()
                     + " to=" + move.to() + " for_job="
-                    + (move.beneficiary() == null ? NO_BENEFICIARY : move.beneficiary()) + " gain_cpu_s="
+                    + (move.beneficiary() == null ? NO_OTHER_BENEFICIARY : move.beneficiary()) + " gain_cpu_s="
                     + Math.round(move.gainCpuS()) + " disruption_cpu_s=" + Math.round(move.disruptionCpuS()));
         }
     }
@@ -119,7 +119,7 @@
                         placement -> placement.attempt() == move.attempt() && placement.stop() == Placement.Stop.KEEP);
     }
 
-    /** Updates the load and plans moves, once in a heartbeat interval. */
+    /** Updates the load and plans moves, once per heartbeat interval. */
     void plan(SchedulingCycle cycle) {
         if (!settings.enabled() || cycle.now() < dueAt) {
             return;
@@ -131,8 +131,8 @@
             return;
         }
         List<WaitingJob> waiting = waitingForRoom(cycle);
-        boolean hasSlow = cycle.machines().stream().anyMatch(sources::isSlow);
-        if (waiting.isEmpty() && !hasSlow) {
+        boolean hasSlowMachine = cycle.machines().stream().anyMatch(sources::isSlow);
+        if (waiting.isEmpty() && !hasSlowMachine) {
             return;
         }
         List<SourceMachine> sourceMachines = sources.machines(cycle, load);
@@ -141,7 +141,8 @@
             return;
         }
         budget.observe(cycle.now(), placedCount(cycle), stoppingCount(cycle));
-        MovePlanner.Input input = new MovePlanner.Input(cycle.now(), load, waiting, sourceMachines, offers(cycle));
+        MovePlanner.Input input =
+                new MovePlanner.Input(cycle.now(), load, waiting, sourceMachines, destinationBids(cycle));
         for (Move move : MovePlanner.plan(settings.margin(), input, budget)) {
             stop(cycle.draft(), move);
         }
@@ -170,9 +171,12 @@
                 .count();
     }
 
-    // ---- which jobs wait, and which could make room
+    // ---- waiting jobs, and jobs that could make room for them
 
-    /** Jobs that wait although no bidder has room, for a heartbeat interval or longer, while work of lower priority is placed. */
+    /**
+     * Returns the jobs that have waited for at least a heartbeat interval, that no bidder has room for, and that have a higher
+     * priority than some placed job.
+     */
     private List<WaitingJob> waitingForRoom(SchedulingCycle cycle) {
         List<WaitingJob> found = new ArrayList<>();
         Priority lowest = lowestPlacedPriority();
@@ -189,7 +193,7 @@
         return found;
     }
 
-    /** The lowest priority of a live job with placed tasks, or null. */
+    /** Returns the lowest priority of a live job with placed tasks, or null if there is none. */
     private Priority lowestPlacedPriority() {
         Priority lowest = null;
         for (JobView job : replica.jobs()) {
@@ -201,7 +205,10 @@
         return lowest;
     }
 
-    /** Jobs that are bound by where their other tasks are don't count: room in another zone might be of no use to them. */
+    /**
+     * Returns whether the job has waited for at least a heartbeat interval and no bidder has room for it. Always false for jobs
+     * with a zone affinity or anti-affinity, because room in another zone might be of no use to them.
+     */
     private boolean findsNoRoom(SchedulingCycle cycle, JobView job) {
         return !job.spec().zoneAffinity()
                 && !job.spec().zoneAntiAffinity()
@@ -211,7 +218,7 @@
                 && cycle.draft().quota().allows(job.spec());
     }
 
-    /** Jobs with a task that could leave room to one that waits, or a slow machine. */
+    /** Returns the jobs with a task that could make room for a waiting job or could leave a slow machine. */
     private static Set<String> movableJobs(List<WaitingJob> waiting, List<SourceMachine> sourceMachines) {
         Set<String> jobs = new HashSet<>();
         for (SourceMachine machine : sourceMachines) {
@@ -231,26 +238,26 @@
         return jobs;
     }
 
-    // ---- who bids
+    // ---- destinations
 
-    /** The bids for the jobs that might move, from machines that have room. */
-    private Map<String, List<DestinationBid>> offers(SchedulingCycle cycle) {
-        Map<String, List<DestinationBid>> offers = new HashMap<>();
+    /** Returns the bids for the jobs that might move, from machines that have room, by job. */
+    private Map<String, List<DestinationBid>> destinationBids(SchedulingCycle cycle) {
+        Map<String, List<DestinationBid>> destinationBids = new HashMap<>();
         for (String id : jobsWantingBids) {
             JobSpec job = replica.job(id).spec();
             List<DestinationBid> ofJob = new ArrayList<>();
             for (Bid bid : auction.bids(id)) {
                 int slots = slots(cycle, bid, job);
                 if (slots > 0) {
-                    ofJob.add(offer(machines.get(bid.machine()), slots, bid.finishS()));
+                    ofJob.add(destinationBid(machines.get(bid.machine()), slots, bid.finishS()));
                 }
             }
-            offers.put(id, ofJob);
+            destinationBids.put(id, ofJob);
         }
-        return offers;
+        return destinationBids;
     }
 
-    private DestinationBid offer(MachineState machine, int slots, double finishS) {
+    private DestinationBid destinationBid(MachineState machine, int slots, double finishS) {
         MachineGroup group = LoadObserver.groupOf(machine);
         MachineType type = replica.type(group.type());
         return new DestinationBid(
@@ -258,16 +265,16 @@
     }
 
     /**
-     * How many tasks of the job a bidder has room for, by its bid and by what is stored: a batch that takes its bids back may
-     * have been lost with its connection.
+     * Returns how many tasks of the job a bidder has room for, both by its bid and by the stored placements. The bid alone
+     * isn't enough, because the batch that withdraws it may have been lost with its connection.
      */
     private int slots(SchedulingCycle cycle, Bid bid, JobSpec job) {
         MachineState machine = machines.get(bid.machine());
         if (machine == null || !isUsable(cycle.now(), machine, bid)) {
             return 0;
         }
-        FreeCapacity room = capacities.of(machine.id, replica.type(machine.status.type()));
-        return Math.min(bid.slots(), room.slots(job));
+        FreeCapacity free = capacities.of(machine.id, replica.type(machine.status.type()));
+        return Math.min(bid.slots(), free.slots(job));
     }
 
     private boolean isUsable(long now, MachineState machine, Bid bid) {
--- a/src/main/java/garnetscale/core/leader/ExitRecorder.java
+++ b/src/main/java/garnetscale/core/leader/ExitRecorder.java
@@ -34,7 +34,7 @@
     private final Consumer<String> log;
     /** Reported exits that aren't stored yet, by attempt. */
     private final Long2ObjectHashMap<Exit> exits = new Long2ObjectHashMap<>();
-    /** Attempts of whose termination the owner has proof and that aren't freed yet, by attempt. */
+    /** Attempts whose termination the owner has proven, and that aren't freed yet, by attempt. */
     private final Long2ObjectHashMap<Exit> terminated = new Long2ObjectHashMap<>();
     /** Machines that the cloud reports as terminated for good. */
     private final Set<String> terminatedMachines = new HashSet<>();
@@ -52,7 +52,7 @@
         terminatedMachines.clear();
     }
 
-    /** Remembers the attempts of whose termination the owner has proof. */
+    /** Remembers the attempts whose termination the owner has proven. */
     void onTerminated(MachineStatus status) {
         for (long attempt : status.terminated()) {
             terminated.put(attempt, new Exit(status.machine(), status.partition(), status.term(), attempt, null));
@@ -80,7 +80,10 @@
         return terminatedMachines.contains(machine);
     }
 
-    /** Adds all proven ends to the draft. Returns false if they didn't all fit; the rest waits for the next transaction. */
+    /**
+     * Adds to the draft that all attempts with a proven end are freed. Returns false if they don't all fit; the rest waits for
+     * the next transaction.
+     */
     boolean record(long now, TransactionDraft draft) {
         return recordExits(now, draft) && freeTerminatedAttempts(draft) && freeTerminatedMachines(draft);
     }
--- a/src/main/java/garnetscale/core/leader/HeadroomReserve.java
+++ b/src/main/java/garnetscale/core/leader/HeadroomReserve.java
@@ -11,36 +11,39 @@
 import java.util.Set;
 
 /**
- * Room that is kept for urgent classes of jobs, which must start almost at once. A waiting objective shorter than two heartbeat
- * intervals can't be met by room that has yet to come free, so less urgent work leaves as much free as such jobs usually take when
- * they come. Work that has itself waited for long isn't held back any more.
+ * Computes the CPUs that are kept free for urgent classes of jobs, which must start almost at once. An objective for the
+ * waiting time that is shorter than two heartbeat intervals can't be met with room that has yet to come free. Less urgent jobs
+ * therefore leave as much free as arriving urgent jobs usually take. A job that has itself waited for long is no longer held
+ * back.
  */
 final class HeadroomReserve {
 
-    /** Weight of a new job in the average size of its class's jobs. */
-    private static final double SIZE_GAIN = 0.1;
-    /** The rate at which jobs come is averaged over this time. */
+    /** Weight of a new job in the moving average of its class's job size. */
+    private static final double SIZE_SMOOTHING = 0.1;
+    /** Time constant of the moving average of the rate at which jobs arrive. */
     private static final double RATE_WINDOW_S = 30;
-    /** The most that is kept, as a share of what the fleet has. */
+    /** Maximum reserve, as a share of the fleet's CPUs. */
     private static final double MAX_SHARE = 0.15;
-    /** A class is urgent when its waiting objective is no longer than so many heartbeat intervals. */
+    /** A class is urgent if its objective for the waiting time is at most this many heartbeat intervals. */
     private static final long URGENT_INTERVALS = 2;
-    /** How long it takes to get back what others borrow, in heartbeat intervals. */
+    /** Time that it takes to get back borrowed room, in heartbeat intervals. */
     private static final long RECLAIM_INTERVALS = 3;
-    /** The part of its objective for being finished after which a job isn't held back any more. */
-    private static final double PATIENCE_PARTS = 6;
-    /** The same in seconds, for a class without such an objective. */
-    private static final double DEFAULT_PATIENCE_S = 30.0;
+    /** A job is held back for at most its class's objective for the completion time, divided by this. */
+    private static final double HOLD_BACK_DIVISOR = 6;
+    /** Maximum time for which a job is held back if its class has no such objective. */
+    private static final double DEFAULT_MAX_HOLD_BACK_S = 30.0;
 
     private final Set<String> urgentClasses = new HashSet<>();
-    private final Map<String, Double> patienceS = new HashMap<>();
-    /** The average size of a job in CPUs, by urgent class. */
+    /** Maximum seconds for which a job is held back, by class, for classes with an objective for the completion time. */
+    private final Map<String, Double> maxHoldBackS = new HashMap<>();
+    /** Moving average of the size of a job in CPUs, by urgent class. */
     private final Map<String, Double> jobCpus = new HashMap<>();
 
+    /** Stored jobs of urgent classes that have been added to the averages. */
     private final Set<String> seenJobs = new HashSet<>();
-    /** The lowest priority that was seen of a job of an urgent class. */
+    /** Lowest priority seen of a job of an urgent class. */
     private Priority lowestUrgent = Priority.CRITICAL;
-    /** CPUs that jobs of the urgent classes ask for in a second. */
+    /** Moving average of the CPUs that newly arriving jobs of the urgent classes request per second. */
     private double urgentCpusPerS;
 
     private final double reclaimS;
@@ -53,12 +56,12 @@
                     && objective.withinS() * 1000 <= URGENT_INTERVALS * config.heartbeatIntervalMs()) {
                 urgentClasses.add(objective.jobClass());
             } else if (objective.kind() == SchedulerConfig.ObjectiveKind.COMPLETION) {
-                patienceS.merge(objective.jobClass(), objective.withinS() / PATIENCE_PARTS, Math::min);
+                maxHoldBackS.merge(objective.jobClass(), objective.withinS() / HOLD_BACK_DIVISOR, Math::min);
             }
         }
     }
 
-    /** Learns how large jobs of the urgent classes are, and how many come. */
+    /** Updates the averages of how large jobs of the urgent classes are and how many arrive. */
     void observe(long now, Iterable<JobView> jobs) {
         double newCpus = 0;
         Set<String> present = new HashSet<>();
@@ -67,7 +70,7 @@
             if (urgentClasses.contains(spec.jobClass())) {
                 present.add(spec.id());
                 if (seenJobs.add(spec.id())) {
-                    newCpus += learn(spec);
+                    newCpus += addJob(spec);
                 }
             }
         }
@@ -77,10 +80,10 @@
         urgentCpusPerS = (urgentCpusPerS + newCpus / RATE_WINDOW_S) * Math.exp(-passedS / RATE_WINDOW_S);
     }
 
-    /** Takes a new job into account, and returns its CPUs. */
-    private double learn(JobSpec job) {
+    /** Adds a new job to the averages, and returns its CPUs. */
+    private double addJob(JobSpec job) {
         double cpus = job.tasks() * job.cpus();
-        jobCpus.merge(job.jobClass(), cpus, (average, last) -> average + SIZE_GAIN * (last - average));
+        jobCpus.merge(job.jobClass(), cpus, (average, last) -> average + SIZE_SMOOTHING * (last - average));
         if (job.priority().compareTo(lowestUrgent) > 0) {
             lowestUrgent = job.priority();
         }
@@ -88,8 +91,11 @@
     }
 
     /**
-     * CPUs to leave free for the urgent classes, of {@code fleetCpus} that the fleet has. Work that a team borrows room for leaves
-     * more: it may fill any fleet, and what is stopped for others has yet to write its checkpoint.
+     * Returns the CPUs to leave free for the urgent classes. Jobs that borrow must leave more: they can fill a fleet of any
+     * size, and tasks that are stopped for others must write their checkpoints first.
+     *
+     * @param fleetCpus CPUs of the fleet
+     * @param borrows   whether the job that leaves them free is of low priority and beyond its team's guarantee
      */
     double cpus(double fleetCpus, boolean borrows) {
         double usual = usualJobCpus();
@@ -97,7 +103,7 @@
         return Math.min(MAX_SHARE * fleetCpus, wanted);
     }
 
-    /** CPUs of one job of each urgent class. */
+    /** Returns the CPUs of one average job of each urgent class. */
     private double usualJobCpus() {
         double sum = 0;
         for (double cpus : jobCpus.values()) {
@@ -106,22 +112,27 @@
         return sum;
     }
 
-    /** Whether the job's class must start at once. */
+    /** Returns whether the job is of an urgent class. */
     boolean isUrgent(JobView job) {
         return urgentClasses.contains(job.spec().jobClass());
     }
 
     /**
-     * Whether the job has to leave the reserve alone. Work that its team borrows room for has to for however long it waits, once
-     * it has begun: a job of which nothing has begun would otherwise never begin on a full fleet.
+     * Returns whether the job must leave the reserve free. The reserve applies only to jobs of lower priority than every job
+     * seen of an urgent class, and only until a job has waited for its class's limit. That limit doesn't end it for a job that
+     * borrows and has begun: such a job must leave the reserve free however long it waits. A job that has not begun would
+     * otherwise never begin on a full fleet.
+     *
+     * @param borrows whether the job is of low priority and beyond its team's guarantee
+     * @param wallMs  time of day in milliseconds since 1970
      */
-    boolean binds(JobView job, boolean borrows, long wallMs) {
+    boolean appliesTo(JobView job, boolean borrows, long wallMs) {
         JobSpec spec = job.spec();
         boolean hasBegun = job.placedCount() + job.finishedCount() > 0;
         return !isUrgent(job)
                 && spec.priority().compareTo(lowestUrgent) > 0
                 && (borrows && hasBegun
                         || wallMs - job.job().submittedMs()
-                                < 1000 * patienceS.getOrDefault(spec.jobClass(), DEFAULT_PATIENCE_S));
+                                < 1000 * maxHoldBackS.getOrDefault(spec.jobClass(), DEFAULT_MAX_HOLD_BACK_S));
     }
 }
--- a/src/main/java/garnetscale/core/leader/Leader.java
+++ b/src/main/java/garnetscale/core/leader/Leader.java
@@ -88,7 +88,7 @@
     }
 
     private void beginTerm(long now) {
-        attempts.begin(election.term());
+        attempts.beginTerm(election.term());
         context.awardTimes().clear();
         upgrades.clear();
         machines.clear();
@@ -138,7 +138,7 @@
     /** Handles a controller's heartbeat, which reports whether workers reach that controller. */
     public void onWorkerReachability(long now, String node, boolean isolatedFromWorkers) {
         failureDetector.onWorkerReachability(node, isolatedFromWorkers);
-        balancer.onSignOfLife(now, node);
+        balancer.onControllerMessage(now, node);
     }
 
     /**
@@ -152,7 +152,7 @@
                 || lease.incarnation() != status.incarnation()) {
             return;
         }
-        balancer.onSignOfLife(now, status.node());
+        balancer.onControllerMessage(now, status.node());
         exitRecorder.onTerminated(status);
         if (status.type().isEmpty() || exitRecorder.isTerminated(status.machine())) {
             return;
@@ -224,7 +224,7 @@
 
     // ---- queries
 
-    /** Returns the status of each machine that its partition's owner last published. */
+    /** Returns the status that each machine's owner last published. */
     public Collection<MachineStatus> machines() {
         List<MachineStatus> list = new ArrayList<>(machines.size());
         machines.values().forEach(machine -> list.add(machine.status));
@@ -249,8 +249,8 @@
     }
 
     /**
-     * Returns the quarantined jobs, which fail on every machine. Because of them, no machine is scaled out, no task is
-     * preempted and no machine is kept from bidding.
+     * Returns the quarantined jobs, which fail on every machine. Because of them, no machines are added, no tasks are preempted
+     * and no machine is kept from bidding.
      */
     public Set<String> quarantinedJobs() {
         return context.failures().quarantinedJobs();
--- a/src/main/java/garnetscale/core/leader/LeaderContext.java
+++ b/src/main/java/garnetscale/core/leader/LeaderContext.java
@@ -11,16 +11,16 @@
 import java.util.function.Consumer;
 
 /**
- * What the leader's parts share.
+ * State and services shared by the parts of the leader.
  *
- * @param machines   what is known of each machine, by its id; {@link Leader} alone adds to it
- * @param auction    the bids that are open
- * @param estimator  how long tasks run, and how fast machines are
- * @param failures   which jobs and tasks fail by their own fault
- * @param order      in which jobs wait
- * @param capacities what stored placements leave free
+ * @param machines   state of each machine, by its ID; only {@link Leader} adds to it
+ * @param auction    open bids
+ * @param estimator  estimates of how long tasks run and how fast machines are
+ * @param failures   failures of jobs and tasks, and which of them are quarantined
+ * @param order      order in which jobs wait
+ * @param capacities capacity that stored placements leave free
  * @param awardTimes when this leader placed its attempts
- * @param log        takes one line for each event that operators may want to know of
+ * @param log        receives one line for each event of interest to operators
  */
 record LeaderContext(
         SchedulerConfig config,
@@ -34,7 +34,7 @@
         AwardTimes awardTimes,
         Consumer<String> log) {
 
-    /** The parts of a new leader, which knows nothing yet. */
+    /** Creates the context of a new leader, which knows nothing yet. */
     static LeaderContext of(SchedulerConfig config, StateReplica replica, Consumer<String> log) {
         return new LeaderContext(
                 config,
--- a/src/main/java/garnetscale/core/leader/LeaderElection.java
+++ b/src/main/java/garnetscale/core/leader/LeaderElection.java
@@ -123,10 +123,10 @@
      * transaction of a leader is guarded by the key that this replaces.
      *
      * <p>Three rules keep two controllers from deposing each other over and over. Only a recent suspicion counts, because a
-     * process that outlives a suspicion by a controller lease wasn't down. A suspicion doesn't count if the same controller was
-     * falsely suspected a while ago. It doesn't count either if all other controllers are suspected at once: then the network
-     * is at fault, and the state service knows better which processes are alive. The last two rules don't protect a leader that
-     * no worker reaches, since deposing it loses nothing.
+     * process that is still live a controller lease after it was suspected wasn't down. A suspicion doesn't count if the same
+     * controller was falsely suspected a while ago. It doesn't count either if all other controllers are suspected at once:
+     * then the network is at fault, and the state service knows better which processes are alive. The last two rules don't
+     * protect a leader that no worker reaches, since deposing it loses nothing.
      */
     private boolean isLeaderDown(long now) {
         LeaderInfo leader = replica.leader();
--- a/src/main/java/garnetscale/core/leader/LoadObserver.java
+++ b/src/main/java/garnetscale/core/leader/LoadObserver.java
@@ -24,18 +24,18 @@
 import java.util.Map;
 
 /**
- * Feeds the load tracker from what the leader is told anyway: machine statuses, bids and heartbeats of the partitions' owners, and
- * the stored placements. Owners publish a machine's status only when something about it changes, so it is as good as the last sign
- * of life of its owner.
+ * Feeds the load tracker from what the leader receives anyway: machine statuses, bids and heartbeats of the partitions' owners,
+ * and the stored placements. Owners publish a machine's status only when something about it changes, so a status is as current
+ * as the last message of its owner.
  */
 final class LoadObserver {
 
-    /** An owner that wasn't heard from for this part of a worker's lease isn't believed about its machines any more. */
-    private static final double OWNER_HEARD_WITHIN_LEASES = 0.5;
-    /** The time constant of the average utilization, in heartbeat intervals. */
+    /** Worker leases without a message of an owner after which its statuses of machines are no longer trusted. */
+    private static final double OWNER_TIMEOUT_LEASES = 0.5;
+    /** Time constant of the average utilization, in heartbeat intervals. */
     private static final double SMOOTHING_INTERVALS = 5;
 
-    /** What a machine's load was last worked out from. */
+    /** Inputs from which a machine's load was last computed. */
     private record Inputs(
             MachineStatus status,
             List<Placement> placements,
@@ -43,7 +43,10 @@
             UnknownReason unknownReason,
             boolean isServing) {
 
-        /** Both placements and statuses are replaced whole, so that identity tells what changed at no cost. */
+        /**
+         * Returns whether nothing has changed. Placements and statuses are always replaced as a whole, so comparing references
+         * detects changes at no cost.
+         */
         @SuppressWarnings("ReferenceEquality")
         boolean isSame(Inputs other) {
             return other != null
@@ -60,9 +63,9 @@
     private final Auction auction;
     private final Estimator estimator;
     private final LoadTracker tracker;
-    /** When each controller last gave a sign of life. */
-    private final Map<String, Long> lastHeardAt = new HashMap<>();
-    /** By machine. */
+    /** When the last message of each controller arrived. */
+    private final Map<String, Long> lastMessageAt = new HashMap<>();
+    /** Inputs last used, by machine. */
     private final Map<String, Inputs> inputs = new HashMap<>();
 
     private LoadSnapshot snapshot = LoadSnapshot.EMPTY;
@@ -75,25 +78,25 @@
         this.tracker = new LoadTracker(SMOOTHING_INTERVALS * config.heartbeatIntervalMs());
     }
 
-    /** A new leadership begins: what was heard before doesn't count. */
+    /** Discards everything at the start of a new term; messages received before don't count. */
     void clear() {
-        lastHeardAt.clear();
+        lastMessageAt.clear();
         inputs.clear();
         tracker.clear();
         snapshot = LoadSnapshot.EMPTY;
     }
 
-    /** A controller gave a sign of life. */
-    void onSignOfLife(long now, String node) {
-        lastHeardAt.put(node, now);
+    /** Records that a message of the controller has arrived. */
+    void onControllerMessage(long now, String node) {
+        lastMessageAt.put(node, now);
     }
 
-    /** The load as of the last update. */
+    /** Returns the load as of the last update. */
     LoadSnapshot snapshot() {
         return snapshot;
     }
 
-    /** Works out the load anew, from the machines that have changed. */
+    /** Updates the load from the machines that have changed, and returns it. */
     LoadSnapshot update(SchedulingCycle cycle) {
         Map<String, UnknownReason> ownerReasons = new HashMap<>();
         Map<String, MachineState> present = new HashMap<>();
@@ -131,12 +134,16 @@
                 now, machine.id, new MachineLoad(groupOf(machine), unknownReason, isServing, milliCpus, usedByTeam));
     }
 
-    /** The group that the machine's load counts in. */
+    /** Returns the group to which the machine's load is added. */
     static MachineGroup groupOf(MachineState machine) {
         return new MachineGroup(machine.status.zone(), machine.status.type());
     }
 
-    /** Why the machine's load isn't known, or null; {@code ownerReasons} keeps what was found out of the partitions' owners. */
+    /**
+     * Returns why the machine's load isn't known, or null if it is.
+     *
+     * @param ownerReasons caches {@link #ownerReason} by partition
+     */
     private UnknownReason unknownReason(long now, MachineState machine, Map<String, UnknownReason> ownerReasons) {
         String partition = machine.status.partition();
         PartitionLease lease = replica.partition(partition);
@@ -152,10 +159,10 @@
         return ownerReason == null && machine.status.silent() ? UnknownReason.MACHINE_SILENT : ownerReason;
     }
 
-    /** Why the owner isn't believed about the partition's machines, or null when it is. */
+    /** Returns why the owner's statuses of the partition's machines aren't trusted, or null if they are. */
     private UnknownReason ownerReason(long now, String partition, String owner) {
-        long heardAt = owner.equals(config.self()) ? now : lastHeardAt.getOrDefault(owner, Times.NEVER);
-        if (now - heardAt > OWNER_HEARD_WITHIN_LEASES * config.workerLeaseMs()) {
+        long messageAt = owner.equals(config.self()) ? now : lastMessageAt.getOrDefault(owner, Times.NEVER);
+        if (now - messageAt > OWNER_TIMEOUT_LEASES * config.workerLeaseMs()) {
             return UnknownReason.OWNER_UNHEARD;
         }
         return auction.hasCurrentBatch(partition) ? null : UnknownReason.OWNER_NOT_BIDDING;
@@ -163,7 +170,10 @@
 
     // ---- demand
 
-    /** CPU-seconds that waiting and placed tasks will take, by team, and the waiting ones by group. */
+    /**
+     * Returns the CPU-seconds that waiting and placed tasks will take, by team, and those of waiting tasks also by machine
+     * group.
+     */
     private Demand demand(LoadSnapshot load) {
         Demand demand = Demand.NONE;
         for (JobView job : replica.jobs()) {
@@ -179,7 +189,7 @@
         return demand;
     }
 
-    /** Splits what the job waits for among the groups that it fits, by their capacity. */
+    /** Adds the CPU-seconds for which a job waits, split among the groups that it fits in proportion to their capacity. */
     private Demand plusWaiting(Demand demand, LoadSnapshot load, JobSpec job, double waitingCpuS) {
         List<MachineGroup> fitting = new ArrayList<>();
         double capacityCpus = 0;
--- a/src/main/java/garnetscale/core/leader/MachineEvaluator.java
+++ b/src/main/java/garnetscale/core/leader/MachineEvaluator.java
@@ -25,7 +25,10 @@
 
     /** Factor by which a machine must be slower than its peers to be decommissioned. */
     private static final double SLOW_FACTOR = 2.2;
-    /** Failures in a row on a machine, of tasks whose jobs succeed elsewhere, after which the machine is decommissioned. */
+    /**
+     * Tasks of jobs that succeed elsewhere that must fail on a machine, without any task completing there in between, before
+     * the machine is decommissioned.
+     */
     private static final int FAILURES_TO_DECOMMISSION = 4;
     /**
      * At most one in this many machines may be decommissioned at a time. If more seem faulty, the cause is probably not the
@@ -170,10 +173,10 @@
             machine.cordonedUntil = now
                     + Math.min(MAX_CORDON_INTERVALS, 1L << machine.consecutiveCordons) * config.heartbeatIntervalMs();
         }
-        long failuresOfSuccessfulJobs = machine.failedTasks.stream()
+        long failedTasksOfSuccessfulJobs = machine.failedTasks.stream()
                 .filter(failed -> failures.hasCompletedTasks(failed.job()))
                 .count();
-        if (failuresOfSuccessfulJobs >= FAILURES_TO_DECOMMISSION) {
+        if (failedTasksOfSuccessfulJobs >= FAILURES_TO_DECOMMISSION) {
             decommission(machine, "tasks of jobs that succeed elsewhere fail on it", "");
         }
     }
--- a/src/main/java/garnetscale/core/leader/MachineState.java
+++ b/src/main/java/garnetscale/core/leader/MachineState.java
@@ -18,27 +18,27 @@
 final class MachineState {
 
     final String id;
-    /** What the machine's owner last published; set before anybody else sees this object. */
+    /** Status that the machine's owner last published; set before any other object sees this one. */
     MachineStatus status;
     /** When {@link #status} was received. */
     long statusAt;
-    /** When the leader first heard that an attempt runs, by attempt. */
+    /** When the leader first learned that an attempt runs, by attempt. */
     final Map<Long, Long> runningSince = new HashMap<>();
-    /** Nothing is placed here before this time: the machine rejected or failed tasks. */
+    /** No task is placed here before this time, because the machine has rejected or failed tasks. */
     long cordonedUntil = Times.NEVER;
-    /** How often it was cordoned in a row because tasks failed. */
+    /** Number of times in a row that the machine was cordoned because tasks failed. */
     int consecutiveCordons;
-    /** Tasks that failed here without one completing between them, except those that fail on every machine. */
+    /** Tasks that have failed here since one last completed, except those that fail on every machine. */
     final Set<TaskId> failedTasks = new HashSet<>();
-    /** To be scaled in as soon as nothing is placed on it: it is slow, or its tasks fail. */
+    /** Whether the machine is scaled in as soon as it has no placements, because it is slow or its tasks fail. */
     boolean decommissioned;
 
-    /** A machine that nothing is known of yet; {@link #onStatus} follows at once. */
+    /** Creates a machine without a status; {@link #onStatus} must be called before it is used. */
     MachineState(String id) {
         this.id = id;
     }
 
-    /** Takes over what the owner published, and tells the estimator of tasks that completed. */
+    /** Takes over the status that the owner published, and reports completed tasks to the estimator. */
     void onStatus(long now, MachineStatus published, StateReplica replica, Estimator estimator) {
         status = published;
         statusAt = now;
@@ -58,12 +58,12 @@
         runningSince.keySet().retainAll(present);
     }
 
-    /** Whether its heartbeats arrive and the cloud hasn't announced its eviction. */
+    /** Returns whether the machine's heartbeats arrive and the cloud hasn't announced its eviction. */
     boolean isServing() {
         return !status.silent() && status.evictionNoticeS() == null;
     }
 
-    /** Whether tasks may be placed on it: it serves, and is neither cordoned nor decommissioned. */
+    /** Returns whether tasks may be placed on the machine: it serves, and is neither cordoned nor decommissioned. */
     boolean acceptsTasks(long now) {
         return isServing() && now >= cordonedUntil && !decommissioned;
     }
--- a/src/main/java/garnetscale/core/leader/MoveSources.java
+++ b/src/main/java/garnetscale/core/leader/MoveSources.java
@@ -16,17 +16,20 @@
 import java.util.List;
 import java.util.Set;
 
-/** The machines that tasks may be moved away from and the tasks that run there, as the planner of moves sees them. */
+/** Collects the machines that tasks may be moved away from, and the tasks that run there, as input for the move planner. */
 final class MoveSources {
 
-    /** A start counts for its user's objectives once it wasn't stopped for so long [PROTOCOL, "How aims are counted"]. */
-    private static final double START_COUNTS_S = 30;
+    /**
+     * Seconds that a task must run without being stopped before its start counts for its user's objectives [PROTOCOL, "How aims
+     * are counted"].
+     */
+    private static final double MIN_RUN_FOR_START_S = 30;
 
     private final StateReplica replica;
     private final Estimator estimator;
     private final AwardTimes awardTimes;
     private final long heartbeatIntervalMs;
-    /** Classes of jobs with an objective for how long they wait. */
+    /** Classes of jobs with an objective for the waiting time. */
     private final Set<String> classesWithWaitObjective = new HashSet<>();
 
     MoveSources(LeaderContext context) {
@@ -41,12 +44,12 @@
         }
     }
 
-    /** Whether the machine is slower than others, but not slow enough to be decommissioned. */
+    /** Returns whether the machine is slower than others, but not slow enough to be decommissioned. */
     boolean isSlow(MachineState machine) {
         return !machine.decommissioned && estimator.machineFactor(machine.id) > 1;
     }
 
-    /** The serving machines whose load is known, with what the cycle's draft leaves running on them. */
+    /** Returns the serving machines whose load is known, with the tasks that the cycle's draft leaves running on them. */
     List<SourceMachine> machines(SchedulingCycle cycle, LoadSnapshot load) {
         List<SourceMachine> sources = new ArrayList<>();
         for (MachineState machine : cycle.machines()) {
@@ -73,21 +76,23 @@
     }
 
     /**
-     * A task as the planner sees it. Its run counts from its award: the heartbeat that told of its start may have been lost or come
-     * late, and a costly task would look like a new one. For the same reason a task that an earlier leader placed isn't moved.
+     * Returns the task as the planner sees it. Its run time counts from its award. The heartbeat that reports its start may be
+     * late or lost, and counted from there, a task that is costly to move would look like a new one. For the same reason a task
+     * that an earlier leader placed isn't moved.
      */
     private RunningTask task(SchedulingCycle cycle, MachineState machine, Placement placement, JobView job) {
         JobSpec spec = job.spec();
         Long since = machine.runningSince.get(placement.attempt());
         Long awardedAt = awardTimes.at(placement.attempt());
         double seenRunningS = since == null ? 0 : cycle.secondsSince(since);
-        double ranAtMostS = awardedAt == null ? seenRunningS : cycle.secondsSince(awardedAt);
-        boolean isStartPending = classesWithWaitObjective.contains(spec.jobClass()) && seenRunningS < START_COUNTS_S;
+        double maxRunS = awardedAt == null ? seenRunningS : cycle.secondsSince(awardedAt);
+        boolean isStartPending =
+                classesWithWaitObjective.contains(spec.jobClass()) && seenRunningS < MIN_RUN_FOR_START_S;
         return new RunningTask(
                 placement.task(),
                 placement.attempt(),
                 spec,
-                estimator.remainingS(spec, machine.id, ranAtMostS),
+                estimator.remainingS(spec, machine.id, maxRunS),
                 spec.writesCheckpoints() ? seenRunningS : 0,
                 DrainStops.stopS(spec, heartbeatIntervalMs),
                 job.isLive() && awardedAt != null && !isStartPending);
--- a/src/main/java/garnetscale/core/leader/PartitionAssigner.java
+++ b/src/main/java/garnetscale/core/leader/PartitionAssigner.java
@@ -168,8 +168,8 @@
     }
 
     /**
-     * Returns whether the controller is isolated from workers while another one may not be. A controller's own report of its
-     * isolation is believed at once, but only as long as another controller may do better.
+     * Returns whether the controller is isolated from workers while another one is neither isolated nor suspected. A
+     * controller's own report of its isolation is believed at once, but only as long as another controller may do better.
      */
     private boolean isIsolatedFromWorkers(String controller) {
         return failureDetector.isIsolatedFromWorkers(controller)
--- a/src/main/java/garnetscale/core/leader/PeerFailureDetector.java
+++ b/src/main/java/garnetscale/core/leader/PeerFailureDetector.java
@@ -78,8 +78,8 @@
     }
 
     /**
-     * Returns whether the controller has been suspected for less than a controller lease. A process that outlives its suspicion
-     * by that wasn't down.
+     * Returns whether the controller has been suspected for less than a controller lease. A process that is still live a lease
+     * after it was suspected wasn't down.
      */
     boolean isRecentlySuspected(long now, String controller) {
         Long since = suspectedSince.get(controller);
--- a/src/main/java/garnetscale/core/leader/TaskPlacer.java
+++ b/src/main/java/garnetscale/core/leader/TaskPlacer.java
@@ -183,7 +183,7 @@
 
     /** Returns whether placing a task of the job would take capacity that is reserved for urgent jobs. */
     private boolean isHeldBack(JobView job, boolean borrows, double reservedCpus) {
-        return freeCpus - job.spec().cpus() < reservedCpus && reserve.binds(job, borrows, cycle.wallMs());
+        return freeCpus - job.spec().cpus() < reservedCpus && reserve.appliesTo(job, borrows, cycle.wallMs());
     }
 
     /** Returns the index of the first task at or after {@code from} that is unstarted and may start, or {@link #NO_TASK}. */
--- a/src/main/java/garnetscale/core/leader/UpgradePlanner.java
+++ b/src/main/java/garnetscale/core/leader/UpgradePlanner.java
@@ -9,7 +9,9 @@
 import garnetscale.core.upgrade.UpgradeStep;
 import java.util.function.Consumer;
 
-/** Plans the changes of the cluster's version: those that an operator requests, and the automatic activation where that is on. */
+/**
+ * Plans the changes of the cluster's version: those that an operator requests, and the automatic activation if it is enabled.
+ */
 final class UpgradePlanner {
 
     private final SchedulerConfig config;
@@ -18,7 +20,7 @@
     private final Consumer<String> log;
 
     private long activationCheckedAt = Times.NEVER;
-    /** The step that an operator requested and that can be carried out, or null. */
+    /** Step that an operator requested and that can be carried out, or null. */
     private UpgradeStep requested;
 
     UpgradePlanner(SchedulerConfig config, StateReplica replica, Consumer<String> log) {
@@ -29,15 +31,15 @@
         this.log = log;
     }
 
-    /** A new leadership begins: what was requested of an earlier one has to be requested again. */
+    /** Discards requests at the start of a new term; what was requested of an earlier leader must be requested again. */
     void clear() {
         coordinator.clear();
         requested = null;
     }
 
     /**
-     * What an operator requests. Where it can be carried out, the next transaction does so; that may fail, and requested again
-     * the same step is carried out or found done.
+     * Decides on a step that an operator requests. If it can be carried out, the next transaction does so. That transaction may
+     * fail; the operator can then repeat the request, and the step is carried out or found to be done.
      */
     UpgradeDecision request(long now, UpgradeStep step) {
         UpgradeDecision decision = coordinator.decide(now, step);
@@ -45,7 +47,7 @@
         return decision;
     }
 
-    /** The change of the cluster's version that is due, or null. */
+    /** Returns the change of the cluster's version that is due, or null if there is none. */
     Transaction plan(long now) {
         coordinator.observe(now);
         Transaction change = requestedChange(now);
@@ -74,7 +76,7 @@
         Transaction activation = coordinator.automatic(now);
         if (activation != null) {
             log.accept(
-                    "activating cluster version: the present one is about to be too small for what is stored, version="
+                    "activating cluster version: the active version will soon be too small for the stored data, version="
                             + (replica.version().active() + 1));
         }
         return activation;
--- a/src/main/java/garnetscale/core/leader/package-info.java
+++ b/src/main/java/garnetscale/core/leader/package-info.java
@@ -1,10 +1,10 @@
 /**
- * The leader's part: electing it, leasing partitions to controllers, placing tasks with the best bids, and stopping them to make
- * room or to leave a machine.
+ * The leader: its election, the leasing of partitions to controllers, the placement of tasks with the best bids, and the
+ * stopping of tasks to make room or to drain machines.
  *
- * <p>{@link garnetscale.core.leader.Leader} owns the state of this package, all of it in memory and rebuilt under each new term;
- * what must outlast the leader goes through a {@link garnetscale.core.state.Transaction}, guarded by the leader's key.
- * {@link garnetscale.core.leader.LeaderContext} is what its parts share. One thread calls it; it sends, waits for and reads
- * nothing, and frees no placement without proof that its attempt has ended.
+ * <p>{@link garnetscale.core.leader.Leader} owns the state of this package. All of it is in memory and rebuilt under each new
+ * term; what must outlast the leader goes through a {@link garnetscale.core.state.Transaction}, guarded by the leader's key.
+ * {@link garnetscale.core.leader.LeaderContext} is what the parts of the leader share. The package is called by one thread. It
+ * does no I/O and never blocks, and it frees no placement without proof that the placement's attempt has ended.
  */
 package garnetscale.core.leader;
--- a/src/test/java/garnetscale/core/leader/AttemptNumbersTest.java
+++ b/src/test/java/garnetscale/core/leader/AttemptNumbersTest.java
@@ -13,23 +13,23 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A term has numbers for some sixteen million attempts, which 4,000 machines use up in a day or two. The next number would be
- * the first of the next term, and two attempts would be taken for one.
+ * A term has numbers for some sixteen million attempts, which 4,000 machines use up in a day or two. If a leader went on after
+ * that, the next number would be the first of the next term, and two attempts would be taken for one.
  */
 class AttemptNumbersTest {
 
     @Test
-    void noNumberOfATermIsOneOfTheNext() {
+    void numbersOfATermNeverReachIntoTheNextTerm() {
         AttemptNumbers numbers = new AttemptNumbers();
-        numbers.begin(7, FencingTokens.MAX_ATTEMPTS - 1);
+        numbers.beginTerm(7, FencingTokens.MAX_ATTEMPTS - 1);
         assertEquals(FencingTokens.attempt(8, 0) - 1, numbers.next());
         assertThrows(IllegalStateException.class, numbers::next);
-        numbers.begin(8);
+        numbers.beginTerm(8);
         assertEquals(FencingTokens.attempt(8, 1), numbers.next());
     }
 
     @Test
-    void aLeaderWhoseNumbersRunOutStepsDownAndMayLeadUnderANewTerm() {
+    void aLeaderWhoseNumbersAreNearlyExhaustedStepsDownAndMayLeadUnderANewTerm() {
         SchedulerConfig config = TestConfig.small().build();
         ReplicatedState state = new ReplicatedState();
         long lease = state.service.grant(0, 60_000);
@@ -40,7 +40,7 @@
         assertTrue(leader.leads(0));
         assertNull(leader.resignation(0));
 
-        leader.attempts().begin(1, FencingTokens.MAX_ATTEMPTS - 1000);
+        leader.attempts().beginTerm(1, FencingTokens.MAX_ATTEMPTS - 1000);
         state.commit(leader.resignation(0));
         assertFalse(leader.leads(0));
         state.commit(leader.election(0));
--- a/src/test/java/garnetscale/core/leader/BalancerTest.java
+++ b/src/test/java/garnetscale/core/leader/BalancerTest.java
@@ -36,7 +36,10 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** A leader with one large machine, on which a task runs that could go to the small one, and a job that waits for it. */
+/**
+ * Load balancing with a large and a small machine. A task runs on the large machine that could run on the small one, and a job
+ * waits that fits only the large one.
+ */
 class BalancerTest {
 
     private static final long TERM = FencingTokens.partitionTerm(1, 1);
@@ -56,7 +59,7 @@
             .build();
     private final JobSpec flexible =
             TestJob.named("wk-1").cpus(8).estimateS(100).build();
-    private final JobSpec bound =
+    private final JobSpec largeOnly =
             TestJob.named("wk-2").cpus(12).priority(Priority.HIGH).build();
     private final ReplicatedState state = new ReplicatedState();
     private final StateReplica replica = state.replica;
@@ -76,8 +79,8 @@
         publishStatus(AWARDED, "m-000002", SMALL, List.of());
         bid(AWARDED, new Bid("m-000001", 1, "wk-1", 1, 100));
         state.commit(leader.plan(AWARDED));
-        state.commit(
-                new Transaction().put(Keys.job("wk-2"), Records.job(new JobRecord(bound, JobState.LIVE, NOW - 5000))));
+        state.commit(new Transaction()
+                .put(Keys.job("wk-2"), Records.job(new JobRecord(largeOnly, JobState.LIVE, NOW - 5000))));
     }
 
     private void publishRunning() {
@@ -122,12 +125,12 @@
     }
 
     @Test
-    void lateBidsAreAskedForAndThenATaskIsStopped() {
+    void lateBidsAreRequestedBeforeATaskIsStopped() {
         publishRunning();
         bid(NOW);
         leader.plan(NOW);
         assertEquals(List.of("wk-1"), leader.jobsWantingLateBids());
-        assertEquals(List.of(), leader.recentMoves(), "nobody bids for it yet");
+        assertEquals(List.of(), leader.recentMoves(), "no machine bids for the task yet");
         bid(NOW + 500, lateBid());
         state.commit(leader.plan(NOW + 1000));
         assertEquals(Placement.Stop.NOW, stop());
@@ -143,33 +146,39 @@
                 log.toString());
     }
 
-    /** A batch that took this bid back was lost with its connection, and for a minute no room was made. */
+    /**
+     * A bid may be out of date: if the batch that withdraws it is lost with its connection, the bid stays open. Such a bid once
+     * kept the balancer from making room for a minute.
+     */
     @Test
-    void aBidOfAMachineThatIsFullDoesNotHideThatAJobFindsNoRoom() {
+    void anOutdatedBidOfAFullMachineDoesNotCountAsRoom() {
         publishRunning();
         bid(NOW, new Bid("m-000001", 1, "wk-2", 1, 10), lateBid());
         state.commit(leader.plan(NOW));
         assertEquals(Placement.Stop.NOW, stop());
     }
 
-    /** The same for where the task would go. */
+    /** An outdated bid must not count as a destination of the moved task either. */
     @Test
-    void aLateBidOfAMachineThatIsFullIsNoDestination() {
+    void anOutdatedLateBidOfAFullMachineIsNoDestination() {
         publishRunning();
         TransactionDraft draft = new TransactionDraft(
                 replica,
                 QuotaUsage.of(config, replica),
                 new LogWriter.Limits(config.maxValueBytes(), config.maxTransactionOperations(), Layouts.FIRST, false));
-        draft.place("m-000002", SMALL, "a", new Placement(new TaskId("wk-2", 0), 6, 1, Placement.Stop.KEEP), bound);
+        draft.place("m-000002", SMALL, "a", new Placement(new TaskId("wk-2", 0), 6, 1, Placement.Stop.KEEP), largeOnly);
         state.commit(draft.toTransaction());
         bid(NOW, lateBid());
         leader.plan(NOW);
         assertEquals(List.of(), leader.recentMoves());
     }
 
-    /** The heartbeat that told of its start came late or was lost, and it was moved as one that had just begun, 2.5 s before its end. */
+    /**
+     * The heartbeat that reports a task's start may be late or lost. Counted from that heartbeat, a task was once taken for one
+     * that had just begun, and moved 2.5 s before its end.
+     */
     @Test
-    void aTaskIsAsOldAsItsAward() {
+    void runTimeCountsFromTheAward() {
         long late = NOW + 60_000;
         publishStatus(late - 1000, "m-000001", LARGE, List.of(placedTask(TaskState.RUNNING)));
         bid(late, lateBid());
@@ -178,9 +187,12 @@
         assertEquals(List.of(), leader.recentMoves(), "awarded 90 s ago, it has 23 s left");
     }
 
-    /** How long it has run isn't known: this leader saw it running as soon as it began to lead. */
+    /**
+     * A leader doesn't know how long tasks placed by an earlier leader have run: it sees them running as soon as it begins to
+     * lead.
+     */
     @Test
-    void aTaskThatAnEarlierLeaderAwardedStays() {
+    void aTaskPlacedByAnEarlierLeaderIsNotMoved() {
         state.lead("n0", 1, 2);
         assertTrue(leader.leads(NOW));
         long later = NOW + 41_000;
@@ -191,9 +203,9 @@
         assertEquals(List.of(), leader.recentMoves());
     }
 
-    /** The transaction was refused: the move counts for nothing, and is decided again. */
+    /** If the transaction with a move isn't applied, the move doesn't count and is decided again. */
     @Test
-    void aMoveThatWasNotStoredIsDecidedAgain() {
+    void aMoveThatWasNotAppliedIsDecidedAgain() {
         publishRunning();
         bid(NOW, lateBid());
         leader.plan(NOW);
@@ -204,7 +216,7 @@
         assertEquals(
                 List.of(),
                 log.stream().filter(line -> line.startsWith("moving task, ")).toList(),
-                "not stored yet");
+                "not applied yet");
         leader.plan(NOW + 1100);
         assertEquals(
                 1, log.stream().filter(line -> line.startsWith("moving task, ")).count());
--- a/src/test/java/garnetscale/core/leader/ExitRecorderTest.java
+++ b/src/test/java/garnetscale/core/leader/ExitRecorderTest.java
@@ -28,7 +28,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What counts as proof that an attempt has ended. On one machine run both tasks of a job. */
+/** Which reports prove that an attempt has ended. Both tasks of a job run on one machine. */
 class ExitRecorderTest {
 
     private static final long TERM = 7;
@@ -82,7 +82,7 @@
     }
 
     @Test
-    void aTaskThatIsDoneIsFreedAndRecordedAsFinished() {
+    void aCompletedTaskIsFreedAndRecordedAsFinished() {
         recorder.onExits(exited(first, ExitCause.DONE));
         recordAndCommit();
         assertEquals(List.of(second), replica.placements(MACHINE));
@@ -90,7 +90,7 @@
     }
 
     @Test
-    void theLastTaskThatIsDoneEndsItsJob() {
+    void theLastCompletedTaskEndsItsJob() {
         recorder.onExits(exited(first, ExitCause.DONE));
         recorder.onExits(exited(second, ExitCause.DONE));
         recordAndCommit();
@@ -99,7 +99,7 @@
     }
 
     @Test
-    void aTaskThatFailedIsFreedAndWaitsAgain() {
+    void aFailedTaskIsFreedAndWaitsAgain() {
         recorder.onExits(exited(first, ExitCause.ERROR));
         recordAndCommit();
         assertEquals(List.of(second), replica.placements(MACHINE));
@@ -108,7 +108,7 @@
     }
 
     @Test
-    void aProofOfTerminationFreesOneAttempt() {
+    void aProofOfTerminationFreesOnlyItsAttempt() {
         recorder.onTerminated(status(List.of(), List.of(second.attempt())));
         recordAndCommit();
         assertEquals(List.of(first), replica.placements(MACHINE));
@@ -116,7 +116,7 @@
     }
 
     @Test
-    void whatAnOwnerPublishedBeforeItsPartitionWasLeasedAnewProvesNothing() {
+    void reportsUnderAnEarlierPartitionTermProveNothing() {
         recorder.onExits(exited(first, ExitCause.DONE));
         recorder.onTerminated(status(List.of(), List.of(second.attempt())));
         state.lease("a/0", "n0", 1, TERM + 1);
@@ -135,7 +135,7 @@
     }
 
     @Test
-    void whatDoesNotFitWaitsForTheNextTransaction() {
+    void exitsThatDoNotFitWaitForTheNextTransaction() {
         recorder.onExits(exited(first, ExitCause.DONE));
         TransactionDraft full = draft(2);
         assertFalse(recorder.record(0, full));
--- a/src/test/java/garnetscale/core/leader/FailureTrackerTest.java
+++ b/src/test/java/garnetscale/core/leader/FailureTrackerTest.java
@@ -8,7 +8,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Jobs that were submitted with a mistake, told from faulty machines. */
+/** Distinguishing jobs that fail by their own fault from faulty machines. */
 class FailureTrackerTest {
 
     private final FailureTracker failures = new FailureTracker();
@@ -23,9 +23,9 @@
         }
     }
 
-    /** All tasks of a quarantined job used to be started again after each pause, hundreds of them, and to fail again. */
+    /** All tasks of a quarantined job, hundreds of them, were once started again after each pause, and failed again. */
     @Test
-    void aQuarantinedJobIsRetriedWithOneTaskAndEverMoreRarely() {
+    void aQuarantinedJobIsRetriedOneTaskAtATimeWithGrowingBackoff() {
         failOnDifferentMachines(0, "wk-1", 60);
         assertEquals(Set.of("wk-1"), failures.quarantinedJobs());
         assertEquals(0, failures.allowedPlacements(999, "wk-1", 0));
@@ -45,7 +45,7 @@
         assertFalse(failures.recordFailure(0, task("wk-1", 0), "m-0"), "the machine is at fault");
     }
 
-    /** The others of the job go on, and the same few are not held against machines for ever. */
+    /** A task that always fails must be held against machines only a few times, while the other tasks of its job go on. */
     @Test
     void singleTasksOfAJobThatSucceedsAreQuarantinedToo() {
         failures.recordCompletion(task("wk-1", 9));
--- a/src/test/java/garnetscale/core/leader/LeaderElectionTest.java
+++ b/src/test/java/garnetscale/core/leader/LeaderElectionTest.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** When a controller deposes a leader whose state lease hasn't expired. */
+/** When a controller deposes a leader whose lease in the state service hasn't expired. */
 class LeaderElectionTest {
 
     private final Leader n1;
@@ -32,14 +32,17 @@
     }
 
     @Test
-    void aLeaderWhoseProcessRefusesLinksIsDeposedAtOnce() {
+    void aLeaderWhoseProcessRefusesConnectionsIsDeposedAtOnce() {
         n1.onPeerReachability(20_000, "n0", true);
         assertNotNull(n1.election(20_100));
     }
 
-    /** A packet filter between the controllers made each of them depose the other, in turn. */
+    /**
+     * A packet filter between the controllers once made each of them depose the other in turn. A controller that can reach no
+     * other one must wait for the leader's lease to expire, unless no worker reaches the leader.
+     */
     @Test
-    void whoCanReachNobodyLeavesItToTheLease() {
+    void aControllerThatReachesNoOtherWaitsForTheLeadersLease() {
         n1.onPeerReachability(20_000, "n0", true);
         n1.onPeerReachability(20_001, "n2", true);
         assertNull(n1.election(20_100));
@@ -48,7 +51,7 @@
     }
 
     @Test
-    void aSuspicionThatWasWrongIsNoReasonForAWhile() {
+    void afterAFalseSuspicionTheLeaderIsNotDeposedForAWhile() {
         n1.onPeerReachability(20_000, "n0", true);
         n1.onPeerReachability(20_500, "n0", false);
         n1.onPeerReachability(21_000, "n0", true);
--- a/src/test/java/garnetscale/core/leader/LoadObserverTest.java
+++ b/src/test/java/garnetscale/core/leader/LoadObserverTest.java
@@ -25,7 +25,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** What the leader believes of a machine that another controller owns, and when it stops believing it. */
+/** Whether the leader counts the load of a machine that another controller owns as known, and why it doesn't. */
 class LoadObserverTest {
 
     private static final long TERM = FencingTokens.partitionTerm(1, 1);
@@ -85,16 +85,19 @@
     }
 
     @Test
-    void aMachineWhoseOwnerIsHeardAndBidsIsServing() {
+    void aMachineWhoseOwnerSendsMessagesAndBidsIsServing() {
         GroupTotals totals = totals(1000);
         assertEquals(Map.of(), totals.unknown());
         assertEquals(1, totals.serving());
         assertEquals(8000, totals.capacity());
     }
 
-    /** Owners publish changes only: an idle machine is known for as long as its owner gives signs of life. */
+    /**
+     * Owners publish a machine's status only when it changes, so an idle machine's load counts as known for as long as messages
+     * of its owner arrive.
+     */
     @Test
-    void theMachinesOfAnOwnerThatIsNotHeardAreUnknown() {
+    void theMachinesOfAnOwnerWithoutRecentMessagesAreUnknown() {
         leader.onWorkerReachability(LEASE, "n1", false);
         assertEquals(Map.of(), totals(LEASE + LEASE / 2).unknown());
         assertUnknown(LEASE + LEASE / 2 + 2000, UnknownReason.OWNER_UNHEARD);
@@ -103,7 +106,7 @@
     }
 
     @Test
-    void whatTheOwnerOfAnEarlierTermPublishedDoesNotCount() {
+    void aStatusUnderAnEarlierPartitionTermDoesNotCount() {
         state.lease("a/0", "n1", 2, TERM + 2);
         assertUnknown(1000, UnknownReason.PARTITION_REASSIGNED);
     }
@@ -121,7 +124,7 @@
     }
 
     @Test
-    void nothingIsShownWithoutLeadership() {
+    void aControllerThatDoesNotLeadShowsNoLoadAndNoMoves() {
         totals(1000);
         leader.onLeaseGranted(7);
         leader.leads(2000);
--- a/src/test/java/garnetscale/core/leader/MachineEvaluatorTest.java
+++ b/src/test/java/garnetscale/core/leader/MachineEvaluatorTest.java
@@ -83,9 +83,9 @@
         assertFalse(machine.acceptsTasks(Long.MAX_VALUE));
     }
 
-    /** When several of a few machines seem faulty, it is rather something else. */
+    /** If several machines of a small fleet seem faulty, the cause is probably something else. */
     @Test
-    void ofAFewMachinesOneIsDecommissionedAtATime() {
+    void inASmallFleetOneMachineIsDecommissionedAtATime() {
         MachineState first = machine("m-1", false);
         MachineState second = machine("m-2", false);
         for (int i = 0; i < 4; i++) {
--- a/src/test/java/garnetscale/core/leader/PartitionAssignerTest.java
+++ b/src/test/java/garnetscale/core/leader/PartitionAssignerTest.java
@@ -22,7 +22,7 @@
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
 
-/** Which controller is given a partition, and which of the others are suspected meanwhile. */
+/** Which controller owns each partition, and which controllers are suspected. */
 class PartitionAssignerTest {
 
     private static final long TERM = 5;
@@ -44,7 +44,7 @@
         assigner.begin(now);
     }
 
-    /** Carries out what is due, and says who owns which partition. */
+    /** Commits all due transactions, and returns the owner of each partition. */
     private Map<String, String> assign() {
         for (Transaction transaction = assigner.plan(now, TERM);
                 transaction != null;
@@ -60,7 +60,7 @@
     }
 
     @Test
-    void partitionsAreSharedOutAndGoToTheOtherWhenTheirOwnerIsDown() {
+    void partitionsAreDistributedAndReassignedWhenTheirOwnerIsDown() {
         state.join("n0", 1, "a");
         state.join("n1", 2, "a");
         assertEquals(Map.of("a/0", "n0", "a/1", "n1"), assign());
@@ -71,9 +71,12 @@
         assertNull(assigner.plan(now, TERM));
     }
 
-    /** It stands aside and answers nobody, so that a partition of its would have no working owner. */
+    /**
+     * A controller that can't read the stored layout stands aside and answers no requests, so its partitions would have no
+     * working owner.
+     */
     @Test
-    void aControllerThatCannotReadWhatIsStoredOwnsNoPartition() {
+    void aControllerThatCannotReadTheStoredLayoutOwnsNoPartition() {
         state.join("n0", 1, "a");
         state.join("n1", 2, "a", VersionRange.FIRST);
         assertEquals(Map.of("a/0", "n0", "a/1", "n1"), assign());
@@ -83,7 +86,7 @@
     }
 
     @Test
-    void oneThatIsIsolatedFromWorkersGivesItsPartitionUpWhileAnotherMayDoBetter() {
+    void aControllerIsolatedFromWorkersLosesItsPartitionToOneThatIsNot() {
         state.join("n0", 1, "a");
         state.join("n1", 2, "a");
         assign();
@@ -92,13 +95,13 @@
     }
 
     @Test
-    void whoIsHeardOfAgainAsTheSameProcessWasFalselySuspected() {
+    void aSuspectThatReturnsAsTheSameProcessWasFalselySuspected() {
         state.join("n1", 2, "a");
         failureDetector.onPeerReachability(now, "n1", true);
         assertTrue(failureDetector.isRecentlySuspected(now, "n1"));
         assertFalse(
                 failureDetector.isRecentlySuspected(now + config.controllerLeaseMs(), "n1"),
-                "who outlives its lease wasn't down");
+                "a process that is still live a lease after it was suspected wasn't down");
         failureDetector.onPeerReachability(now, "n1", false);
         assertTrue(failureDetector.wasFalselySuspected(now, "n1"));
         assertFalse(failureDetector.wasFalselySuspected(now + 8 * config.controllerLeaseMs(), "n1"));
--- a/src/test/java/garnetscale/core/leader/ReplicatedState.java
+++ b/src/test/java/garnetscale/core/leader/ReplicatedState.java
@@ -14,7 +14,7 @@
 import garnetscale.emulator.StateModel;
 import java.util.List;
 
-/** A fixture: a state service in memory, and a replica that follows each transaction. */
+/** Test fixture: an in-memory state service, and a replica that follows each transaction. */
 final class ReplicatedState {
 
     final StateModel service = new StateModel();
@@ -24,13 +24,13 @@
         replica.reset(List.of(), 0);
     }
 
-    /** Carries out the transaction, which must succeed. */
+    /** Commits the transaction, which must succeed, and updates the replica. */
     void commit(Transaction transaction) {
         assertEquals(200, service.commit(transaction));
         replica.advance(service.changes(Keys.REPLICATED, replica.revision()), service.revision());
     }
 
-    /** Adds a live controller that supports the present layouts. */
+    /** Adds a live controller that supports the current layouts. */
     void join(String name, long incarnation, String zone) {
         join(name, incarnation, zone, Layouts.SUPPORTED);
     }
