--- a/src/main/java/garnetscale/core/leader/ExitRecorder.java
+++ b/src/main/java/garnetscale/core/leader/ExitRecorder.java
@@ -81,8 +81,8 @@
     }
 
     /**
-     * Adds to the draft that all attempts with a proven end are freed. Returns false if they don't all fit; the rest waits for
-     * the next transaction.
+     * Frees in the draft every placement whose attempt is proven to have ended, and records tasks as finished. Returns false if
+     * not everything fits; the rest waits for the next transaction.
      */
     boolean record(long now, TransactionDraft draft) {
         return recordExits(now, draft) && freeTerminatedAttempts(draft) && freeTerminatedMachines(draft);
