--- a/src/test/java/garnetscale/core/leader/PartitionAssignerTest.java
+++ b/src/test/java/garnetscale/core/leader/PartitionAssignerTest.java
@@ -22,7 +22,7 @@
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
 
-/** Which controller is given a partition, and which of the others are suspected meanwhile. */
+/** Which controller owns each partition, and which controllers are suspected. */
 class PartitionAssignerTest {
 
     private static final long TERM = 5;
@@ -44,7 +44,7 @@
         assigner.begin(now);
     }
 
-    /** Carries out what is due, and says who owns which partition. */
+    /** Commits all due transactions, and returns the owner of each partition. */
     private Map<String, String> assign() {
         for (Transaction transaction = assigner.plan(now, TERM);
                 transaction != null;
@@ -60,20 +60,23 @@
     }
 
     @Test
-    void partitionsAreSharedOutAndGoToTheOtherWhenTheirOwnerIsDown() {
+    void partitionsAreDistributedAndReassignedWhenTheirOwnerIsDown() {
         state.join("n0", 1, "a");
         state.join("n1", 2, "a");
         assertEquals(Map.of("a/0", "n0", "a/1", "n1"), assign());
         long before = replica.partition("a/1").term();
-        failureDetector.suspect(now, "n1", true);
+        failureDetector.onPeerReachability(now, "n1", true);
         assertEquals(Map.of("a/0", "n0", "a/1", "n0"), assign());
         assertTrue(replica.partition("a/1").term() > before, "terms only rise");
         assertNull(assigner.plan(now, TERM));
     }
 
-    /** It stands aside and answers nobody, so that a partition of its would have no working owner. */
+    /**
+     * A controller that can't read the stored layout stands aside and answers no requests, so its partitions would have no
+     * working owner.
+     */
     @Test
-    void aControllerThatCannotReadWhatIsStoredOwnsNoPartition() {
+    void aControllerThatCannotReadTheStoredLayoutOwnsNoPartition() {
         state.join("n0", 1, "a");
         state.join("n1", 2, "a", VersionRange.FIRST);
         assertEquals(Map.of("a/0", "n0", "a/1", "n1"), assign());
@@ -83,7 +86,7 @@
     }
 
     @Test
-    void oneThatIsIsolatedFromWorkersGivesItsPartitionUpWhileAnotherMayDoBetter() {
+    void aControllerIsolatedFromWorkersLosesItsPartitionToOneThatIsNot() {
         state.join("n0", 1, "a");
         state.join("n1", 2, "a");
         assign();
@@ -92,20 +95,20 @@
     }
 
     @Test
-    void whoIsHeardOfAgainAsTheSameProcessWasFalselySuspected() {
+    void aSuspectThatReturnsAsTheSameProcessWasFalselySuspected() {
         state.join("n1", 2, "a");
-        failureDetector.suspect(now, "n1", true);
-        assertTrue(failureDetector.isFreshlySuspected(now, "n1"));
+        failureDetector.onPeerReachability(now, "n1", true);
+        assertTrue(failureDetector.isRecentlySuspected(now, "n1"));
         assertFalse(
-                failureDetector.isFreshlySuspected(now + config.controllerLeaseMs(), "n1"),
-                "who outlives its lease wasn't down");
-        failureDetector.suspect(now, "n1", false);
+                failureDetector.isRecentlySuspected(now + config.controllerLeaseMs(), "n1"),
+                "a process that is still live a lease after it was suspected wasn't down");
+        failureDetector.onPeerReachability(now, "n1", false);
         assertTrue(failureDetector.wasFalselySuspected(now, "n1"));
         assertFalse(failureDetector.wasFalselySuspected(now + 8 * config.controllerLeaseMs(), "n1"));
-        failureDetector.suspect(now, "n1", true);
+        failureDetector.onPeerReachability(now, "n1", true);
         state.join("n1", 3, "a");
         now += 9 * config.controllerLeaseMs();
-        failureDetector.suspect(now, "n1", false);
+        failureDetector.onPeerReachability(now, "n1", false);
         assertFalse(failureDetector.wasFalselySuspected(now, "n1"), "it is a new process: it had been down");
     }
 }
