--- a/src/main/java/garnetscale/core/Features.java
+++ b/src/main/java/garnetscale/core/Features.java
@@ -5,15 +5,16 @@
 import garnetscale.core.upgrade.VersionRange;
 
 /**
- * Features that operators can switch on; all are off by default. docs/operations.md describes the file that they are read from.
+ * Features that operators can switch on. All are off by default. docs/operations.md describes the features file.
  *
- * @param automaticActivation whether the leader activates the next layout version by itself, once more is stored than the
- *     active one can hold
- * @param activationDelayLeases            how long every live controller must have been up before a version is activated, in worker leases
- * @param layouts           the layout versions that this controller supports
- * @param closeConnectionsFrom the share of connections in use, from 0 to 1, from which workers close theirs after each answer;
- *     {@link #NEVER} to keep them open
- * @param balance           load balancing
+ * @param automaticActivation whether the leader activates the next layout version without an operator's command, once more is
+ *     stored than the active version can hold
+ * @param activationDelayLeases how long every live controller must have been up before a layout version is activated, in worker
+ *     leases
+ * @param layouts the layout versions that this controller supports
+ * @param closeConnectionsFrom the share of connections in use, from 0 to 1, from which on workers close their connections after
+ *     each answer; {@link #NEVER} to keep them open
+ * @param balance the settings of load balancing
  */
 public record Features(
         boolean automaticActivation,
@@ -22,13 +23,13 @@
         double closeConnectionsFrom,
         BalanceSettings balance) {
 
-    /** No share of connections is as large as this. */
+    /** A value of {@link #closeConnectionsFrom} that no share of connections reaches. */
     public static final double NEVER = Double.POSITIVE_INFINITY;
 
     /** The default of {@link #activationDelayLeases}. */
     public static final double DEFAULT_ACTIVATION_DELAY_LEASES = 2;
 
-    /** Everything off. */
+    /** All features off. */
     public static final Features NONE =
             new Features(false, DEFAULT_ACTIVATION_DELAY_LEASES, Layouts.SUPPORTED, NEVER, BalanceSettings.OFF);
 }
--- a/src/main/java/garnetscale/core/bidding/Auction.java
+++ b/src/main/java/garnetscale/core/bidding/Auction.java
@@ -11,8 +11,9 @@
 import java.util.function.Predicate;
 
 /**
- * The bids that the leader has, and when each job's window closes (paper, DSP step 4): once its time is over, or early when
- * every owned partition has bid with the job in sight, since then no better bid can come from a machine that has capacity now.
+ * Collects the bids that partition owners send to the leader, and decides when each job's bid window closes (paper, DSP
+ * step 4). A window closes when its time is over. It closes early when every owned partition has sent bids that were made
+ * from a replica with the current version of the job: no better bid can then come from a machine that has capacity now.
  */
 public final class Auction {
 
@@ -21,23 +22,26 @@
     private final Map<String, BidBatch> batchesByOwner = new HashMap<>();
     private final Map<String, Long> openSinceByJob = new HashMap<>();
     private final ListMultimap<String, Bid> bidsByJob = ArrayListMultimap.create();
-    /** A batch came since the bids were last grouped by job: that is done on the next read, not for each batch. */
-    private boolean isStale;
+    /** Whether a batch arrived since {@link #bidsByJob} was built. It is rebuilt on the next read, not for each batch. */
+    private boolean isBidsByJobStale;
 
-    /** Creates an auction without bids in which a job's window is open for so long. */
+    /** Creates an auction without bids; {@code windowMs} is how long a job's window stays open. */
     public Auction(StateReplica replica, long windowMs) {
         this.replica = replica;
         this.windowMs = windowMs;
     }
 
-    /** Drops all bids and windows, as when another term of the leader begins. */
+    /** Drops all bids and windows, as when the leader begins another term. */
     public void clear() {
         batchesByOwner.clear();
         openSinceByJob.clear();
-        isStale = true;
+        isBidsByJobStale = true;
     }
 
-    /** Replaces the owner's earlier batch, unless that is of a newer revision, and opens windows of jobs that have none. */
+    /**
+     * Replaces the owner's earlier batch, and opens a window for each job that has none. A batch is ignored if the same process
+     * of the owner has already sent one of a newer revision.
+     */
     public void onBatch(long now, BidBatch batch) {
         BidBatch previous = batchesByOwner.get(batch.node());
         if (previous != null
@@ -46,7 +50,7 @@
             return;
         }
         batchesByOwner.put(batch.node(), batch);
-        isStale = true;
+        isBidsByJobStale = true;
         String job = "";
         for (Bid bid : batch.bids()) {
             if (!bid.job().equals(job)) {
@@ -57,14 +61,14 @@
     }
 
     private ListMultimap<String, Bid> bidsByJob() {
-        if (isStale) {
-            isStale = false;
+        if (isBidsByJobStale) {
+            isBidsByJobStale = false;
             bidsByJob.clear();
             for (BidBatch batch : batchesByOwner.values()) {
                 String job = "";
                 List<Bid> bidsForJob = List.of();
                 for (Bid bid : batch.bids()) {
-                    // A job's bids stand together in a batch.
+                    // A job's bids are adjacent in a batch.
                     if (!bid.job().equals(job)) {
                         job = bid.job();
                         bidsForJob = bidsByJob.get(job);
@@ -77,14 +81,14 @@
         return bidsByJob;
     }
 
-    /** Whether the job's window is closed, so that its bids may be awarded; false for a job without bids. */
+    /** Returns whether the job's window is closed, so that its bids may be awarded; false for a job without bids. */
     public boolean isWindowClosed(long now, JobView job) {
         bidsByJob();
         Long since = openSinceByJob.get(job.spec().id());
-        return since != null && (now - since >= windowMs || haveAllBid(job));
+        return since != null && (now - since >= windowMs || haveAllPartitionsBid(job));
     }
 
-    private boolean haveAllBid(JobView job) {
+    private boolean haveAllPartitionsBid(JobView job) {
         int partitionsWithBids = 0;
         for (BidBatch batch : batchesByOwner.values()) {
             if (batch.revision() >= job.modRevision()) {
@@ -101,7 +105,7 @@
         return lease != null && lease.term() == term && lease.incarnation() == batch.incarnation();
     }
 
-    /** Whether the partition's owner has submitted a batch under the partition's present term. */
+    /** Returns whether the partition's owner has submitted a batch under the partition's current term. */
     public boolean hasCurrentBatch(String partition) {
         PartitionLease lease = replica.partition(partition);
         BidBatch batch = lease == null ? null : batchesByOwner.get(lease.owner());
@@ -109,23 +113,23 @@
         return term != null && isCurrent(batch, partition, term);
     }
 
-    /** Bids for a job, owner by owner in no fixed order; a live list, not to be altered. */
+    /** Returns the bids for a job, grouped by owner in no fixed order; a live list that must not be modified. */
     public List<Bid> bids(String job) {
         return bidsByJob().get(job);
     }
 
-    /** The bid for a job with the earliest finish among those that pass, or null if none does. */
-    public Bid best(String job, Predicate<Bid> passes) {
+    /** Returns the accepted bid for a job with the earliest estimated finish, or null if no bid is accepted. */
+    public Bid best(String job, Predicate<Bid> isAccepted) {
         Bid best = null;
         for (Bid bid : bids(job)) {
-            if ((best == null || bid.finishS() < best.finishS()) && passes.test(bid)) {
+            if ((best == null || bid.finishS() < best.finishS()) && isAccepted.test(bid)) {
                 best = bid;
             }
         }
         return best;
     }
 
-    /** Milliseconds until the next open window ends, or -1 if none is open. */
+    /** Returns the milliseconds until the next open window ends, or -1 if none is open. */
     public long msUntilNextClose(long now) {
         bidsByJob();
         long next = -1;
--- a/src/main/java/garnetscale/core/bidding/Bid.java
+++ b/src/main/java/garnetscale/core/bidding/Bid.java
@@ -4,10 +4,11 @@
  * A machine's bid to run tasks of a job in its queue.
  *
  * @param machine the machine's name
- * @param agentEpoch the agent epoch of its worker; in a later one the bid is void
+ * @param agentEpoch the agent epoch of the machine when it bids; the bid is void in a later epoch
  * @param job the job's id
- * @param slots how many tasks of the job it would run at most
- * @param finishS estimated seconds from now until such a task would be finished: image fetch and run
+ * @param slots the most tasks of the job that the machine would run
+ * @param finishS estimated seconds from now until such a task would be complete: image fetch, run time and, on a spot instance,
+ *     the expected loss by evictions
  */
 public record Bid(String machine, long agentEpoch, String job, int slots, double finishS) {
 
--- a/src/main/java/garnetscale/core/bidding/BidBatch.java
+++ b/src/main/java/garnetscale/core/bidding/BidBatch.java
@@ -4,12 +4,12 @@
 import java.util.Map;
 
 /**
- * All bids of one partition owner's machines as of one revision; it replaces the owner's earlier batch.
+ * All bids of one partition owner's machines, made from one revision of its replica. A batch replaces the owner's earlier one.
  *
  * @param node the name of the owner
- * @param incarnation the state lease of the owner's process
+ * @param incarnation the id of the state lease of the owner's process
  * @param revision the revision of the replica that the bids were made from
- * @param terms the partitions that the owner acts for, with their terms
- * @param bids the bids; those for one job stand together
+ * @param terms the terms of the partitions that the owner acts for, by partition
+ * @param bids the bids; those for one job are adjacent
  */
 public record BidBatch(String node, long incarnation, long revision, Map<String, Long> terms, List<Bid> bids) {}
--- a/src/main/java/garnetscale/core/bidding/Bidder.java
+++ b/src/main/java/garnetscale/core/bidding/Bidder.java
@@ -5,7 +5,7 @@
 import garnetscale.core.state.JobView;
 import java.util.Map;
 
-/** A machine that may bid, and how far it has bid in the batch that {@link Bidding} makes. */
+/** A machine that may bid, with its state in the batch that {@link Bidding} makes. */
 public final class Bidder {
 
     final String machine;
@@ -13,21 +13,21 @@
     final MachineType type;
     final String zone;
     final boolean spot;
-    /** What is free on the machine before it bids; it isn't altered. */
+    /** Free capacity before the machine bids; not modified. */
     final FreeCapacity free;
-    /** What its bids leave of that. */
-    final FreeCapacity unbid;
+    /** Free capacity that the machine's bids in this batch leave. */
+    final FreeCapacity remaining;
 
-    /** The bidders that have the same queue. */
+    /** The bidders that have the same queue as this one. */
     BidderGroup group;
-    /** Images on the machine by name, with their sizes. */
+    /** Sizes of the images on the machine in GB, by image name. */
     Map<String, Double> images;
-    /** How much longer than expected the machine takes. */
-    double speedFactor;
-    /** Jobs that it has bid for. */
-    int jobs;
-    /** The last of them, or null. */
-    JobView lastJob;
+    /** Ratio of actual to expected run times on the machine; 1 for normal speed, more for a slow machine. */
+    double slowdown;
+    /** Number of jobs that the machine has bid for in this batch. */
+    int jobsBidFor;
+    /** The last job that the machine has bid for in this batch, or null. */
+    JobView lastJobBidFor;
 
     /** Creates a bidder with the given free capacity, which it keeps. */
     public Bidder(String machine, long agentEpoch, MachineType type, String zone, boolean spot, FreeCapacity free) {
@@ -37,6 +37,6 @@
         this.zone = zone;
         this.spot = spot;
         this.free = free;
-        this.unbid = free.copy();
+        this.remaining = free.copy();
     }
 }
--- a/src/main/java/garnetscale/core/bidding/BidderGroup.java
+++ b/src/main/java/garnetscale/core/bidding/BidderGroup.java
@@ -1,10 +1,13 @@
 package garnetscale.core.bidding;
 
-/** Machines of one type and zone that are alike spot instances or not, with what they have in common for one job. */
+/**
+ * The machines of one type and zone that are all spot instances or all on demand. Holds what is the same for all of them with
+ * respect to the job that {@link Bidding} is processing.
+ */
 final class BidderGroup {
 
-    /** Whether the job is in their queue. */
-    boolean mayRunJob;
-    /** Seconds that they take to fetch the job's image. */
+    /** Whether these machines may bid for the job. */
+    boolean mayBid;
+    /** Seconds that one of these machines takes to fetch the job's image. */
     double fetchS;
 }
--- a/src/main/java/garnetscale/core/bidding/Bidding.java
+++ b/src/main/java/garnetscale/core/bidding/Bidding.java
@@ -15,28 +15,29 @@
 import java.util.Set;
 
 /**
- * Makes the bids of one partition owner's machines, each for the jobs at the head of its queue (paper, DSP step 3). Machines
- * of one {@link BidderGroup} have the same queue, so it is gone through once for all of them. For each job only about as many
- * of the best bids are made as could win: the leader has no use for more from one owner. What a machine would give to the jobs
- * before counts as taken, so that the jobs behind find bids of machines that will still have capacity.
+ * Makes the bids of one partition owner's machines. Each machine bids for the jobs at the head of its queue (paper, DSP step
+ * 3). The machines of one {@link BidderGroup} have the same queue, so it is evaluated once per group. For each job, only the
+ * best bids are made, slightly more than could win: the leader has no use for more from one owner. Capacity that a machine
+ * offers to a job counts as taken for the jobs behind, so that those get bids of machines that will still have capacity.
  *
- * <p>An instance makes one batch. It goes through thousands of machines for hundreds of jobs, so it allocates per batch and
- * per bid, not per candidate.
+ * <p>An instance makes one batch. It evaluates thousands of machines for hundreds of jobs, so it allocates per batch and per
+ * bid, not per candidate.
  */
 public final class Bidding {
 
-    /** Jobs that a machine bids for in a batch; more than enough to fill it between two batches. */
+    /** The most jobs that a machine bids for in a batch; more than enough to fill the machine until the next batch. */
     private static final int MAX_JOBS_PER_BIDDER = 8;
 
     /**
-     * Capacity is offered to jobs behind those that it would go to, this many times over: some of them may get more from other
-     * owners, or may not start for a reason that the leader knows. Without a bound capacity that is kept free would be offered
-     * to all that wait, again and again. Capacity that no job before would get is offered beyond it, or many jobs of which
-     * small machines are full would keep large ones from bidding for those that fit nothing else.
+     * The most capacity that is overbooked, as a ratio to the free CPUs of all bidders. Overbooked capacity is offered to a job
+     * although jobs ahead would take it: those may get capacity from other owners, or may not start for a reason that only the
+     * leader knows. Without a bound, capacity that is kept free would be offered to all waiting jobs, again and again. Capacity
+     * that no job ahead would take is offered without regard to the bound. Otherwise many jobs that fill the small machines
+     * would keep large machines from bidding for jobs that fit no others.
      */
     private static final double MAX_OVERBOOKING = 1;
 
-    /** Bits of a candidate that hold the index of its bidder. */
+    /** Number of low bits of a candidate that hold the index of its bidder. */
     private static final int INDEX_BITS = 24;
 
     private static final int INDEX_MASK = (1 << INDEX_BITS) - 1;
@@ -47,26 +48,26 @@
     private final long wallClockMs;
     private final Set<String> suspectJobs;
     private final Map<List<Object>, BidderGroup> groups = new HashMap<>();
-    /** One bidder of each group. */
+    /** One bidder of each group, from which the group's values are computed. */
     private final List<Bidder> representatives = new ArrayList<>();
 
     private final List<Bid> bids = new ArrayList<>();
-    /** The first {@link #openCount} are the bidders that bid for further jobs. */
-    private Bidder[] open;
+    /** The first {@link #openBidderCount} elements are the bidders that may bid for further jobs; the others are unused. */
+    private Bidder[] openBidders;
 
-    private int openCount;
+    private int openBidderCount;
     /** Scratch space for {@link #collectCandidates}. */
     private long[] candidates;
-    /** CPUs free on all bidders, and those that were offered a second time. */
+    /** Sum of the CPUs that are free on the bidders. */
     private double freeCpus;
-
+    /** Sum of the CPUs that were offered although jobs ahead would take them. */
     private double overbookedCpus;
 
     /**
      * Prepares a batch.
      *
-     * @param wallClockMs the time of day
-     * @param suspectJobs jobs that fail wherever they run, of which one task at a time is tried
+     * @param wallClockMs wall-clock time in milliseconds
+     * @param suspectJobs ids of jobs that fail on every machine; only one task at a time is tried of each
      */
     public Bidding(
             StateReplica replica,
@@ -81,41 +82,42 @@
         this.suspectJobs = suspectJobs;
     }
 
-    /** Bids for the waiting jobs, which come in queue order; to be called once. */
+    /** Returns bids for the waiting jobs, which must be in queue order. May be called only once. */
     public List<Bid> bids(List<JobView> waiting, List<Bidder> bidders) {
-        open(bidders);
+        prepareBidders(bidders);
         double minCpus =
                 waiting.stream().mapToDouble(job -> job.spec().cpus()).min().orElse(0);
         for (JobView job : waiting) {
-            if (openCount == 0) {
+            if (openBidderCount == 0) {
                 break;
             }
             updateGroups(job);
             bidFor(job);
-            close(isOverbookingAllowed() ? 0 : minCpus);
+            removeExhausted(isOverbookingAllowed() ? 0 : minCpus);
         }
         return bids;
     }
 
-    private void open(List<Bidder> bidders) {
-        open = bidders.toArray(new Bidder[0]);
-        openCount = open.length;
-        candidates = new long[openCount];
-        for (Bidder bidder : open) {
+    private void prepareBidders(List<Bidder> bidders) {
+        openBidders = bidders.toArray(new Bidder[0]);
+        openBidderCount = openBidders.length;
+        candidates = new long[openBidderCount];
+        for (Bidder bidder : openBidders) {
             freeCpus += bidder.free.cpus();
-            // A list as key, not a record, whose hash would be linked at start-up; see the package garnetscale.core.
+            // The key is a list because the hashCode of a record is linked at start-up; see the package
+            // garnetscale.core.
             bidder.group = groups.computeIfAbsent(List.of(bidder.type.name(), bidder.zone, bidder.spot), key -> {
                 representatives.add(bidder);
                 return new BidderGroup();
             });
             bidder.images = replica.images(bidder.machine);
-            bidder.speedFactor = estimator.machineFactor(bidder.machine);
+            bidder.slowdown = estimator.machineFactor(bidder.machine);
         }
     }
 
     private void updateGroups(JobView job) {
         for (Bidder bidder : representatives) {
-            bidder.group.mayRunJob = JobQueue.allows(bidder.type, bidder.zone, bidder.spot, job.spec())
+            bidder.group.mayBid = JobQueue.allows(bidder.type, bidder.zone, bidder.spot, job.spec())
                     && scarceTypes.mayBid(job, bidder.type, wallClockMs);
             bidder.group.fetchS = Estimator.fetchS(job.spec(), bidder.type);
         }
@@ -123,7 +125,7 @@
 
     private void bidFor(JobView job) {
         int tasks = tasksToBidFor(job);
-        // Some more than can win: the leader may know what is wrong with a machine that bids.
+        // More slots than can win, since the leader may reject a bid for a reason that only it knows about the machine.
         int wantedSlots = tasks + tasks / 2 + 1;
         int missingSlots = bid(job, tasks, wantedSlots, false);
         if (missingSlots > 0 && isOverbookingAllowed()) {
@@ -142,25 +144,25 @@
         return overbookedCpus <= MAX_OVERBOOKING * freeCpus;
     }
 
-    /** Closes bidders that have bid for enough jobs or have less than the given CPUs left. */
-    private void close(double minCpus) {
+    /** Removes the bidders that have bid for the maximum number of jobs or have fewer than {@code minCpus} CPUs left. */
+    private void removeExhausted(double minCpus) {
         int kept = 0;
-        for (int i = 0; i < openCount; i++) {
-            Bidder bidder = open[i];
-            if (bidder.jobs < MAX_JOBS_PER_BIDDER && bidder.unbid.cpus() + MachineType.EPSILON >= minCpus) {
-                open[kept++] = bidder;
+        for (int i = 0; i < openBidderCount; i++) {
+            Bidder bidder = openBidders[i];
+            if (bidder.jobsBidFor < MAX_JOBS_PER_BIDDER && bidder.remaining.cpus() + MachineType.EPSILON >= minCpus) {
+                openBidders[kept++] = bidder;
             }
         }
-        openCount = kept;
+        openBidderCount = kept;
     }
 
     /**
-     * Bids for a job with what the bids for the jobs before leave, or, if overbooking, also with what those may not get after
-     * all.
+     * Bids for a job with the capacity that the bids for the jobs ahead leave or, if overbooking, with all free capacity, since
+     * those jobs may not get what was offered to them.
      *
-     * @param tasks tasks of the job that could start
-     * @param wantedSlots slots to bid with
-     * @return slots that are missing from that; not positive if none is
+     * @param tasks the number of the job's tasks that could start
+     * @param wantedSlots the number of slots to offer
+     * @return the number of wanted slots that couldn't be offered; 0 or negative if all were
      */
     private int bid(JobView job, int tasks, int wantedSlots, boolean isOverbooking) {
         JobSpec spec = job.spec();
@@ -168,16 +170,16 @@
         Arrays.sort(candidates, 0, found);
         int missing = wantedSlots;
         for (int i = 0; i < found && missing > 0; i++) {
-            Bidder bidder = open[(int) (candidates[i] & INDEX_MASK)];
-            int slots = Math.min((isOverbooking ? bidder.free : bidder.unbid).slots(spec), tasks);
+            Bidder bidder = openBidders[(int) (candidates[i] & INDEX_MASK)];
+            int slots = Math.min((isOverbooking ? bidder.free : bidder.remaining).slots(spec), tasks);
             double finishS = (candidates[i] >> INDEX_BITS) / 10.0;
             bids.add(new Bid(bidder.machine, bidder.agentEpoch, spec.id(), slots, finishS));
-            bidder.jobs++;
-            bidder.lastJob = job;
+            bidder.jobsBidFor++;
+            bidder.lastJobBidFor = job;
             if (isOverbooking) {
                 overbookedCpus += slots * spec.cpus();
             } else {
-                bidder.unbid.take(spec, Math.min(slots, missing));
+                bidder.remaining.take(spec, Math.min(slots, missing));
             }
             missing -= slots;
         }
@@ -185,18 +187,18 @@
     }
 
     /**
-     * Puts the bidders that could bid for the job into {@link #candidates} and returns their number. A candidate is its finish
-     * in tenths of a second, so that a batch changes only when something has, and the bidder's index: as one number each they
-     * are sorted without an object for every one.
+     * Puts the bidders that could bid for the job into {@link #candidates} and returns their number. A candidate packs the
+     * estimated finish and the index of the bidder into one number, so that candidates are sorted without allocating an object
+     * for each. The finish is rounded to tenths of a second, so that a batch changes only when something else has changed.
      */
     private int collectCandidates(JobView job, boolean isOverbooking) {
         JobSpec spec = job.spec();
         int found = 0;
-        for (int i = 0; i < openCount; i++) {
-            Bidder bidder = open[i];
-            FreeCapacity free = isOverbooking ? bidder.free : bidder.unbid;
-            if (bidder.group.mayRunJob
-                    && bidder.lastJob != job
+        for (int i = 0; i < openBidderCount; i++) {
+            Bidder bidder = openBidders[i];
+            FreeCapacity free = isOverbooking ? bidder.free : bidder.remaining;
+            if (bidder.group.mayBid
+                    && bidder.lastJobBidFor != job
                     && free.cpus() + MachineType.EPSILON >= spec.cpus()
                     && free.fits(spec)) {
                 candidates[found++] = Math.round(finishS(spec, bidder) * 10) << INDEX_BITS | i;
@@ -206,7 +208,7 @@
     }
 
     private double finishS(JobSpec spec, Bidder bidder) {
-        double runS = estimator.runTimeS(spec, bidder.speedFactor);
+        double runS = estimator.runTimeS(spec, bidder.slowdown);
         return (bidder.images.containsKey(spec.image()) ? 0 : bidder.group.fetchS)
                 + runS
                 + (bidder.spot ? Estimator.spotRiskS(spec, runS) : 0);
--- a/src/main/java/garnetscale/core/bidding/Estimator.java
+++ b/src/main/java/garnetscale/core/bidding/Estimator.java
@@ -7,40 +7,39 @@
 import java.util.Map;
 
 /**
- * Estimates run times: the job owner's estimate, corrected by what was learned from tasks that completed. There is a factor for
- * each class of jobs, since owners err alike, and one for each machine, since a faulty one can be much slower.
+ * Estimates run times: corrects the job owner's estimate by what completed tasks show. There is one factor for each class of
+ * jobs, since the estimates in a class err alike, and one for each machine, since a faulty machine can be much slower.
  *
- * <p>Tasks of a job differ by half and more, and the first to finish are its shortest. So a machine is not evaluated by single
- * tasks but by all that it does: the time that its tasks took and have run so far, against the time that was expected of them.
+ * <p>Run times of a job's tasks differ by half or more, and the first tasks to complete are the shortest. So a machine is not
+ * evaluated by single tasks but by all of them: the time that its tasks have run, whether complete or not, is compared with the
+ * time that was expected.
  */
 public final class Estimator {
 
-    /** Weight of a new sample; the last handful of tasks decide. */
+    /** Weight of a new sample, at which the last handful of tasks dominate. */
     private static final double SAMPLE_WEIGHT = 0.2;
-    /** Bound of all factors, and its inverse the lower one. */
+    /** Upper bound of all factors; its inverse is the lower bound. */
     private static final double MAX_FACTOR = 8;
-    /** Completed tasks of a job before what they took is believed rather than the job's owner. */
+    /** Number of completed tasks of a job from which on their run times are used instead of the owner's estimate. */
     private static final int MIN_COMPLETED_TASKS = 4;
-    /** Machines that differ by less count as alike: following such differences sends tasks past cached images. */
+    /** A smaller factor counts as 1: preferring slightly faster machines would send tasks away from cached images. */
     private static final double MIN_RELEVANT_FACTOR = 1.5;
-    /** Tasks' worth of evidence before a machine is evaluated. */
+    /** Number of tasks before a machine's factor may differ from 1; a running task counts by the part that it has run. */
     private static final double MIN_EVIDENCE_TASKS = 4;
-    /** Jobs whose run times are remembered, the latest. */
-    private static final int MAX_JOBS = 512;
-    /**
-     * How long a spot instance is expected to last, in seconds: pessimistic on quiet days, since evictions come in waves.
-     */
+    /** Number of jobs whose run times are remembered; the oldest is dropped first. */
+    private static final int MAX_REMEMBERED_JOBS = 512;
+    /** Expected lifetime of a spot instance in seconds. Pessimistic on quiet days, since evictions come in waves. */
     private static final double SPOT_LIFETIME_S = 1800;
 
-    /** What a machine's tasks took and were expected to take, in seconds, and how many they were; old ones fade. */
+    /** A machine's completed tasks: sums of actual and expected seconds and the number, in which old tasks weigh less. */
     private static final class MachineHistory {
-        double tookS;
-        double expectedS;
+        double actualSumS;
+        double expectedSumS;
         double tasks;
         double factor = 1;
     }
 
-    /** What a job's completed tasks took. */
+    /** A job's completed tasks: the sum of the logarithms of their run times in seconds, and their number. */
     private static final class JobHistory {
         double sumOfLogs;
         double tasks;
@@ -49,10 +48,10 @@
     /**
      * A task that is running.
      *
-     * @param job its job
-     * @param ranS seconds that it has run so far
+     * @param job the task's job
+     * @param elapsedS seconds that the task has run so far
      */
-    public record TaskProgress(JobSpec job, double ranS) {}
+    public record TaskProgress(JobSpec job, double elapsedS) {}
 
     private final double slackS;
     private final Map<String, Double> factorByClass = new HashMap<>();
@@ -60,45 +59,45 @@
     private final Map<String, JobHistory> jobs = new LinkedHashMap<>() {
         @Override
         protected boolean removeEldestEntry(Map.Entry<String, JobHistory> eldest) {
-            return size() > MAX_JOBS;
+            return size() > MAX_REMEMBERED_JOBS;
         }
     };
 
-    /** Run times are observed through heartbeats; {@code heartbeatIntervalMs} is how far apart these are. */
+    /** Creates an estimator; {@code heartbeatIntervalMs} is the time between the heartbeats that run times are observed by. */
     public Estimator(long heartbeatIntervalMs) {
         slackS = heartbeatIntervalMs / 1000.0;
     }
 
-    /** Learns that a task of the job ran to completion on the machine in so many seconds. */
-    public void onTaskCompleted(JobSpec job, String machine, double ranS) {
-        if (job.estimateS() <= 0 || ranS <= 0) {
+    /** Records that a task of the job completed on the machine after a run of {@code actualS} seconds. */
+    public void onTaskCompleted(JobSpec job, String machine, double actualS) {
+        if (job.estimateS() <= 0 || actualS <= 0) {
             return;
         }
         MachineHistory history = machines.computeIfAbsent(machine, key -> new MachineHistory());
-        history.tookS = history.tookS * (1 - SAMPLE_WEIGHT) + ranS;
-        history.expectedS = history.expectedS * (1 - SAMPLE_WEIGHT) + expectedS(job) + slackS;
+        history.actualSumS = history.actualSumS * (1 - SAMPLE_WEIGHT) + actualS;
+        history.expectedSumS = history.expectedSumS * (1 - SAMPLE_WEIGHT) + expectedS(job) + slackS;
         history.tasks = history.tasks * (1 - SAMPLE_WEIGHT) + 1;
         double classFactor = factorByClass.getOrDefault(job.jobClass(), 1.0);
-        double correction = Math.pow(clamp(ranS / job.estimateS()) / classFactor, SAMPLE_WEIGHT);
+        double correction = Math.pow(clamp(actualS / job.estimateS()) / classFactor, SAMPLE_WEIGHT);
         factorByClass.put(job.jobClass(), clamp(classFactor * correction));
         JobHistory jobHistory = jobs.computeIfAbsent(job.id(), key -> new JobHistory());
-        jobHistory.sumOfLogs += Math.log(ranS);
+        jobHistory.sumOfLogs += Math.log(actualS);
         jobHistory.tasks++;
     }
 
-    /** Evaluates a machine's speed by what it completed and what runs on it now. */
+    /** Updates a machine's factor from the tasks that it completed and those that run on it now. */
     public void evaluate(String machine, Iterable<TaskProgress> running) {
         MachineHistory history = machines.computeIfAbsent(machine, key -> new MachineHistory());
-        double tookS = history.tookS;
-        double expectedS = history.expectedS;
+        double actualSumS = history.actualSumS;
+        double expectedSumS = history.expectedSumS;
         double tasks = history.tasks;
         for (TaskProgress task : running) {
             double taskExpectedS = expectedS(task.job()) + slackS;
-            tookS += task.ranS();
-            expectedS += Math.min(task.ranS(), taskExpectedS);
-            tasks += Math.min(1, task.ranS() / taskExpectedS);
+            actualSumS += task.elapsedS();
+            expectedSumS += Math.min(task.elapsedS(), taskExpectedS);
+            tasks += Math.min(1, task.elapsedS() / taskExpectedS);
         }
-        history.factor = tasks < MIN_EVIDENCE_TASKS || expectedS <= 0 ? 1 : clamp(tookS / expectedS);
+        history.factor = tasks < MIN_EVIDENCE_TASKS || expectedSumS <= 0 ? 1 : clamp(actualSumS / expectedSumS);
     }
 
     private double expectedS(JobSpec job) {
@@ -108,42 +107,45 @@
                 : Math.exp(history.sumOfLogs / history.tasks);
     }
 
-    /** The estimated run time of a task of the job, in seconds, on a machine of usual speed. */
+    /** Returns the estimated run time in seconds of a task of the job on a machine of normal speed. */
     public double runTimeS(JobSpec job) {
         return expectedS(job);
     }
 
-    /** The estimated run time of a task of the job on the machine, in seconds. */
+    /** Returns the estimated run time in seconds of a task of the job on the machine. */
     public double runTimeS(JobSpec job, String machine) {
         return runTimeS(job, machineFactor(machine));
     }
 
-    /** The same for a machine whose factor is known, so that many jobs and machines take one look-up each. */
+    /** Like {@link #runTimeS(JobSpec, String)}, for callers that look up each machine's factor once for many jobs. */
     double runTimeS(JobSpec job, double machineFactor) {
         return expectedS(job) * machineFactor;
     }
 
-    /** Seconds that a task which has run for so long will still take; one that is late takes a while yet. */
-    public double remainingS(JobSpec job, String machine, double ranS) {
-        return Math.max(runTimeS(job, machine) - ranS, ranS / 4);
+    /**
+     * Returns the estimated seconds until a task completes that has run for {@code elapsedS} seconds on the machine. The result is
+     * at least a quarter of the elapsed time, so that a task that exceeds its estimate isn't expected to complete at once.
+     */
+    public double remainingS(JobSpec job, String machine, double elapsedS) {
+        return Math.max(runTimeS(job, machine) - elapsedS, elapsedS / 4);
     }
 
     /**
-     * What a spot instance costs a task on average, in seconds: the chance that it is evicted meanwhile, times the work that is
-     * lost then. Small for short tasks and for those that write checkpoints, and so enough to send long ones without
-     * checkpoints to ordinary machines while those have capacity.
+     * Returns the expected loss, in seconds, of a task that runs on a spot instance: the probability that the instance is evicted
+     * during the run, times the work that is lost then. The loss is small for short tasks and for tasks that write checkpoints.
+     * It is large enough to send long tasks without checkpoints to on-demand machines while those have capacity.
      */
     static double spotRiskS(JobSpec job, double runS) {
         double atRiskS = job.writesCheckpoints() ? Math.min(runS, job.checkpointS()) : runS;
         return runS / SPOT_LIFETIME_S * (atRiskS / 2 + runS / 4);
     }
 
-    /** Seconds to fetch the job's image on a machine of the type; 0 if its rate isn't known. */
+    /** Returns the seconds to fetch the job's image on a machine of the type; 0 if the type's fetch rate is unknown. */
     static double fetchS(JobSpec job, MachineType type) {
         return type.fetchGbPerS() <= 0 ? 0 : job.imageGb() / type.fetchGbPerS();
     }
 
-    /** How much longer than expected the machine takes, 1 for any that is about as fast as the others. */
+    /** Returns the ratio of actual to expected run times on the machine; 1 for any machine that isn't clearly slow. */
     public double machineFactor(String machine) {
         MachineHistory history = machines.get(machine);
         return history == null || history.factor < MIN_RELEVANT_FACTOR ? 1 : history.factor;
--- a/src/main/java/garnetscale/core/bidding/LateBids.java
+++ b/src/main/java/garnetscale/core/bidding/LateBids.java
@@ -1,30 +1,31 @@
 package garnetscale.core.bidding;
 
 /**
- * The paper's late bid (DSP step 4c): a machine that could finish a task much earlier than the one that it runs on takes it
- * over, if the improvement i = 1 - (tL - t) / (tE - t) exceeds the threshold i0.
+ * The paper's late bids (DSP step 4c): bids for tasks that are running on another machine. The late bidder takes the task over
+ * if the improvement i = 1 - (tL - t) / (tE - t) exceeds the threshold i0, where t is the current time, tE the estimated finish
+ * on the machine that runs the task, and tL the estimated finish on the late bidder.
  */
 public final class LateBids {
 
     /**
-     * The threshold i0. The paper finds its optimum between 0.4 and 0.6; estimates are revised here while a task runs, so the
-     * lower end.
+     * The threshold i0. The paper finds its optimum between 0.4 and 0.6. The lower end is used, since estimates are revised here
+     * while a task runs.
      */
     public static final double MIN_IMPROVEMENT = 0.4;
 
     private LateBids() {}
 
     /**
-     * The improvement i.
+     * Returns the improvement i; 0 if {@code earlierS} isn't positive.
      *
-     * @param earlierS seconds that the machine of the earlier bid, on which the task runs, would still take (tE - t)
-     * @param laterS seconds that the machine of the late bid would take (tL - t)
+     * @param earlierS estimated seconds until the task finishes on the machine that it runs on, the earlier bidder (tE - t)
+     * @param laterS estimated seconds until the task would finish on the late bidder (tL - t)
      */
     public static double improvement(double earlierS, double laterS) {
         return earlierS <= 0 ? 0 : 1 - laterS / earlierS;
     }
 
-    /** Whether the late bid wins; parameters as of {@link #improvement}. */
+    /** Returns whether the late bid wins; the parameters are those of {@link #improvement}. */
     public static boolean accepts(double earlierS, double laterS) {
         return improvement(earlierS, laterS) > MIN_IMPROVEMENT;
     }
--- a/src/main/java/garnetscale/core/job/JobRecord.java
+++ b/src/main/java/garnetscale/core/job/JobRecord.java
@@ -3,12 +3,12 @@
 /**
  * A job as the state service stores it.
  *
- * @param submittedMs time of day of its acceptance in milliseconds, for aging across failovers. Clocks of controllers differ
- *                    within the bound of the settings, so that no safety rule depends on it.
+ * @param submittedMs wall-clock time of the job's acceptance in milliseconds, used for aging across failovers. Controllers'
+ *     clocks differ within the bound of the settings, so no safety rule depends on this time.
  */
 public record JobRecord(JobSpec spec, JobState state, long submittedMs) {
 
-    /** The same job in another state. */
+    /** Returns the same job in another state. */
     public JobRecord withState(JobState next) {
         return new JobRecord(spec, next, submittedMs);
     }
--- a/src/main/java/garnetscale/core/job/JobSpec.java
+++ b/src/main/java/garnetscale/core/job/JobSpec.java
@@ -3,26 +3,26 @@
 import java.util.List;
 
 /**
- * What a user submitted. Lists and texts that the protocol allows to be null are null here too, so that "any type" and "no
- * type" stay different.
+ * A job as a user submitted it. Lists and texts that the protocol allows to be null are null here too, so that "any type" and
+ * "no type" stay different.
  *
- * @param jobClass         the class of jobs by which run times are estimated
- * @param team             the team whose quota it uses
- * @param tasks            how many tasks the job array has
- * @param cpus             CPUs of one task
- * @param gpus             GPUs of one task
- * @param memoryGb         memory of one task
- * @param types            the machine types that it may run on, null for any
- * @param zone             the zone that it must run in, null for any
- * @param zoneAffinity     whether all tasks have to run in one zone
- * @param zoneAntiAffinity whether tasks have to be spread over zones
- * @param spot             whether it may run on spot instances
- * @param image            the image that its tasks need
- * @param imageGb          size of the image
- * @param estimateS        the user's estimate of a task's run time in seconds
- * @param checkpointS      seconds between checkpoints, 0 when it writes none
- * @param checkpointWriteS seconds that writing a checkpoint takes
- * @param deadlineS        seconds within which the user wants it done, null for no deadline
+ * @param jobClass the class of the job; run times are estimated by class
+ * @param team the team whose quota the job uses
+ * @param tasks the number of tasks in the job array
+ * @param cpus CPUs of one task
+ * @param gpus GPUs of one task
+ * @param memoryGb memory of one task in GB
+ * @param types the machine types that the job may run on, null for any
+ * @param zone the zone that the job must run in, null for any
+ * @param zoneAffinity whether all tasks must run in one zone
+ * @param zoneAntiAffinity whether tasks must be spread over zones
+ * @param spot whether the job may run on spot instances
+ * @param image the image that the tasks need
+ * @param imageGb size of the image in GB
+ * @param estimateS the user's estimate of a task's run time in seconds
+ * @param checkpointS seconds between two checkpoints of a task, 0 if tasks write none
+ * @param checkpointWriteS seconds that a task takes to write a checkpoint
+ * @param deadlineS seconds from submission within which the user wants the job done, null for no deadline
  */
 public record JobSpec(
         String id,
@@ -45,17 +45,17 @@
         double checkpointWriteS,
         Double deadlineS) {
 
-    /** Whether it may run on machines of a type. */
+    /** Returns whether the job may run on machines of the type. */
     public boolean allowsType(String type) {
         return types == null || types.contains(type);
     }
 
-    /** Whether it may run in a zone. */
+    /** Returns whether the job may run in the zone. */
     public boolean allowsZone(String candidate) {
         return zone == null || zone.equals(candidate);
     }
 
-    /** Whether its tasks write checkpoints; else a task that is stopped loses all its work. */
+    /** Returns whether the job's tasks write checkpoints; a task without them loses all its work when it is stopped. */
     public boolean writesCheckpoints() {
         return checkpointS > 0;
     }
--- a/src/main/java/garnetscale/core/job/JobState.java
+++ b/src/main/java/garnetscale/core/job/JobState.java
@@ -1,12 +1,12 @@
 package garnetscale.core.job;
 
-/** The state of a job. The two terminal states exclude each other: either is only written over LIVE. */
+/** The state of a job. The two terminal states are mutually exclusive: each is written only over LIVE. */
 public enum JobState {
     LIVE,
     DONE,
     CANCELLED;
 
-    /** Whether the state is final. */
+    /** Returns whether the state is final. */
     public boolean isTerminal() {
         return this != LIVE;
     }
--- a/src/main/java/garnetscale/core/job/Priority.java
+++ b/src/main/java/garnetscale/core/job/Priority.java
@@ -1,6 +1,6 @@
 package garnetscale.core.job;
 
-/** How urgent a job is; the order of the constants is the order in the queue, most urgent first. */
+/** The priority of a job. Constants are in queue order, most urgent first. */
 public enum Priority {
     CRITICAL,
     HIGH,
--- a/src/main/java/garnetscale/core/job/TaskId.java
+++ b/src/main/java/garnetscale/core/job/TaskId.java
@@ -3,17 +3,17 @@
 /**
  * A task of a job array.
  *
- * @param index its number in the job, from 0
+ * @param index the task's number in the job, from 0
  */
 public record TaskId(String job, int index) {
 
-    /** The most characters that the slash and the number may have together; seven digits cannot overflow. */
-    private static final int MAX_SUFFIX = 8;
+    /** The most characters of the slash and the index together: an index of seven digits can't overflow an int. */
+    private static final int MAX_SUFFIX_LENGTH = 8;
 
-    /** Reads the form {@code wk-000412/3}; null for anything else, since heartbeats come from outside. */
+    /** Parses the form {@code wk-000412/3}; returns null for any other text, since heartbeats come from outside. */
     public static TaskId parse(String text) {
         int slash = text.lastIndexOf('/');
-        if (slash <= 0 || slash == text.length() - 1 || text.length() - slash > MAX_SUFFIX) {
+        if (slash <= 0 || slash == text.length() - 1 || text.length() - slash > MAX_SUFFIX_LENGTH) {
             return null;
         }
         int index = 0;
--- a/src/main/java/garnetscale/core/queue/JobQueue.java
+++ b/src/main/java/garnetscale/core/queue/JobQueue.java
@@ -7,13 +7,13 @@
 import java.util.List;
 
 /**
- * The queue of one machine: the jobs with unstarted tasks that the machine may run, head first. A queue is cheap to make anew
- * from the replica, and so it is made anew rather than patched: after any failure it is right again by itself. Machines of one
- * type and zone that are alike spot instances or not have the same queue.
+ * The queue of one machine: the jobs with unstarted tasks that the machine may run, head first. A queue is rebuilt from the
+ * replica each time rather than updated, since that is cheap and makes it correct again after any failure. Machines of one type
+ * and zone that are all spot instances or all on demand have the same queue.
  */
 public final class JobQueue {
 
-    /** A job with its sort key, which is computed once. */
+    /** A job with its sort key, so that the key is computed once per job. */
     private record KeyedJob(double key, JobView job) {}
 
     private JobQueue() {}
@@ -23,7 +23,7 @@
         List<KeyedJob> keyed = new ArrayList<>();
         for (JobView job : all) {
             if (job.isLive() && job.unstartedCount() > 0) {
-                keyed.add(new KeyedJob(order.key(job, nowMs), job));
+                keyed.add(new KeyedJob(order.sortKey(job, nowMs), job));
             }
         }
         keyed.sort((first, second) -> {
@@ -37,7 +37,7 @@
         return sorted;
     }
 
-    /** Whether a machine of the given type and zone, spot instance or not, has such a job in its queue. */
+    /** Returns whether a machine of the given type and zone, spot instance or not, may run the job. */
     public static boolean allows(MachineType type, String zone, boolean spot, JobSpec job) {
         return type.fits(job) && job.allowsZone(zone) && (!spot || job.spot());
     }
--- a/src/main/java/garnetscale/core/queue/ScarceTypeFilter.java
+++ b/src/main/java/garnetscale/core/queue/ScarceTypeFilter.java
@@ -12,25 +12,28 @@
 import java.util.Set;
 
 /**
- * Keeps scarce machine types for the jobs that can run nowhere else. By the plain order an urgent small job takes the capacity
- * of a large machine although small ones would do, and a large job behind it, which fits no other type, waits for it to end.
- * So a machine doesn't bid for a job that has the choice while one that hasn't waits for its type; a job whose waiting
- * objective is in danger has every machine again. Only a job that has started and is less urgent than the waiting one yields
- * the type for as long as that waits: idle work of hundreds of long tasks would fill all of it.
+ * Keeps scarce machine types for the jobs that can run nowhere else. In plain queue order, an urgent small job takes the
+ * capacity of a large machine although a small machine would do, and a large job behind it, which fits no other type, waits
+ * until the small job ends. So a machine doesn't bid for a job that fits further types while a job that fits fewer types waits
+ * for the machine's type.
+ *
+ * <p>A job yields in this way only until its start objective is in danger; then every machine may bid for it again. The
+ * exception is a job that has started and is less urgent than the waiting one: it yields as long as the other waits. Otherwise
+ * background work of hundreds of long tasks would fill all machines of the type.
  */
 public final class ScarceTypeFilter {
 
-    /** The share of its waiting objective for which a job yields scarce types to others. */
+    /** A job yields scarce types for this share of the time in its start objective. */
     private static final double YIELD_SHARE = 0.5;
-    /** How long a job without a waiting objective yields them. */
+    /** Seconds for which a job without a start objective yields scarce types. */
     private static final double DEFAULT_YIELD_S = 10;
 
     private final Map<String, Double> yieldSByClass = new HashMap<>();
     private final Map<String, Set<String>> fittingTypesByJob = new HashMap<>();
-    /** The different sets of types that waiting jobs fit, with the most urgent priority of each: few, however many wait. */
+    /** The distinct sets of types that waiting jobs fit, with the most urgent priority of each: few, however many jobs wait. */
     private final Map<Set<String>, Priority> mostUrgentByTypes = new HashMap<>();
 
-    /** Takes the waiting objectives from the configuration. */
+    /** Creates a filter without waiting jobs for the start objectives of the configuration. */
     public ScarceTypeFilter(SchedulerConfig config) {
         for (SchedulerConfig.ServiceLevelObjective objective : config.objectives()) {
             if (objective.kind() == SchedulerConfig.ObjectiveKind.START) {
@@ -39,7 +42,7 @@
         }
     }
 
-    /** Replaces the waiting jobs that {@link #mayBid} goes by. */
+    /** Replaces the waiting jobs that {@link #mayBid} considers. */
     public void refresh(List<MachineType> types, List<JobView> waiting) {
         fittingTypesByJob.clear();
         mostUrgentByTypes.clear();
@@ -56,8 +59,10 @@
     }
 
     /**
-     * Whether a machine of the type may bid for the job, with {@code nowMs} as time of day: no waiting job that must have it
-     * has less choice. Always true for a job that wasn't among the waiting ones.
+     * Returns whether a machine of the type may bid for the job, that is, whether the job needn't yield the type to a waiting job
+     * that fits fewer types. Always true for a job that wasn't among the waiting jobs at the last {@link #refresh}.
+     *
+     * @param nowMs wall-clock time in milliseconds
      */
     public boolean mayBid(JobView job, MachineType type, long nowMs) {
         JobSpec spec = job.spec();
@@ -69,10 +74,10 @@
         boolean isYielding = nowMs - job.job().submittedMs() <= 1000 * yieldS;
         boolean hasStarted = job.placedCount() + job.finishedCount() > 0;
         for (Map.Entry<Set<String>, Priority> entry : mostUrgentByTypes.entrySet()) {
-            Set<String> others = entry.getKey();
-            if (others.size() < fitting.size()
-                    && others.contains(type.name())
-                    && fitting.containsAll(others)
+            Set<String> otherFitting = entry.getKey();
+            if (otherFitting.size() < fitting.size()
+                    && otherFitting.contains(type.name())
+                    && fitting.containsAll(otherFitting)
                     && (isYielding || hasStarted && entry.getValue().compareTo(spec.priority()) < 0)) {
                 return false;
             }
--- a/src/main/java/garnetscale/core/quota/QuotaUsage.java
+++ b/src/main/java/garnetscale/core/quota/QuotaUsage.java
@@ -9,13 +9,13 @@
 import java.util.Map;
 
 /**
- * CPUs and GPUs that each team uses. A task counts from its award until its placement is freed on proof, so also while it
- * fetches its image, writes a checkpoint or can't be reached: the limit holds for what may be running, not for what is known
- * to run.
+ * CPUs and GPUs that each team uses. A task counts from its award until its placement is freed, which takes proof that the task
+ * has terminated. So it also counts while it fetches its image, writes a checkpoint or can't be reached: the limit applies to
+ * tasks that may be running, not only to those that are known to run.
  */
 public final class QuotaUsage {
 
-    /** Resources of one team's placements. */
+    /** Resources that one team's placements take. */
     private static final class Usage {
         double cpus;
         double gpus;
@@ -24,12 +24,12 @@
     private final Map<String, SchedulerConfig.Team> teams;
     private final Map<String, Usage> usageByTeam = new HashMap<>();
 
-    /** Nothing is used yet; {@code teams} have their guarantees and limits, by name. */
+    /** Creates a usage of zero; {@code teams} are the guarantees and limits by team name. */
     public QuotaUsage(Map<String, SchedulerConfig.Team> teams) {
         this.teams = teams;
     }
 
-    /** Counts every placement in the replica. */
+    /** Returns the usage of all placements in the replica. */
     public static QuotaUsage of(SchedulerConfig config, StateReplica replica) {
         QuotaUsage usage = new QuotaUsage(config.teams());
         for (JobView job : replica.jobs()) {
@@ -38,14 +38,14 @@
         return usage;
     }
 
-    /** Counts {@code tasks} more tasks of the job; a negative number frees them. */
+    /** Adds the resources of {@code tasks} tasks of the job; a negative number subtracts them. */
     public void add(JobSpec job, int tasks) {
         Usage usage = usageByTeam.computeIfAbsent(job.team(), team -> new Usage());
         usage.cpus += tasks * job.cpus();
         usage.gpus += tasks * job.gpus();
     }
 
-    /** Whether one more task of the job stays within its team's limit; false for an unknown team. */
+    /** Returns whether one more task of the job stays within its team's limit; false for an unknown team. */
     public boolean allows(JobSpec job) {
         SchedulerConfig.Team team = teams.get(job.team());
         if (team == null) {
@@ -55,7 +55,7 @@
                 && gpus(job.team()) + job.gpus() <= team.gpusMax() + MachineType.EPSILON;
     }
 
-    /** Whether the job's team uses more than its guarantee, so that its tasks may be preempted for other teams. */
+    /** Returns whether the job's team uses more than its guarantee, so that its tasks may be preempted for other teams. */
     public boolean borrows(JobSpec job) {
         SchedulerConfig.Team team = teams.get(job.team());
         return team != null
@@ -63,7 +63,7 @@
                         || gpus(job.team()) > team.gpus() + MachineType.EPSILON);
     }
 
-    /** Whether one more task of the job is within its team's guarantee. */
+    /** Returns whether one more task of the job is within its team's guarantee; false for an unknown team. */
     public boolean guarantees(JobSpec job) {
         SchedulerConfig.Team team = teams.get(job.team());
         return team != null
@@ -71,13 +71,13 @@
                 && (job.gpus() == 0 || gpus(job.team()) + job.gpus() <= team.gpus() + MachineType.EPSILON);
     }
 
-    /** CPUs that the team uses. */
+    /** Returns the CPUs that the team uses. */
     public double cpus(String team) {
         Usage usage = usageByTeam.get(team);
         return usage == null ? 0 : usage.cpus;
     }
 
-    /** GPUs that the team uses. */
+    /** Returns the GPUs that the team uses. */
     public double gpus(String team) {
         Usage usage = usageByTeam.get(team);
         return usage == null ? 0 : usage.gpus;
