--- a/src/main/java/garnetscale/core/autoscaling/Autoscaler.java
+++ b/src/main/java/garnetscale/core/autoscaling/Autoscaler.java
@@ -16,14 +16,15 @@
 import java.util.function.Consumer;
 
 /**
- * Scales the cluster out and in, for the leader. One call to the cloud is under way at a time; the next one is worked out
- * anew from the demand in the replica and from the machines that exist or boot. All times are milliseconds of a steady clock.
+ * Scales the cluster out and in on behalf of the leader. Only one call to the cloud is in flight at a time. Each call is computed
+ * from scratch, from the demand in the replica and the machines that exist or are booting. All times are milliseconds of a steady
+ * clock.
  */
 public final class Autoscaler {
 
     private static final long TYPES_INTERVAL_MS = 60_000;
-    /** A fifth more than the rate limit's interval, in milliseconds. */
-    private static final double SPACING_MS = 1200;
+    /** Milliseconds between calls at a limit of one request per second: a fifth more than the limit requires. */
+    private static final double SPACING_MS_AT_1_RPS = 1200;
 
     private final SchedulerConfig config;
     private final StateReplica replica;
@@ -33,11 +34,11 @@
     private final ScaleOutPlanner scaleOutPlanner;
     private final IdleInstances idleInstances;
     private final StuckInstances stuckInstances;
-    private long wallOffset;
+    private long wallClockOffsetMs;
     private long typesRequestedAt = Times.NEVER;
-    private boolean deletedLast;
+    private boolean wasLastCallDelete;
 
-    /** {@code log} is told each decision, for the operators' log. */
+    /** Creates an autoscaler; {@code log} receives a line for each decision, for the operators' log. */
     public Autoscaler(SchedulerConfig config, StateReplica replica, Consumer<String> log) {
         this.config = config;
         this.replica = replica;
@@ -49,7 +50,7 @@
         stuckInstances = new StuckInstances(config, replica, instances, offerings, log);
     }
 
-    /** A new leader starts from the cloud's instance list; what an earlier one had under way shows there. */
+    /** Starts a leader's term with the cloud's instance list, which shows the launches that an earlier leader had in flight. */
     public void start(long now, long leaderTerm) {
         instances.start(now);
         scaleOutPlanner.start(leaderTerm);
@@ -57,45 +58,45 @@
         stuckInstances.start(now);
     }
 
-    /** Sets what to add to the steady clock for wall-clock time, in milliseconds. */
-    public void setWallClockOffset(long offset) {
-        wallOffset = offset;
+    /** Sets the milliseconds to add to the steady clock's time to get wall-clock time. */
+    public void setWallClockOffset(long offsetMs) {
+        wallClockOffsetMs = offsetMs;
     }
 
-    /** The time between two calls, so that the cloud never has to refuse one for its rate. */
+    /** Returns the milliseconds between two calls that keep the cloud from refusing a call for its rate. */
     public long spacingMs() {
-        return Math.round(SPACING_MS / config.cloudRequestsPerS());
+        return Math.round(SPACING_MS_AT_1_RPS / config.cloudRequestsPerS());
     }
 
     /**
-     * The next call to make, or null.
+     * Returns the next call to make, or null if there is none.
      *
-     * @param heartbeating   machines that have sent heartbeats
-     * @param decommissioned machines without tasks that are to be deleted
-     * @param suspects       jobs that fail wherever they run
+     * @param heartbeating machines that have sent heartbeats
+     * @param decommissioned ids of machines without tasks that are to be deleted
+     * @param suspects ids of jobs that fail on every machine
      */
     public CloudCall next(
             long now, Collection<MachineStatus> heartbeating, List<String> decommissioned, Set<String> suspects) {
         CloudCall listing = nextListing(now);
-        if (listing != null || !instances.everListed()) {
+        if (listing != null || !instances.hasCompleteList()) {
             return listing;
         }
         Map<String, MachineStatus> statuses = new HashMap<>();
         heartbeating.forEach(status -> statuses.put(status.machine(), status));
         List<Capacity> capacity = new ArrayList<>();
         CloudCall call = null;
-        // Deletes and launches take turns: a wave of lost machines brings deletes for half a minute, and their
-        // replacements can't wait so long.
-        if (deletedLast) {
+        // Deletes and launches alternate: a wave of lost machines causes deletes for half a minute, and the launch of
+        // replacements can't wait that long.
+        if (wasLastCallDelete) {
             call = scaleOut(now, statuses, capacity, suspects);
         }
         if (call == null) {
             call = decommissioned.isEmpty() ? stuckInstances.next(now, statuses) : delete(decommissioned);
         }
-        if (call == null && !deletedLast) {
+        if (call == null && !wasLastCallDelete) {
             call = scaleOut(now, statuses, capacity, suspects);
         }
-        deletedLast = call instanceof CloudCall.ScaleIn;
+        wasLastCallDelete = call instanceof CloudCall.ScaleIn;
         return call != null || capacity.isEmpty() ? call : idleInstances.next(now, capacity, statuses);
     }
 
@@ -116,7 +117,7 @@
         return new CloudCall.ScaleIn(List.copyOf(machines.subList(0, count)));
     }
 
-    /** The next launch, or null; fills {@code capacity} with the machines that exist or boot, and marks those in use. */
+    /** Returns the next launch, or null; fills {@code capacity} with the machines that exist or boot, and marks those in use. */
     private CloudCall scaleOut(
             long now, Map<String, MachineStatus> statuses, List<Capacity> capacity, Set<String> suspects) {
         stuckInstances.retainSilent(statuses);
@@ -124,44 +125,47 @@
             return null;
         }
         capacity.addAll(demand.capacity(statuses));
-        return scaleOutPlanner.next(now, demand.missing(now, now + wallOffset, capacity, suspects));
+        return scaleOutPlanner.next(now, demand.missing(now, now + wallClockOffsetMs, capacity, suspects));
     }
 
-    /** The cloud's machine types with their present prices. */
+    /** Receives the cloud's machine types with their current prices. */
     public void onTypes(List<MachineType> types) {
         offerings.onTypes(types);
     }
 
-    /** A page of the instance list arrived; when there are more, the next call asks for the next one. */
-    public void onPage(long now, List<CloudInstance> page, boolean more) {
-        for (CloudInstance dropped : instances.onPage(now, page, more)) {
-            // Its capacity is free again, however often the offering was refused.
-            offerings.admit(new Offering(dropped.type(), dropped.zone(), dropped.spot()));
+    /** Receives a page of the instance list; if there are more pages, the next call requests the next page. */
+    public void onPage(long now, List<CloudInstance> page, boolean hasMore) {
+        for (CloudInstance dropped : instances.onPage(now, page, hasMore)) {
+            // The instance's capacity is free again, however often the offering was refused.
+            offerings.endBackoff(new Offering(dropped.type(), dropped.zone(), dropped.spot()));
         }
     }
 
-    /** The cloud's answer to a launch: ids of the new instances, fewer than requested where its capacity is used up. */
+    /** Receives the ids of launched instances, which are fewer than requested if the cloud's capacity is exhausted. */
     public void onScaledOut(long now, CloudCall.ScaleOut call, List<String> ids) {
         scaleOutPlanner.onScaledOut(now, call, ids);
     }
 
-    /** A launch was refused, or got no answer. */
+    /** Receives the failure of a launch that was refused or got no answer. */
     public void onRefused(long now, CloudCall.ScaleOut call) {
         scaleOutPlanner.onRefused(now, call);
     }
 
-    /** The cloud confirmed that these machines are deleted. */
+    /** Receives the cloud's confirmation that these machines are deleted. */
     public void onDeleted(List<String> ids) {
         instances.onDeleted(ids);
         idleInstances.onDeleted(ids);
     }
 
-    /** Running machines by the cloud's instance list, with their addresses. */
+    /** Returns the machines that are running according to the cloud's instance list, with their addresses. */
     public List<MachineAddress> machineDirectory() {
         return instances.addresses();
     }
 
-    /** Machines that left the instance list so long ago that their agents must have stopped all tasks; each is returned once. */
+    /**
+     * Returns machines that left the instance list so long ago that their agents must have stopped all tasks. Each machine is
+     * returned only once.
+     */
     public List<String> takeVanishedInstances(long now, Collection<MachineStatus> heartbeating) {
         Set<String> reachable = new HashSet<>();
         for (MachineStatus status : heartbeating) {
@@ -172,7 +176,7 @@
         return instances.takeVanished(now, reachable);
     }
 
-    /** Machines that the cloud lists as failed: no task runs there. */
+    /** Returns the machines that the cloud lists as failed; no task runs on them. */
     public List<String> failedInstances() {
         return instances.failed();
     }
--- a/src/main/java/garnetscale/core/autoscaling/Capacity.java
+++ b/src/main/java/garnetscale/core/autoscaling/Capacity.java
@@ -5,7 +5,7 @@
 import garnetscale.core.machine.MachineType;
 import garnetscale.core.queue.JobQueue;
 
-/** A machine that exists, is booting or is only planned, with the resources that the demand has left free on it. */
+/** A machine that exists, is booting or is only planned, with the resources that placements and the demand leave free on it. */
 final class Capacity {
 
     final String id;
@@ -13,7 +13,7 @@
     final String zone;
     final boolean spot;
     final FreeCapacity free;
-    /** Whether placements or the present demand use any of it. */
+    /** Whether placements or the current demand use any of the machine's resources. */
     boolean used;
 
     Capacity(String id, MachineType type, String zone, boolean spot, FreeCapacity free) {
@@ -28,12 +28,12 @@
         return JobQueue.allows(type, zone, spot, job);
     }
 
-    /** Whether fewer than {@code cpus} CPUs are free. */
+    /** Returns whether fewer than {@code cpus} CPUs are free. */
     boolean isFull(double cpus) {
         return free.cpus() + MachineType.EPSILON < cpus;
     }
 
-    /** Reserves resources for up to {@code tasks} tasks of the job; returns for how many. */
+    /** Reserves resources for up to {@code tasks} tasks of the job, and returns the number of tasks that fit. */
     int fill(JobSpec job, int tasks) {
         if (!allows(job)) {
             return 0;
--- a/src/main/java/garnetscale/core/autoscaling/CloudInstance.java
+++ b/src/main/java/garnetscale/core/autoscaling/CloudInstance.java
@@ -1,10 +1,10 @@
 package garnetscale.core.autoscaling;
 
 /**
- * A machine as the cloud's instance list shows it. Lists are delayed, and one may be older than the one before it.
+ * An instance as the cloud's instance list shows it. Lists are delayed, and a list may be older than the previous one.
  *
- * @param address where its agent is reached; empty while it boots
- * @param ageS    seconds since its launch, at the time of the list
+ * @param address address of the instance's agent; empty while the instance boots
+ * @param ageS seconds from the launch of the instance to the time of the list
  */
 public record CloudInstance(
         String id, String address, String type, String zone, boolean spot, State state, double ageS) {
--- a/src/main/java/garnetscale/core/autoscaling/DemandPlanner.java
+++ b/src/main/java/garnetscale/core/autoscaling/DemandPlanner.java
@@ -17,10 +17,10 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Packs the demand onto the capacity that exists or boots, and counts the instances that are missing for the rest. */
+/** Packs the demand onto the capacity that exists or is booting, and counts the instances that are missing for the rest. */
 final class DemandPlanner {
 
-    /** Capacity to keep free, as a share of the placed tasks, so that new jobs don't wait for a boot. */
+    /** Tasks for which to keep capacity free, as a ratio to placed tasks, so that new jobs don't wait for a boot. */
     private static final double HEADROOM = 0.5;
 
     private final SchedulerConfig config;
@@ -39,7 +39,7 @@
         this.freeCapacity = new FreeCapacityCache(replica);
     }
 
-    /** The machines that take tasks, with what placements leave free on them, then the instances that boot. */
+    /** Returns the machines that take tasks, with the resources that placements leave free, then the booting instances. */
     List<Capacity> capacity(Map<String, MachineStatus> statuses) {
         List<Capacity> capacity = new ArrayList<>();
         for (MachineStatus status : statuses.values()) {
@@ -72,18 +72,18 @@
     }
 
     /**
-     * The instances to launch, by offering, in the order in which the demand asked for them; marks what the demand uses of
-     * {@code capacity}. Waiting tasks come first, in the queue's order and within quotas, then the headroom.
+     * Returns the numbers of instances to launch, by offering, in the order in which the demand needs them. Marks the machines in
+     * {@code capacity} that the demand uses. Waiting tasks are packed first, in queue order and within quotas, then the headroom.
      *
-     * @param wallNow  wall-clock time, which the order of jobs depends on
-     * @param suspects jobs that fail wherever they run: they count as one task at most
+     * @param wallClockMs wall-clock time in milliseconds, which the order of jobs depends on
+     * @param suspects ids of jobs that fail on every machine; each counts as one task at most
      */
-    Map<Offering, Integer> missing(long now, long wallNow, List<Capacity> capacity, Set<String> suspects) {
+    Map<Offering, Integer> missing(long now, long wallClockMs, List<Capacity> capacity, Set<String> suspects) {
         QuotaUsage quota = QuotaUsage.of(config, replica);
         List<Capacity> open = new ArrayList<>(capacity);
         double smallestCpus = smallestTaskCpus();
         Map<Offering, Integer> missing = new LinkedHashMap<>();
-        for (JobView job : JobQueue.sort(replica.jobs(), order, wallNow)) {
+        for (JobView job : JobQueue.sort(replica.jobs(), order, wallClockMs)) {
             int tasks = takeQuota(job, suspects, quota);
             open.removeIf(machine -> machine.isFull(smallestCpus));
             cover(now, job.spec(), tasks, open, missing);
@@ -116,7 +116,7 @@
         return tasks;
     }
 
-    /** Packs tasks onto open capacity, and plans instances for those that find none. */
+    /** Packs tasks onto open capacity, and plans instances for the tasks that don't fit there. */
     private void cover(long now, JobSpec job, int tasks, List<Capacity> open, Map<Offering, Integer> missing) {
         int left = tasks;
         for (int i = 0; i < open.size() && left > 0; i++) {
--- a/src/main/java/garnetscale/core/autoscaling/IdleInstances.java
+++ b/src/main/java/garnetscale/core/autoscaling/IdleInstances.java
@@ -8,13 +8,14 @@
 import java.util.Map;
 import java.util.function.Consumer;
 
-/** Scales in machines that the demand hasn't used for several boot times, so that bursts don't make machines come and go. */
+/** Scales in machines that the demand hasn't used for several boot times, so that bursts don't cause repeated launches. */
 final class IdleInstances {
 
     private static final double IDLE_BASE_S = 60;
-    private static final double IDLE_BOOTS = 4;
-    /** One call deletes one machine and this part of all, since other calls wait meanwhile. */
-    private static final int PART_PER_CALL = 64;
+    /** Boot times of its type that a machine must have been idle, in addition to {@link #IDLE_BASE_S}. */
+    private static final double IDLE_BOOT_TIMES = 4;
+    /** A call deletes at most one machine plus all machines divided by this, since other calls wait meanwhile. */
+    private static final int DELETES_PER_CALL_DIVISOR = 64;
 
     private final Consumer<String> log;
     private final Map<String, Long> idleSince = new HashMap<>();
@@ -33,14 +34,14 @@
         }
     }
 
-    /** Deletes the machines that have been idle longest, or null; {@code capacity} is marked with what the demand uses. */
+    /** Returns a call to delete the machines idle longest, or null; {@code capacity} marks the machines that the demand uses. */
     CloudCall next(long now, List<Capacity> capacity, Map<String, MachineStatus> statuses) {
         List<String> idle = new ArrayList<>();
         for (Capacity machine : capacity) {
             if (machine.used || !statuses.containsKey(machine.id)) {
                 idleSince.remove(machine.id);
             } else if (now - idleSince.computeIfAbsent(machine.id, id -> now)
-                    > 1000 * (IDLE_BASE_S + IDLE_BOOTS * machine.type.bootS())) {
+                    > 1000 * (IDLE_BASE_S + IDLE_BOOT_TIMES * machine.type.bootS())) {
                 idle.add(machine.id);
             }
         }
@@ -48,7 +49,8 @@
             return null;
         }
         idle.sort(Comparator.comparing(idleSince::get));
-        List<String> chosen = List.copyOf(idle.subList(0, Math.min(idle.size(), 1 + statuses.size() / PART_PER_CALL)));
+        List<String> chosen =
+                List.copyOf(idle.subList(0, Math.min(idle.size(), 1 + statuses.size() / DELETES_PER_CALL_DIVISOR)));
         log.accept("scaling in idle machines, machines=" + String.join(",", chosen));
         return new CloudCall.ScaleIn(chosen);
     }
--- a/src/main/java/garnetscale/core/autoscaling/InstanceList.java
+++ b/src/main/java/garnetscale/core/autoscaling/InstanceList.java
@@ -15,7 +15,7 @@
 import java.util.Set;
 import java.util.TreeMap;
 
-/** The cloud's instances: those of its last complete list, those launched since, and those that left the list. */
+/** The cloud's instances: those in its last complete list, those launched since, and those that have left the list. */
 final class InstanceList {
 
     private static final long MIN_LIST_INTERVAL_MS = 2000;
@@ -23,15 +23,17 @@
     private final SchedulerConfig config;
     private final Map<String, CloudInstance> listed = new TreeMap<>();
     private final Map<String, Long> firstListedAt = new HashMap<>();
-    /** Launched by this leader and not listed yet. */
+    /** Instances that this leader launched and that no list has shown yet. */
     private final Map<String, CloudInstance> launched = new LinkedHashMap<>();
 
     private final Map<String, Long> launchedAt = new HashMap<>();
     private final Set<String> deleted = new HashSet<>();
     private final Map<String, Long> unlistedSince = new HashMap<>();
     private final Deque<CloudCall> pageRequests = new ArrayDeque<>();
-    private List<CloudInstance> pages = new ArrayList<>();
-    private boolean everListed;
+    /** Instances on the pages of the list that is being read. */
+    private List<CloudInstance> pendingInstances = new ArrayList<>();
+
+    private boolean hasCompleteList;
     private long listRequestedAt = Times.NEVER;
     private long startedAt;
 
@@ -39,7 +41,7 @@
         this.config = config;
     }
 
-    /** Forgets everything: a new leader knows only what it lists itself. */
+    /** Clears all state: a new leader uses only lists that it has read itself. */
     void start(long now) {
         startedAt = now;
         listed.clear();
@@ -49,45 +51,45 @@
         deleted.clear();
         unlistedSince.clear();
         pageRequests.clear();
-        pages = new ArrayList<>();
-        everListed = false;
+        pendingInstances = new ArrayList<>();
+        hasCompleteList = false;
         listRequestedAt = Times.NEVER;
     }
 
-    /** The request for the next page of the list that is being read, or null. */
+    /** Returns the request for the next page of the list that is being read, or null if there is none. */
     CloudCall nextPageRequest() {
         return pageRequests.poll();
     }
 
-    /** Whether the list is to be read again. */
+    /** Returns whether it is time to read the list again. */
     boolean isListDue(long now) {
         return now - listRequestedAt > Math.max(MIN_LIST_INTERVAL_MS, config.instanceListLagMs() / 2);
     }
 
-    /** The request for the first page; the pages of an unfinished list are dropped. */
+    /** Returns the request for the first page, and discards the pages of an unfinished list. */
     CloudCall listRequest(long now) {
         listRequestedAt = now;
-        pages = new ArrayList<>();
+        pendingInstances = new ArrayList<>();
         return new CloudCall.ListInstances("");
     }
 
-    /** Whether this leader has read a complete list. */
-    boolean everListed() {
-        return everListed;
+    /** Returns whether this leader has read a complete list. */
+    boolean hasCompleteList() {
+        return hasCompleteList;
     }
 
-    /** Adds a page; when it completes the list, returns the instances that the list before still had. */
-    Collection<CloudInstance> onPage(long now, List<CloudInstance> page, boolean more) {
-        pages.addAll(page);
-        if (more && !page.isEmpty()) {
+    /** Adds a page. If it completes the list, returns the instances of the previous list that are missing from this one. */
+    Collection<CloudInstance> onPage(long now, List<CloudInstance> page, boolean hasMore) {
+        pendingInstances.addAll(page);
+        if (hasMore && !page.isEmpty()) {
             pageRequests.addFirst(
                     new CloudCall.ListInstances(page.get(page.size() - 1).id()));
             return List.of();
         }
-        everListed = true;
+        hasCompleteList = true;
         Map<String, CloudInstance> dropped = new HashMap<>(listed);
         listed.clear();
-        for (CloudInstance instance : pages) {
+        for (CloudInstance instance : pendingInstances) {
             if (!deleted.contains(instance.id())) {
                 listed.put(instance.id(), instance);
                 firstListedAt.putIfAbsent(instance.id(), now);
@@ -116,12 +118,12 @@
         }
     }
 
-    /** Instances of the last complete list that haven't been deleted, by id. */
+    /** Returns the instances of the last complete list that haven't been deleted, ordered by id. */
     Collection<CloudInstance> listed() {
         return listed.values();
     }
 
-    /** Instances that were launched and that no list has shown yet, in the order of their launch. */
+    /** Returns the launched instances that no list has shown yet, in launch order. */
     Collection<CloudInstance> launched() {
         return launched.values();
     }
@@ -130,15 +132,16 @@
         return deleted.contains(id);
     }
 
-    /** Seconds since the launch of a listed instance. */
+    /** Returns the seconds since the launch of a listed instance. */
     double ageS(long now, CloudInstance instance) {
         return instance.ageS() + (now - firstListedAt.getOrDefault(instance.id(), now)) / 1000.0;
     }
 
     /**
-     * Whether an instance has left the list for good. This tells a wave of preempted spot instances from a network partition:
-     * to delete a terminated instance costs nothing and frees its placements at once, where a new partition owner would wait
-     * until the fence has passed. Lists are delayed and one may be older than the one before it, hence the time.
+     * Returns whether an instance has left the list for good. This distinguishes a wave of preempted spot instances from a
+     * network partition: deleting a terminated instance costs nothing and frees its placements at once, whereas a new partition
+     * owner would have to wait for the fencing delay. Lists are delayed, and a list may be older than the previous one, so an
+     * instance counts as gone only after it has been missing for some time.
      */
     boolean isUnlisted(long now, String id) {
         if (listed.containsKey(id) || launched.containsKey(id)) {
@@ -150,7 +153,7 @@
                 : now - startedAt > 4 * config.instanceListLagMs();
     }
 
-    /** Removes and returns the instances that left the list so long ago that their agent must have stopped its tasks. */
+    /** Removes and returns the instances that left the list so long ago that their agents must have stopped all tasks. */
     List<String> takeVanished(long now, Set<String> heartbeating) {
         List<String> ids = new ArrayList<>();
         unlistedSince.forEach((id, since) -> {
@@ -163,7 +166,7 @@
         return ids;
     }
 
-    /** Running instances with their addresses, by id. */
+    /** Returns the addresses of the running instances, ordered by instance id. */
     List<MachineAddress> addresses() {
         List<MachineAddress> addresses = new ArrayList<>();
         for (CloudInstance instance : listed.values()) {
@@ -174,7 +177,7 @@
         return addresses;
     }
 
-    /** Ids of the instances that the cloud lists as failed. */
+    /** Returns the ids of the instances that the cloud lists as failed. */
     List<String> failed() {
         return listed.values().stream()
                 .filter(instance -> instance.state() == CloudInstance.State.FAILED)
--- a/src/main/java/garnetscale/core/autoscaling/Offering.java
+++ b/src/main/java/garnetscale/core/autoscaling/Offering.java
@@ -1,4 +1,4 @@
 package garnetscale.core.autoscaling;
 
-/** What the cloud launches instances of: a machine type in a zone, as a spot instance or on demand. */
+/** A kind of instance that the cloud can launch: a machine type in a zone, as a spot instance or on demand. */
 record Offering(String type, String zone, boolean spot) {}
--- a/src/main/java/garnetscale/core/autoscaling/ScaleOutPlanner.java
+++ b/src/main/java/garnetscale/core/autoscaling/ScaleOutPlanner.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import java.util.function.Consumer;
 
-/** Launches missing instances, one offering a call, and keeps track of the cloud's answers. */
+/** Launches missing instances, one offering per call, and records the cloud's answers. */
 final class ScaleOutPlanner {
 
     static final int MAX_INSTANCES_PER_CALL = 50;
@@ -20,7 +20,7 @@
     private long term;
     private int sequence;
 
-    /** {@code callSpacingMs}: the time between two calls to the cloud. */
+    /** Creates a planner; {@code callSpacingMs} is the time between two calls to the cloud. */
     ScaleOutPlanner(InstanceList instances, Offerings offerings, long callSpacingMs, Consumer<String> log) {
         this.instances = instances;
         this.offerings = offerings;
@@ -28,14 +28,14 @@
         this.log = log;
     }
 
-    /** Requests are named by the leader's term, so that no two leaders use the same name. */
+    /** Starts a leader's term. Request ids contain the term, so that no two leaders use the same id. */
     void start(long leaderTerm) {
         term = leaderTerm;
         sequence = 0;
         requestedAt = Times.NEVER;
     }
 
-    /** The launch of the offering that is missing first, or null when none is or the last launch was just now. */
+    /** Returns the launch of the first missing offering, or null if none is missing or the last launch was too recent. */
     CloudCall next(long now, Map<Offering, Integer> missing) {
         if (missing.isEmpty() || now - requestedAt < intervalMs) {
             return null;
@@ -51,7 +51,7 @@
                 Math.min(MAX_INSTANCES_PER_CALL, first.getValue()));
     }
 
-    /** The cloud launched these; fewer than requested means that its capacity is used up. */
+    /** Records launched instances; fewer than requested means that the cloud's capacity is exhausted. */
     void onScaledOut(long now, CloudCall.ScaleOut call, List<String> ids) {
         for (String id : ids) {
             instances.onLaunched(
@@ -62,13 +62,13 @@
         if (ids.size() < call.count()) {
             onRefused(now, call);
         } else {
-            offerings.admit(offering(call));
+            offerings.endBackoff(offering(call));
         }
     }
 
-    /** The cloud had no capacity for the request, or the request failed. */
+    /** Backs off from an offering that the cloud had no capacity for, or for which the request failed. */
     void onRefused(long now, CloudCall.ScaleOut call) {
-        if (offerings.refuse(now, offering(call))) {
+        if (offerings.backOff(now, offering(call))) {
             log.accept("scale-out refused, backing off," + describe(call));
         }
     }
--- a/src/main/java/garnetscale/core/autoscaling/StuckInstances.java
+++ b/src/main/java/garnetscale/core/autoscaling/StuckInstances.java
@@ -10,19 +10,19 @@
 import java.util.Map;
 import java.util.function.Consumer;
 
-/** Deletes instances that failed, never finish booting, or stay silent; the answer proves that their tasks are terminated. */
+/** Deletes instances that failed, never finish booting or stay silent; the answer proves that their tasks are terminated. */
 final class StuckInstances {
 
-    /** A boot that takes this many times its usual length is given up; healthy ones may take several times as long. */
+    /** A boot that takes this many times its usual time is given up; a healthy boot may take several times as long. */
     private static final double BOOT_RATIO = 4;
 
     private static final double BOOT_SLACK_S = 10;
-    /** The usual boot time of a type that isn't offered any more. */
+    /** Assumed boot time in seconds of a type that is no longer offered. */
     private static final double DEFAULT_BOOT_S = 60;
-    /** So many silent machines at once don't point to the network yet. */
-    private static final int FEW_SILENT = 2;
-    /** Nor does one in so many. */
-    private static final int FEW_SILENT_PART = 8;
+    /** Up to this many machines that are silent at once are taken for single failures, not for a network partition. */
+    private static final int MAX_SINGLE_FAILURES = 2;
+    /** In a large cluster the bound is instead the number of machines divided by this. */
+    private static final int SINGLE_FAILURES_DIVISOR = 8;
 
     private final SchedulerConfig config;
     private final StateReplica replica;
@@ -45,19 +45,19 @@
         this.log = log;
     }
 
-    /** A new leader waits for a lease until it takes a machine for silent. */
+    /** Starts a leader's term: a new leader waits for a worker lease before it considers a machine silent. */
     void start(long now) {
         startedAt = now;
     }
 
-    /** Forgets how long those machines were silent that send heartbeats again. */
+    /** Forgets the silence of machines that send heartbeats again. */
     void retainSilent(Map<String, MachineStatus> statuses) {
         silentSince
                 .keySet()
                 .removeIf(id -> statuses.get(id) != null && !statuses.get(id).silent());
     }
 
-    /** The next instances to delete, or null; {@code statuses} are those of machines that have sent heartbeats, by id. */
+    /** Returns the next delete, or null; {@code statuses} are those of the machines that have sent heartbeats, by id. */
     CloudCall next(long now, Map<String, MachineStatus> statuses) {
         long silentMachines = countSilent(statuses);
         List<String> ids = new ArrayList<>();
@@ -81,7 +81,7 @@
         return ids.isEmpty() ? null : new CloudCall.ScaleIn(List.copyOf(ids));
     }
 
-    /** Running instances that never sent a heartbeat count, too: it may be the heartbeats that are lost. */
+    /** Counts silent machines, including running instances that never sent a heartbeat, since heartbeats may have been lost. */
     private long countSilent(Map<String, MachineStatus> statuses) {
         return statuses.values().stream().filter(MachineStatus::silent).count()
                 + instances.listed().stream()
@@ -99,7 +99,7 @@
         if (instance.state() == CloudInstance.State.BOOTING) {
             return status == null && isBootStuck(now, instance);
         }
-        return isSilent(status) && isSilentForGood(now, instance.id(), statuses.size(), silentMachines);
+        return isSilent(status) && isPermanentlySilent(now, instance.id(), statuses.size(), silentMachines);
     }
 
     private boolean isBootStuck(long now, CloudInstance instance) {
@@ -119,21 +119,22 @@
     }
 
     /**
-     * Whether a silent machine is to be deleted. One with placements is, once it was silent for a quarter of its lease: the
-     * answer to the delete proves its tasks terminated, which waiting would prove only later. Not when many machines are
-     * silent at once: that is rather a network partition, and they will be reachable again.
+     * Returns whether a silent machine is to be deleted. A machine with placements is deleted once it has been silent for a
+     * quarter of a worker lease: the answer to the delete proves its tasks terminated, which waiting would prove only later.
+     * This doesn't apply when many machines are silent at once: the cause is then more likely a network partition, after which
+     * they are reachable again.
      */
-    private boolean isSilentForGood(long now, String id, int machines, long silentMachines) {
+    private boolean isPermanentlySilent(long now, String id, int machines, long silentMachines) {
         if (now - startedAt <= config.workerLeaseMs()) {
             return false;
         }
         long silentMs = now - silentSince.computeIfAbsent(id, key -> now);
-        boolean few = silentMachines <= Math.max(FEW_SILENT, machines / FEW_SILENT_PART);
-        boolean forGood = silentMs > config.fencingDelayMs() + 2 * config.workerLeaseMs()
-                || few && !replica.placements(id).isEmpty() && silentMs > config.workerLeaseMs() / 4;
-        if (forGood) {
+        boolean areSingleFailures = silentMachines <= Math.max(MAX_SINGLE_FAILURES, machines / SINGLE_FAILURES_DIVISOR);
+        boolean isPermanent = silentMs > config.fencingDelayMs() + 2 * config.workerLeaseMs()
+                || areSingleFailures && !replica.placements(id).isEmpty() && silentMs > config.workerLeaseMs() / 4;
+        if (isPermanent) {
             log.accept("deleting silent machine, machine=" + id + " silent_ms=" + silentMs);
         }
-        return forGood;
+        return isPermanent;
     }
 }
--- a/src/main/java/garnetscale/core/autoscaling/package-info.java
+++ b/src/main/java/garnetscale/core/autoscaling/package-info.java
@@ -1,8 +1,8 @@
 /**
  * Scale out and scale in: decides for the leader which cloud instances to launch and which to delete.
  *
- * <p>{@link garnetscale.core.autoscaling.Autoscaler} is the only entry point and owns all state of this package; a new leader
- * starts it anew from the cloud's instance list. It returns {@link garnetscale.core.autoscaling.CloudCall}s, one at a time, and
- * is told their results: nothing in here sends a request, writes to the key-value store or reads a clock.
+ * <p>{@link garnetscale.core.autoscaling.Autoscaler} is the only entry point and owns all state of this package. A new leader
+ * resets it and starts from the cloud's instance list. It returns {@link garnetscale.core.autoscaling.CloudCall}s, one at a time,
+ * and receives their results. Nothing in this package sends a request, writes to the key-value store or reads a clock.
  */
 package garnetscale.core.autoscaling;
--- a/src/main/java/garnetscale/core/balance/AvailableBids.java
+++ b/src/main/java/garnetscale/core/balance/AvailableBids.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import java.util.function.Predicate;
 
-/** The bids for running tasks that may move, less the slots that moves planned in this pass have reserved. */
+/** Bids for running tasks that may be moved, less the slots that the moves planned in this pass have reserved. */
 final class AvailableBids {
 
     private final Map<String, List<DestinationBid>> byJob;
@@ -15,7 +15,7 @@
         this.byJob = byJob;
     }
 
-    /** The accepted bid with the earliest finish that has a slot left, the first of equals; null where there is none. */
+    /** Returns the accepted bid with a slot left that has the earliest finish, the first among equals; null if there is none. */
     DestinationBid best(String job, Predicate<DestinationBid> isAccepted) {
         DestinationBid best = null;
         for (DestinationBid bid : byJob.getOrDefault(job, List.of())) {
--- a/src/main/java/garnetscale/core/balance/BalanceSettings.java
+++ b/src/main/java/garnetscale/core/balance/BalanceSettings.java
@@ -4,8 +4,8 @@
  * The operators' settings of load balancing, from the table {@code balance} of the features file.
  *
  * @param enabled whether equal bids are ordered by load and running tasks are moved
- * @param margin  a move's gain has to exceed its disruption by this part of it
- * @param moving  the part of the placed tasks that may be stopping at a time, for whatever reason
+ * @param margin share of a move's disruption by which the move's gain must exceed the disruption
+ * @param moving share of the placed tasks that may be stopping at a time, for whatever reason
  */
 public record BalanceSettings(boolean enabled, double margin, double moving) {
 
@@ -15,6 +15,6 @@
     /** The default of {@link #moving}. */
     public static final double MOVING = 0.02;
 
-    /** Switched off. */
+    /** Load balancing is off. */
     public static final BalanceSettings OFF = new BalanceSettings(false, MARGIN, MOVING);
 }
--- a/src/main/java/garnetscale/core/balance/GroupTotals.java
+++ b/src/main/java/garnetscale/core/balance/GroupTotals.java
@@ -5,12 +5,14 @@
 import org.pcollections.PMap;
 
 /**
- * Totals over the machines of a group. Capacity and use are those of serving machines alone, in thousandths of a CPU.
+ * Totals over the machines of a group. Capacity and usage are those of serving machines only, in thousandths of a CPU.
  *
- * @param machines all machines of the group
- * @param serving  those that take new tasks
- * @param unknown  the number of machines whose load is unknown, by reason; reasons without machines are absent
- * @param usedBy   what placements on serving machines use, by team; teams without any are absent
+ * @param machines the number of all machines in the group
+ * @param serving the number of machines that take new tasks
+ * @param unknown the number of machines whose load is unknown, by reason; reasons without machines are absent
+ * @param capacity capacity of the serving machines
+ * @param used usage by placements on the serving machines
+ * @param usedBy usage by placements on the serving machines, by team; teams without usage are absent
  */
 public record GroupTotals(
         int machines,
@@ -22,7 +24,7 @@
 
     static final GroupTotals EMPTY = new GroupTotals(0, 0, HashTreePMap.empty(), 0, 0, HashTreePMap.empty());
 
-    /** Totals computed from scratch; the tracker's incremental totals must equal them. */
+    /** Computes totals from scratch; the tracker's incremental totals must equal them. */
     static GroupTotals of(Collection<MachineLoad> machines) {
         GroupTotals totals = EMPTY;
         for (MachineLoad machine : machines) {
@@ -69,12 +71,12 @@
         return sum == 0 ? amounts.minus(team) : amounts.plus(team, sum);
     }
 
-    /** The number of machines whose load is unknown. */
+    /** Returns the number of machines whose load is unknown. */
     int unknownMachines() {
         return unknown.values().stream().mapToInt(Integer::intValue).sum();
     }
 
-    /** The part of the serving capacity that is in use, not smoothed; 1 where no machine is serving. */
+    /** Returns the share of the serving capacity that is in use, not smoothed; 1 if no machine is serving. */
     double utilization() {
         return capacity == 0 ? 1 : (double) used / capacity;
     }
--- a/src/main/java/garnetscale/core/balance/LoadSnapshot.java
+++ b/src/main/java/garnetscale/core/balance/LoadSnapshot.java
@@ -4,11 +4,11 @@
 import org.pcollections.PMap;
 
 /**
- * An immutable snapshot of the cluster's load: a plan or an operator's query sees one consistent state while the tracker goes
- * on. It shares structure with the snapshots before it, so that its cost depends only on what has changed since.
+ * An immutable snapshot of the cluster's load. It gives a plan or an operator's query one consistent state while the tracker
+ * continues. A snapshot shares structure with earlier ones, so its cost depends only on what has changed since.
  *
- * @param at             its time, in milliseconds
- * @param timeConstantMs time constant of each group's smoothed utilization
+ * @param at the time of the snapshot, in milliseconds
+ * @param timeConstantMs time constant of each group's smoothed utilization, in milliseconds
  */
 public record LoadSnapshot(
         long at,
@@ -17,26 +17,26 @@
         PMap<MachineGroup, GroupLoad> groups,
         Demand demand) {
 
-    /** A group with a larger part of unknown machines counts as unknown as a whole. */
-    private static final double MAX_UNKNOWN_PART = 0.25;
+    /** A group of whose machines a larger share is unknown counts as unknown as a whole. */
+    private static final double MAX_UNKNOWN_SHARE = 0.25;
 
-    /** No machine is known. */
+    /** A snapshot without machines. */
     public static final LoadSnapshot EMPTY =
             new LoadSnapshot(0, 1, HashTreePMap.empty(), HashTreePMap.empty(), Demand.NONE);
 
-    /** The smoothed utilization of a group, from 0 to 1; 0 for an unknown group. */
+    /** Returns the smoothed utilization of a group, from 0 to 1; 0 for a group that doesn't exist. */
     public double utilization(MachineGroup group) {
         GroupLoad load = groups.get(group);
         return load == null ? 0 : load.smoothed(at, timeConstantMs);
     }
 
-    /** Serving capacity of a group in CPUs. */
+    /** Returns the serving capacity of a group in CPUs; 0 for a group that doesn't exist. */
     public double capacityCpus(MachineGroup group) {
         GroupLoad load = groups.get(group);
         return load == null ? 0 : MachineLoad.cpus(load.totals().capacity());
     }
 
-    /** What is free on the serving machines of a group, in CPUs. */
+    /** Returns the CPUs that are free on the serving machines of a group; 0 for a group that doesn't exist. */
     public double freeCpus(MachineGroup group) {
         GroupLoad load = groups.get(group);
         return load == null
@@ -44,21 +44,21 @@
                 : MachineLoad.cpus(load.totals().capacity() - load.totals().used());
     }
 
-    /** Whether enough machines of the group are known to move tasks into or out of it. */
+    /** Returns whether the load of enough machines of the group is known to move tasks into or out of the group. */
     public boolean isKnown(MachineGroup group) {
         GroupLoad load = groups.get(group);
         return load != null
                 && load.totals().unknownMachines()
-                        <= MAX_UNKNOWN_PART * load.totals().machines();
+                        <= MAX_UNKNOWN_SHARE * load.totals().machines();
     }
 
-    /** Whether the machine exists and its load is known. */
+    /** Returns whether the machine exists and its load is known. */
     public boolean isKnown(String machine) {
         MachineLoad load = machines.get(machine);
         return load != null && load.unknown() == null;
     }
 
-    /** The largest utilization of any known group over the mean of all, weighted by capacity; 1 where nothing is in use. */
+    /** Returns the highest utilization of a known group, divided by the known groups' mean weighted by capacity; 1 if unused. */
     public double peakToMean() {
         double peak = 0;
         double used = 0;
--- a/src/main/java/garnetscale/core/balance/LoadTracker.java
+++ b/src/main/java/garnetscale/core/balance/LoadTracker.java
@@ -4,14 +4,18 @@
 import org.pcollections.HashTreePMap;
 import org.pcollections.PMap;
 
-/** Keeps the load of machine groups up to date. The cost of a change doesn't depend on the size of the cluster. */
+/** Tracks the load of machine groups. The cost of a change doesn't depend on the size of the cluster. */
 public final class LoadTracker {
 
     private final double timeConstantMs;
     private PMap<String, MachineLoad> machines = HashTreePMap.empty();
     private PMap<MachineGroup, GroupLoad> groups = HashTreePMap.empty();
 
-    /** {@code timeConstantMs}: the time in which 63% of a lasting change reach a group's smoothed utilization. */
+    /**
+     * Creates a tracker without machines.
+     *
+     * @param timeConstantMs milliseconds after which a group's smoothed utilization shows 63% of a lasting change
+     */
     public LoadTracker(double timeConstantMs) {
         this.timeConstantMs = timeConstantMs;
     }
@@ -57,7 +61,7 @@
                 : groups.plus(load.group(), group.withTotals(now, totals, timeConstantMs));
     }
 
-    /** Removes all machines but these. */
+    /** Removes all machines except those in {@code present}. */
     public void retain(long now, Set<String> present) {
         if (machines.size() == present.size() && present.containsAll(machines.keySet())) {
             return;
@@ -75,7 +79,7 @@
         subtract(now, before);
     }
 
-    /** The load at {@code now}, with the demand that the caller has computed. */
+    /** Returns the load at {@code now}, together with the demand that the caller has computed. */
     public LoadSnapshot snapshot(long now, Demand demand) {
         return new LoadSnapshot(now, timeConstantMs, machines, groups, demand);
     }
--- a/src/main/java/garnetscale/core/balance/MachineClearance.java
+++ b/src/main/java/garnetscale/core/balance/MachineClearance.java
@@ -2,15 +2,15 @@
 
 import java.util.List;
 
-/** What to stop on a machine so that one more task of a waiting job fits there. */
+/** The tasks to stop on a machine so that one more task of a waiting job fits there. */
 record MachineClearance(SourceMachine machine, List<PlannedStop> stops) {
 
-    /** CPU-seconds by which the stops delay their tasks. */
+    /** Returns the CPU-seconds by which the stops delay their tasks. */
     double disruptionCpuS() {
         return stops.stream().mapToDouble(PlannedStop::disruptionCpuS).sum();
     }
 
-    /** Seconds until all tasks have stopped. */
+    /** Returns the seconds until all tasks have stopped. */
     double stopS() {
         return stops.stream().mapToDouble(stop -> stop.task().stopS()).max().orElse(0);
     }
--- a/src/main/java/garnetscale/core/balance/MachineGroup.java
+++ b/src/main/java/garnetscale/core/balance/MachineGroup.java
@@ -1,6 +1,6 @@
 package garnetscale.core.balance;
 
-/** The machines of one type in one zone; for a job they are interchangeable. */
+/** The machines of one type in one zone, which are interchangeable for a job. */
 public record MachineGroup(String zone, String type) {
 
     @Override
--- a/src/main/java/garnetscale/core/balance/MachineLoad.java
+++ b/src/main/java/garnetscale/core/balance/MachineLoad.java
@@ -3,19 +3,20 @@
 import java.util.Map;
 
 /**
- * What one machine contributes to its group. Amounts are whole thousandths of a CPU, so that sums have no rounding error.
+ * The load of one machine, which counts towards its group. Amounts are whole thousandths of a CPU, so that sums have no rounding
+ * error.
  *
- * @param unknown  why its load is unknown, or null when it is known
- * @param serving  whether it takes new tasks: known, not draining, not cordoned and not decommissioned
- * @param capacity its CPUs
- * @param usedBy   what placements on it use, by team
+ * @param unknown why the machine's load is unknown, or null if it is known
+ * @param serving whether the machine takes new tasks: known, not draining, not cordoned and not decommissioned
+ * @param capacity the machine's CPUs, in thousandths
+ * @param usedBy thousandths of a CPU that placements on the machine use, by team
  */
 public record MachineLoad(
         MachineGroup group, UnknownReason unknown, boolean serving, long capacity, Map<String, Long> usedBy) {
 
     private static final double MILLI_PER_CPU = 1000;
 
-    /** Copies {@code usedBy}. */
+    /** Creates a load with a copy of {@code usedBy}. */
     public MachineLoad {
         usedBy = Map.copyOf(usedBy);
     }
--- a/src/main/java/garnetscale/core/balance/MoveBudget.java
+++ b/src/main/java/garnetscale/core/balance/MoveBudget.java
@@ -8,28 +8,29 @@
 import java.util.function.Predicate;
 
 /**
- * Limits moves: at a time, within a window, of one team, to one group, and of one task until its last move has paid back. A
- * leader's moves aren't stored; instead, a new leader moves nothing as long as moves of an earlier one could still count. So
- * every limit holds over all leaders together, however often they change.
+ * Limits moves: the tasks that stop at a time, and the moves within a window, of one team, to one group, and of one task until
+ * its last move has paid back. A leader's moves aren't stored. Instead, a new leader moves nothing as long as moves of an earlier
+ * leader could still count. So every limit holds over all leaders together, however often they change.
  */
 public final class MoveBudget {
 
-    /** The window, and the longest time that a move may take to pay back, in worker leases. */
+    /** Length of the window, and the longest time that a move may take to pay back, in worker leases. */
     private static final double WINDOW_LEASES = 4;
-    /** As many tasks may be stopping in a cluster of any size: fewer could never empty a machine of small tasks. */
-    private static final int MIN_AT_A_TIME = 4;
-    /** Moves in a window, as a multiple of those that may be stopping at a time. */
+    /** This many tasks may be stopping at a time in a cluster of any size: fewer could never empty a machine of small tasks. */
+    private static final int MIN_CONCURRENT_LIMIT = 4;
+    /** The most moves in a window, as a multiple of the tasks that may be stopping at a time. */
     private static final double WINDOW_MULTIPLE = 4;
-    /** The part of a window's moves that may be one team's. */
+    /** The largest share of a window's moves that one team's tasks may have. */
     private static final double TEAM_SHARE = 0.5;
-    /** The part of a group's free CPUs that moved tasks in transit may take. */
+    /** The largest share of a group's free CPUs that moved tasks in transit may take. */
     private static final double DESTINATION_SHARE = 0.5;
-    /** How long a moved task counts as in transit, in worker leases; then it is placed again, or others were. */
+    /** Time that a moved task counts as in transit, in worker leases; after that, it or other tasks have been placed. */
     private static final double TRANSIT_LEASES = 1;
 
+    /** A move that was made at {@code at}, in milliseconds. */
     private record Entry(Move move, long at) {}
 
-    private final double share;
+    private final double movingShare;
     private final long windowMs;
     private final long transitMs;
     private final Deque<Entry> recent = new ArrayDeque<>();
@@ -38,27 +39,32 @@
     private int placed;
     private int stopping;
 
-    /** {@code moving}: the part of the placed tasks that may be stopping at a time; {@code leaseMs}: the workers' lease. */
+    /**
+     * Creates a budget without moves.
+     *
+     * @param moving share of the placed tasks that may be stopping at a time
+     * @param leaseMs the worker lease in milliseconds
+     */
     public MoveBudget(double moving, long leaseMs) {
-        share = moving;
+        movingShare = moving;
         windowMs = Math.round(WINDOW_LEASES * leaseMs);
         transitMs = Math.round(TRANSIT_LEASES * leaseMs);
     }
 
-    /** This controller became leader: it doesn't know what an earlier leader has moved. */
-    public void begin(long now) {
+    /** Starts the term of this controller as leader, which doesn't know what an earlier leader has moved. */
+    public void startTerm(long now) {
         recent.clear();
         unconfirmed.clear();
         quietUntil = now + windowMs;
     }
 
-    /** Whether this leader has to wait before its first move. */
+    /** Returns whether this leader still has to wait before its first move. */
     public boolean isQuiet(long now) {
         return now < quietUntil;
     }
 
-    /** Begins a planning pass; {@code stoppingNow} counts the placed tasks that are being stopped, for whatever reason. */
-    public void observe(long now, int placedTasks, int stoppingNow) {
+    /** Starts a planning pass; {@code stoppingNow} is the number of placed tasks that are being stopped, for whatever reason. */
+    public void startPass(long now, int placedTasks, int stoppingNow) {
         placed = placedTasks;
         stopping = stoppingNow;
         while (!recent.isEmpty() && now - recent.peekFirst().at() >= windowMs) {
@@ -66,34 +72,36 @@
         }
     }
 
-    private int atATime() {
-        return (int) Math.max(MIN_AT_A_TIME, share * placed);
+    private int concurrentLimit() {
+        return (int) Math.max(MIN_CONCURRENT_LIMIT, movingShare * placed);
     }
 
-    private int perWindow() {
-        return (int) (WINDOW_MULTIPLE * atATime());
+    private int windowLimit() {
+        return (int) (WINDOW_MULTIPLE * concurrentLimit());
     }
 
-    /** Whether all of these moves may be made, in addition to those before. */
+    /** Returns whether all of these moves may be made, in addition to the moves already counted. */
     public boolean allows(long now, List<Move> moves, LoadSnapshot load) {
-        if (isQuiet(now) || stopping + moves.size() > atATime() || recent.size() + moves.size() > perWindow()) {
+        if (isQuiet(now)
+                || stopping + moves.size() > concurrentLimit()
+                || recent.size() + moves.size() > windowLimit()) {
             return false;
         }
         return moves.stream().allMatch(move -> allows(now, move, moves, load));
     }
 
-    private boolean allows(long now, Move move, List<Move> together, LoadSnapshot load) {
+    private boolean allows(long now, Move move, List<Move> jointMoves, LoadSnapshot load) {
         if (move.paybackMs() > windowMs || isPayingBack(now, move.task())) {
             return false;
         }
         long ofTeam = count(recent, entry -> entry.move().team().equals(move.team()))
-                + together.stream()
+                + jointMoves.stream()
                         .filter(other -> other.team().equals(move.team()))
                         .count();
-        if (ofTeam > TEAM_SHARE * perWindow()) {
+        if (ofTeam > TEAM_SHARE * windowLimit()) {
             return false;
         }
-        double cpus = together.stream()
+        double cpus = jointMoves.stream()
                 .filter(other -> other.to().equals(move.to()))
                 .mapToDouble(Move::cpus)
                 .sum();
@@ -101,8 +109,8 @@
     }
 
     /**
-     * Whether a task of so many CPUs may be moved to the group, in addition to tasks in transit and {@code plannedCpus} CPUs more. A
-     * single task may always go where it fits.
+     * Returns whether a task of {@code cpus} CPUs may be moved to the group, in addition to the tasks in transit and to
+     * {@code plannedCpus} further CPUs. A single task may always be moved where it fits.
      */
     boolean mayReceive(long now, MachineGroup group, double plannedCpus, double cpus, LoadSnapshot load) {
         double inTransitCpus = plannedCpus;
@@ -114,11 +122,11 @@
         return inTransitCpus == 0 || inTransitCpus + cpus <= DESTINATION_SHARE * load.freeCpus(group);
     }
 
-    private static long count(Deque<Entry> entries, Predicate<Entry> which) {
-        return entries.stream().filter(which).count();
+    private static long count(Deque<Entry> entries, Predicate<Entry> isCounted) {
+        return entries.stream().filter(isCounted).count();
     }
 
-    /** Whether the task's last move hasn't paid back yet. */
+    /** Returns whether the task's last move hasn't paid back yet. */
     public boolean isPayingBack(long now, TaskId task) {
         for (Entry entry : recent) {
             if (entry.move().task().equals(task)
@@ -137,10 +145,11 @@
     }
 
     /**
-     * Uncounts moves whose transaction was not applied, and returns those that were. Only to be called when no transaction is
-     * under way and none can be applied late.
+     * Removes moves whose transaction was not applied, and returns the others. May be called only when no transaction is in
+     * flight and none can be applied late.
      *
-     * @param isUnchanged whether the stored placement is as it was before the move
+     * @param isUnchanged whether the stored placement is the same as before the move
+     * @return the moves since the last call whose transaction was applied
      */
     public List<Move> reconcile(Predicate<Move> isUnchanged) {
         List<Move> stored = new ArrayList<>();
@@ -155,7 +164,7 @@
         return stored;
     }
 
-    /** Moves within the window, oldest first. */
+    /** Returns the moves within the window, oldest first. */
     public List<Move> recent() {
         return recent.stream().map(Entry::move).toList();
     }
--- a/src/main/java/garnetscale/core/balance/MovePlanner.java
+++ b/src/main/java/garnetscale/core/balance/MovePlanner.java
@@ -13,42 +13,42 @@
 
 /**
  * Decides which running tasks to move. A task is stopped only if the gain exceeds the disruption by the margin, and only while
- * another machine bids for it. There are two reasons:
+ * another machine bids for it. There are two reasons to move a task:
  *
  * <ul>
- *   <li>a waiting job of higher priority is not placed on any machine that it may run on; the task runs on such a machine, and a
- *       machine that the job may not run on bids for the task;
- *   <li>the task runs on a slow machine, and a late bid is much better (the paper's DSP 4c, by i and i0).
+ *   <li>A waiting job of higher priority can't be placed on any machine that it may run on. The task runs on such a machine, and
+ *       a machine that the job may not run on bids for the task.
+ *   <li>The task runs on a slow machine, and a late bid is much isBetter (the paper's DSP 4c, by i and i0).
  * </ul>
  *
  * Gain and disruption are CPU-seconds of waiting. The same input yields the same plan.
  */
 public final class MovePlanner {
 
-    /** Jobs that machines are cleared for in a pass, from the head of the queue: where these don't fit, later ones won't. */
+    /** The most jobs that machines are cleared for in a pass, from the head of the queue: if these don't fit, others won't. */
     private static final int MAX_JOBS = 4;
-    /** Tasks aren't moved to a group whose smoothed utilization is higher: its free resources are about to be needed. */
+    /** Tasks aren't moved to a group with a higher smoothed utilization: its free resources are about to be needed. */
     private static final double MAX_UTILIZATION = 0.8;
 
-    /** Clearances are tried cheapest first: after so many in a row that don't pay, the more expensive ones aren't tried. */
-    private static final int MAX_REJECTED = 16;
+    /** Clearances are tried cheapest first. After this many rejections in a row, more expensive ones aren't tried. */
+    private static final int MAX_CONSECUTIVE_REJECTIONS = 16;
 
     private static final double MILLIS_PER_S = 1000;
 
     /**
-     * What the planner decides from.
+     * The input of the planner.
      *
-     * @param now      milliseconds of the steady clock
-     * @param waiting  jobs that don't fit anywhere, in the queue's order
-     * @param machines serving machines of known load; the plan takes from what is free on them
-     * @param offers   bids for running tasks, by job
+     * @param now steady-clock time in milliseconds
+     * @param waiting jobs that don't fit anywhere, in queue order
+     * @param machines serving machines of known load; planning modifies their free capacity
+     * @param bidsByJob bids for running tasks, by job id
      */
     public record Input(
             long now,
             LoadSnapshot load,
             List<WaitingJob> waiting,
             List<SourceMachine> machines,
-            Map<String, List<DestinationBid>> offers) {}
+            Map<String, List<DestinationBid>> bidsByJob) {}
 
     private final double margin;
     private final Input input;
@@ -60,14 +60,14 @@
         this.margin = margin;
         this.input = input;
         this.budget = budget;
-        this.bids = new AvailableBids(input.offers());
+        this.bids = new AvailableBids(input.bidsByJob());
     }
 
-    /** The moves to make now, already counted in the budget; {@code margin} is {@link BalanceSettings#margin}. */
+    /** Returns the moves to make now and counts them in the budget; {@code margin} is {@link BalanceSettings#margin}. */
     public static List<Move> plan(double margin, Input input, MoveBudget budget) {
         MovePlanner planner = new MovePlanner(margin, input, budget);
         input.waiting().stream().limit(MAX_JOBS).forEach(planner::clearMachinesFor);
-        input.machines().stream().filter(SourceMachine::slow).forEach(planner::moveOffSlow);
+        input.machines().stream().filter(SourceMachine::slow).forEach(planner::moveOffSlowMachine);
         return List.copyOf(planner.moves);
     }
 
@@ -79,26 +79,26 @@
                 .filter(machine -> isEligible(machine, job))
                 .toList();
         int missing = waiting.tasks();
-        List<SourceMachine> starts = new ArrayList<>();
+        List<SourceMachine> startMachines = new ArrayList<>();
         for (SourceMachine machine : eligible) {
-            // What is free or becoming free is this job's, and can't be given to the next one again.
+            // Capacity that is free or becoming free goes to this job, and must not be given to the next job again.
             for (; missing > 0 && machine.free().fits(job); missing--) {
                 machine.free().take(job);
-                starts.add(machine);
+                startMachines.add(machine);
             }
         }
         if (missing <= 0) {
             return;
         }
         WaitForecast forecast = new WaitForecast(job, waiting.runS(), missing);
-        starts.forEach(forecast::addStart);
+        startMachines.forEach(forecast::addStart);
         forecast.addFreeSlots(eligible);
         int rejected = 0;
         for (MachineClearance clearance : cheapestFirst(eligible, job)) {
-            if (rejected >= MAX_REJECTED) {
+            if (rejected >= MAX_CONSECUTIVE_REJECTIONS) {
                 return;
             }
-            rejected = carryOut(clearance, job, forecast) ? 0 : rejected + 1;
+            rejected = tryClearance(clearance, job, forecast) ? 0 : rejected + 1;
         }
     }
 
@@ -121,9 +121,9 @@
     }
 
     /**
-     * The cheapest stops after which one more task of the job fits on the machine, or null where there are none.
+     * Returns the cheapest stops after which one more task of the job fits on the machine, or null if there are none.
      *
-     * @param destinations bids that were looked up already, by job and zone
+     * @param destinations cache of destinations, by the job id of the task to stop and the zone
      */
     private MachineClearance clearance(
             SourceMachine machine, JobSpec job, Map<String, Optional<DestinationBid>> destinations) {
@@ -161,15 +161,15 @@
     }
 
     /**
-     * The best bid for a task of the job by a machine that the waiting job may not run on, or null.
+     * Returns the best bid for a task of the job by a machine that the waiting job may not run on, or null.
      *
-     * @param reserved other stops on the same machine, which have their destinations already
+     * @param reserved other stops on the same machine, with destinations that are already reserved
      */
     private DestinationBid destination(SourceMachine from, JobSpec job, JobSpec waiting, List<PlannedStop> reserved) {
         return bids.best(
                 job.id(),
-                bid -> mayMoveTo(from, job, bid)
-                        && !bid.fits(waiting)
+                bid -> isPossibleDestination(from, job, bid)
+                        && !bid.allows(waiting)
                         && input.load().utilization(bid.group()) <= MAX_UTILIZATION
                         && budget.mayReceive(
                                 input.now(), bid.group(), cpusTo(bid.group(), reserved), job.cpus(), input.load()));
@@ -182,16 +182,19 @@
                 .sum();
     }
 
-    /** Tasks with zone affinity or anti-affinity stay in their zone: in another one they might not be placed. */
-    private boolean mayMoveTo(SourceMachine from, JobSpec job, DestinationBid bid) {
+    /** Tasks with zone affinity or anti-affinity stay in their zone: in another zone they might not be placed. */
+    private boolean isPossibleDestination(SourceMachine from, JobSpec job, DestinationBid bid) {
         boolean zoneBound = job.zoneAffinity() || job.zoneAntiAffinity();
         return input.load().isKnown(bid.machine())
                 && input.load().isKnown(bid.group())
                 && (!zoneBound || bid.group().zone().equals(from.group().zone()));
     }
 
-    /** Moves the tasks if there still is a bid for each, though several share one bid's slots, and it pays; returns whether. */
-    private boolean carryOut(MachineClearance cheapest, JobSpec job, WaitForecast forecast) {
+    /**
+     * Moves the tasks if there is a bid for each of them, also when several tasks share the slots of one bid, and if the gain is
+     * sufficient. Returns whether the tasks are moved.
+     */
+    private boolean tryClearance(MachineClearance cheapest, JobSpec job, WaitForecast forecast) {
         List<PlannedStop> reserved = new ArrayList<>();
         for (PlannedStop stop : cheapest.stops()) {
             DestinationBid destination =
@@ -221,17 +224,17 @@
             return false;
         }
         double paybackS = clearance.stopS() + disruptionCpuS / job.cpus();
-        int count = clearance.stops().size();
-        List<Move> together = new ArrayList<>();
+        int stopCount = clearance.stops().size();
+        List<Move> jointMoves = new ArrayList<>();
         for (PlannedStop stop : clearance.stops()) {
-            together.add(move(clearance.machine(), stop, job.id(), gainCpuS / count, paybackS));
+            jointMoves.add(move(clearance.machine(), stop, job.id(), gainCpuS / stopCount, paybackS));
         }
-        return accept(together);
+        return accept(jointMoves);
     }
 
-    // ---- tasks on a slow machine
+    // ---- tasks on slow machines
 
-    private void moveOffSlow(SourceMachine machine) {
+    private void moveOffSlowMachine(SourceMachine machine) {
         if (!input.load().isKnown(machine.group())) {
             return;
         }
@@ -239,24 +242,24 @@
             DestinationBid destination = mayMove(task)
                     ? bids.best(
                             task.job().id(),
-                            candidate -> mayMoveTo(machine, task.job(), candidate) && !candidate.slow())
+                            candidate -> isPossibleDestination(machine, task.job(), candidate) && !candidate.slow())
                     : null;
             if (destination == null) {
                 continue;
             }
-            double elsewhereS = PlannedStop.completionS(task, destination);
-            double savedCpuS = (task.remainingS() - elsewhereS) * task.job().cpus();
-            boolean better =
-                    LateBids.accepts(task.remainingS(), elsewhereS) && task.remainingS() > (1 + margin) * elsewhereS;
+            double completionS = PlannedStop.completionS(task, destination);
+            double savedCpuS = (task.remainingS() - completionS) * task.job().cpus();
+            boolean isBetter =
+                    LateBids.accepts(task.remainingS(), completionS) && task.remainingS() > (1 + margin) * completionS;
             PlannedStop stop =
-                    new PlannedStop(task, destination, elsewhereS * task.job().cpus());
-            if (better && accept(List.of(move(machine, stop, null, savedCpuS, elsewhereS)))) {
+                    new PlannedStop(task, destination, completionS * task.job().cpus());
+            if (isBetter && accept(List.of(move(machine, stop, null, savedCpuS, completionS)))) {
                 bids.reserve(destination);
             }
         }
     }
 
-    // ---- both
+    // ---- shared by both
 
     private static Move move(
             SourceMachine machine, PlannedStop stop, String beneficiary, double gainCpuS, double paybackS) {
@@ -275,12 +278,12 @@
                 (long) Math.ceil(paybackS * MILLIS_PER_S));
     }
 
-    private boolean accept(List<Move> together) {
-        if (!budget.allows(input.now(), together, input.load())) {
+    private boolean accept(List<Move> jointMoves) {
+        if (!budget.allows(input.now(), jointMoves, input.load())) {
             return false;
         }
-        together.forEach(move -> budget.add(input.now(), move));
-        moves.addAll(together);
+        jointMoves.forEach(move -> budget.add(input.now(), move));
+        moves.addAll(jointMoves);
         return true;
     }
 }
--- a/src/main/java/garnetscale/core/balance/PlannedStop.java
+++ b/src/main/java/garnetscale/core/balance/PlannedStop.java
@@ -1,19 +1,19 @@
 package garnetscale.core.balance;
 
 /**
- * A task to stop, with the bid that it is stopped for.
+ * A task to stop, with the bid of the machine that it is to move to.
  *
  * @param disruptionCpuS CPU-seconds by which the stop delays the task
  */
 record PlannedStop(RunningTask task, DestinationBid destination, double disruptionCpuS) {
 
-    /** A stop whose disruption is the later completion of the task. */
+    /** Returns a stop whose disruption is the delay of the task's completion. */
     static PlannedStop delaying(RunningTask task, DestinationBid destination) {
         double delayS = Math.max(0, completionS(task, destination) - task.remainingS());
         return new PlannedStop(task, destination, delayS * task.job().cpus());
     }
 
-    /** Seconds until the task would be complete if it were stopped now: stop, image fetch, and its run from the checkpoint. */
+    /** Returns the seconds until the task would complete if stopped now: stop, image fetch and run from the checkpoint. */
     static double completionS(RunningTask task, DestinationBid destination) {
         return task.stopS() + Math.max(0, destination.finishS() - task.checkpointedS());
     }
--- a/src/main/java/garnetscale/core/balance/RunningTask.java
+++ b/src/main/java/garnetscale/core/balance/RunningTask.java
@@ -6,10 +6,10 @@
 /**
  * A placed task that isn't being stopped, as a candidate for a move.
  *
- * @param remainingS seconds until it completes where it runs
- * @param checkpointedS seconds of its run that it needn't repeat elsewhere, by its checkpoint
- * @param stopS      seconds from the decision to stop it until its resources are free
- * @param movable    whether it may be moved at all
+ * @param remainingS estimated seconds until the task completes on its current machine
+ * @param checkpointedS seconds of the run that are in a checkpoint and needn't be repeated elsewhere
+ * @param stopS seconds from the decision to stop the task until its resources are free
+ * @param movable whether the task may be moved at all
  */
 public record RunningTask(
         TaskId task,
--- a/src/main/java/garnetscale/core/balance/SourceMachine.java
+++ b/src/main/java/garnetscale/core/balance/SourceMachine.java
@@ -7,8 +7,8 @@
 /**
  * A serving machine of known load, with the tasks that might be moved away from it.
  *
- * @param free what is free on it, counting tasks that are being stopped as gone; a plan takes from it
- * @param slow whether its tasks take longer than estimated, by more than the usual error of estimates
+ * @param slow whether the machine's tasks take longer than estimated, by more than the usual error of estimates
+ * @param free free capacity, in which tasks that are being stopped count as gone; modified by planning
  */
 public record SourceMachine(
         String machine,
--- a/src/main/java/garnetscale/core/balance/SpreadOrder.java
+++ b/src/main/java/garnetscale/core/balance/SpreadOrder.java
@@ -11,24 +11,27 @@
 import java.util.function.ToLongFunction;
 
 /**
- * Orders equal bids so that the least utilized group comes first. CPUs given to a group count at once, so that the tasks of one
- * job are spread over groups instead of all going to the one that was the least utilized at first.
+ * Orders equal bids so that the least utilized group comes first. The CPUs of a bid count as used as soon as the bid is placed in
+ * the order, so that the tasks of one job are spread over groups instead of all going to the group that was the least utilized
+ * at first.
  */
 public final class SpreadOrder {
 
     private final LoadSnapshot load;
     private final Map<MachineGroup, Double> addedCpus = new LinkedHashMap<>();
 
-    /** {@code load}: utilization before any of the bids wins. */
+    /** Creates an order that starts from the utilization in {@code load}, before any of the bids wins. */
     public SpreadOrder(LoadSnapshot load) {
         this.load = load;
     }
 
     /**
-     * Reorders runs of bids of the same rank; runs, and bids of one group within a run, keep their order.
+     * Returns the bids with each run of bids of the same rank reordered. The order of runs, and of bids of one group within a
+     * run, is preserved.
      *
-     * @param rank equal for bids that count as equal, and never falling along the list
-     * @param cpus that a bidder gets if it wins every slot that it bids for
+     * @param rank returns the rank of a bid, the same for bids that count as equal; must not decrease along the list
+     * @param group returns the group of a bid's machine
+     * @param cpus returns the CPUs that are used if a bid wins all of its slots
      */
     public <T> List<T> spread(
             List<T> bids, ToLongFunction<T> rank, Function<T, MachineGroup> group, ToDoubleFunction<T> cpus) {
@@ -65,14 +68,14 @@
     private MachineGroup leastUtilized(Map<MachineGroup, ?> queues) {
         MachineGroup least = null;
         for (MachineGroup group : queues.keySet()) {
-            if (least == null || projected(group) < projected(least)) {
+            if (least == null || projectedUtilization(group) < projectedUtilization(least)) {
                 least = group;
             }
         }
         return least;
     }
 
-    private double projected(MachineGroup group) {
+    private double projectedUtilization(MachineGroup group) {
         double capacity = load.capacityCpus(group);
         double added = addedCpus.getOrDefault(group, 0.0);
         return capacity <= 0 ? 1 : load.utilization(group) + added / capacity;
--- a/src/main/java/garnetscale/core/balance/UnknownReason.java
+++ b/src/main/java/garnetscale/core/balance/UnknownReason.java
@@ -1,12 +1,12 @@
 package garnetscale.core.balance;
 
-/** Why the leader doesn't rely on what it knows of a machine. */
+/** The reason why the leader treats a machine's load as unknown. */
 public enum UnknownReason {
-    /** The machine's partition has a new term, and its owner hasn't published the machine's status under it yet. */
+    /** The machine's partition has a new term, and its owner hasn't published the machine's status under that term yet. */
     PARTITION_REASSIGNED,
-    /** The leader hasn't received anything from the partition's owner for a while. */
+    /** The leader hasn't received any message from the partition's owner for a while. */
     OWNER_UNHEARD,
-    /** The partition's owner hasn't submitted bids under the present term. */
+    /** The partition's owner hasn't submitted bids under the partition's current term. */
     OWNER_NOT_BIDDING,
     /** The partition's owner receives no heartbeats from the machine. */
     MACHINE_SILENT
--- a/src/main/java/garnetscale/core/balance/WaitForecast.java
+++ b/src/main/java/garnetscale/core/balance/WaitForecast.java
@@ -10,12 +10,12 @@
 import java.util.Set;
 
 /**
- * Forecasts how long a job's waiting tasks will wait: each takes the slot that is free first, and frees it after its own run.
- * Slots that other jobs would take aren't counted, so that waits are rather too short and a move's gain rather too small.
+ * Forecasts how long a job's waiting tasks will wait. Each task takes the slot that is free first, and frees it after its run.
+ * Slots count even if other jobs would take them, so that waits, and with them a move's gain, tend to be underestimated.
  */
 final class WaitForecast {
 
-    /** A slot for one task on a machine that is free from a time on, in seconds from now. */
+    /** A slot for one task on a machine; {@code atS} is when it becomes free, in seconds from now. */
     private record FreeSlot(String machine, double atS) {}
 
     private static final Comparator<FreeSlot> EARLIEST_FIRST =
@@ -26,37 +26,40 @@
     private final int tasks;
     private List<FreeSlot> freeSlots = new ArrayList<>();
 
-    /** {@code tasks} of the job wait, each of which will run for {@code runS} seconds. */
+    /** Creates a forecast without slots for {@code tasks} waiting tasks of the job, each with a run of {@code runS} seconds. */
     WaitForecast(JobSpec job, double runS, int tasks) {
         this.job = job;
         this.runS = runS;
         this.tasks = tasks;
     }
 
-    /** Counts the slots that become free on these machines without any move. */
+    /** Adds the slots that become free on these machines without any move. */
     void addFreeSlots(List<SourceMachine> machines) {
         machines.forEach(machine -> freeSlots.addAll(freeSlots(machine, List.of(), 0)));
         freeSlots.sort(EARLIEST_FIRST);
     }
 
-    /** Counts a task of the job that starts on the machine now and frees its slot after its run. */
+    /** Adds the slot of a task of the job that starts on the machine now and frees the slot after its run. */
     void addStart(SourceMachine machine) {
         freeSlots.add(new FreeSlot(machine.machine(), runS));
     }
 
-    /** Seconds that all waiting tasks together wait less if these tasks are stopped and their resources are free after {@code stopS}. */
+    /**
+     * Returns the seconds by which stopping these tasks reduces the total wait of all waiting tasks, if the stopped tasks'
+     * resources are free after {@code stopS} seconds.
+     */
     double savedWaitS(SourceMachine machine, List<RunningTask> stopped, double stopS) {
-        return totalS(freeSlots) - totalS(with(machine, stopped, stopS));
+        return totalWaitS(freeSlots) - totalWaitS(withStops(machine, stopped, stopS));
     }
 
-    /** Counts these stops as made. */
+    /** Replaces the machine's slots by those that are free after these stops. */
     void addStops(SourceMachine machine, List<RunningTask> stopped, double stopS) {
-        freeSlots = with(machine, stopped, stopS);
+        freeSlots = withStops(machine, stopped, stopS);
     }
 
-    private List<FreeSlot> with(SourceMachine machine, List<RunningTask> stopped, double stopS) {
+    private List<FreeSlot> withStops(SourceMachine machine, List<RunningTask> stopped, double stopS) {
         List<FreeSlot> next = new ArrayList<>(freeSlots(machine, stopped, stopS));
-        // Tasks take the earliest slots: later slots than there are tasks can't matter.
+        // Tasks take the earliest slots, so no more slots than there are tasks can matter.
         int others = 0;
         for (FreeSlot slot : freeSlots) {
             if (!slot.machine().equals(machine.machine()) && others < tasks) {
@@ -94,15 +97,15 @@
         return Math.max(before, slots);
     }
 
-    private double totalS(List<FreeSlot> from) {
+    private double totalWaitS(List<FreeSlot> from) {
         PriorityQueue<Double> freeAtS = new PriorityQueue<>();
         from.stream().limit(tasks).forEach(slot -> freeAtS.add(slot.atS()));
-        double totalS = 0;
+        double totalWaitS = 0;
         for (int i = 0; i < tasks && !freeAtS.isEmpty(); i++) {
             double startS = freeAtS.remove();
-            totalS += startS;
+            totalWaitS += startS;
             freeAtS.add(startS + runS);
         }
-        return totalS;
+        return totalWaitS;
     }
 }
--- a/src/main/java/garnetscale/core/bidding/Estimator.java
+++ b/src/main/java/garnetscale/core/bidding/Estimator.java
@@ -123,17 +123,17 @@
     }
 
     /**
-     * Returns the estimated seconds until a task completes that has run for {@code elapsedS} seconds on the machine. The result is
-     * at least a quarter of the elapsed time, so that a task that exceeds its estimate isn't expected to complete at once.
+     * Returns the estimated seconds until a task completes that has run for {@code elapsedS} seconds on the machine. The result
+     * is at least a quarter of the elapsed time, so that a task that exceeds its estimate isn't expected to complete at once.
      */
     public double remainingS(JobSpec job, String machine, double elapsedS) {
         return Math.max(runTimeS(job, machine) - elapsedS, elapsedS / 4);
     }
 
     /**
-     * Returns the expected loss, in seconds, of a task that runs on a spot instance: the probability that the instance is evicted
-     * during the run, times the work that is lost then. The loss is small for short tasks and for tasks that write checkpoints.
-     * It is large enough to send long tasks without checkpoints to on-demand machines while those have capacity.
+     * Returns the expected loss, in seconds, of a task that runs on a spot instance: the probability that the instance is
+     * evicted during the run, times the work that is lost then. The loss is small for short tasks and for tasks that write
+     * checkpoints. It is large enough to send long tasks without checkpoints to on-demand machines while those have capacity.
      */
     static double spotRiskS(JobSpec job, double runS) {
         double atRiskS = job.writesCheckpoints() ? Math.min(runS, job.checkpointS()) : runS;
--- a/src/main/java/garnetscale/core/leader/Balancer.java
+++ b/src/main/java/garnetscale/core/leader/Balancer.java
@@ -78,7 +78,7 @@
     /** A new leadership begins. */
     void begin(long now) {
         observer.clear();
-        budget.begin(now);
+        budget.startTerm(now);
         jobsWantingBids = Set.of();
         dueAt = now;
     }
@@ -140,7 +140,7 @@
         if (jobsWantingBids.isEmpty()) {
             return;
         }
-        budget.observe(cycle.now(), placedCount(cycle), stoppingCount(cycle));
+        budget.startPass(cycle.now(), placedCount(cycle), stoppingCount(cycle));
         MovePlanner.Input input = new MovePlanner.Input(cycle.now(), load, waiting, sourceMachines, offers(cycle));
         for (Move move : MovePlanner.plan(settings.margin(), input, budget)) {
             stop(cycle.draft(), move);
--- a/src/test/java/garnetscale/core/balance/BalanceCostMeasurement.java
+++ b/src/test/java/garnetscale/core/balance/BalanceCostMeasurement.java
@@ -133,8 +133,8 @@
                 }
             }
             MoveBudget budget = new MoveBudget(BalanceSettings.MOVING, 10_000);
-            budget.begin(0);
-            budget.observe(100_000, 2 * size, 0);
+            budget.startTerm(0);
+            budget.startPass(100_000, 2 * size, 0);
             sink = MovePlanner.plan(
                     BalanceSettings.MARGIN,
                     new MovePlanner.Input(
--- a/src/test/java/garnetscale/core/balance/BalancePropertiesTest.java
+++ b/src/test/java/garnetscale/core/balance/BalancePropertiesTest.java
@@ -122,7 +122,7 @@
         int atATime = 8;
         LoadSnapshot load = oneGroup();
         MoveBudget budget = new MoveBudget(share, LEASE);
-        budget.begin(0);
+        budget.startTerm(0);
         long now = WINDOW;
         List<Applied> applied = new ArrayList<>();
         Set<Move> refused = new HashSet<>();
@@ -132,12 +132,12 @@
             refused.clear();
             if (wish.newLeader()) {
                 budget = new MoveBudget(share, LEASE);
-                budget.begin(now);
+                budget.startTerm(now);
             }
             long time = now;
             int stopping =
                     (int) applied.stream().filter(a -> time - a.at() < 3000).count();
-            budget.observe(now, placed, stopping);
+            budget.startPass(now, placed, stopping);
             Move move = move(wish, applied.size());
             if (!budget.allows(now, List.of(move), load)) {
                 continue;
--- a/src/test/java/garnetscale/core/balance/MoveBudgetTest.java
+++ b/src/test/java/garnetscale/core/balance/MoveBudgetTest.java
@@ -26,7 +26,7 @@
         LoadTracker tracker = new LoadTracker(1000);
         tracker.update(0, "m-1", new MachineLoad(TO, null, true, 100_000, Map.of()));
         load = tracker.snapshot(0, Demand.NONE);
-        budget.begin(0);
+        budget.startTerm(0);
     }
 
     private Move move(String team, double cpus, long paybackMs) {
@@ -39,7 +39,7 @@
 
     /** Makes a move if it is allowed, as the only one of a pass in which so many placed tasks are being stopped. */
     private boolean make(long now, Move move, int stopping) {
-        budget.observe(now, 400, stopping);
+        budget.startPass(now, 400, stopping);
         if (!budget.allows(now, List.of(move), load)) {
             return false;
         }
@@ -51,7 +51,7 @@
     void atATimeACountOfAllThatIsBeingStopped() {
         assertTrue(make(NOW, move("red", 0, 0), 7));
         assertFalse(make(NOW, move("red", 0, 0), 8), "a fiftieth of 400 tasks");
-        budget.observe(NOW, 400, 5);
+        budget.startPass(NOW, 400, 5);
         List<Move> together = List.of(move("red", 0, 0), move("red", 0, 0), move("red", 0, 0), move("red", 0, 0));
         assertFalse(budget.allows(NOW, together, load));
         assertTrue(budget.allows(NOW, together.subList(0, 3), load));
@@ -96,7 +96,7 @@
     void nothingThatPaysLaterThanANewLeaderWaits() {
         assertFalse(make(NOW, move("red", 0, WINDOW + 1), 0));
         assertTrue(make(NOW, move("red", 0, WINDOW), 0));
-        budget.begin(NOW);
+        budget.startTerm(NOW);
         assertFalse(make(NOW + WINDOW - 1, move("red", 0, 0), 0));
         assertTrue(make(NOW + WINDOW, move("red", 0, 0), 0));
     }
--- a/src/test/java/garnetscale/core/balance/MovePlannerTest.java
+++ b/src/test/java/garnetscale/core/balance/MovePlannerTest.java
@@ -33,8 +33,8 @@
     private long attempts;
 
     MovePlannerTest() {
-        budget.begin(0);
-        budget.observe(NOW, 100, 0);
+        budget.startTerm(0);
+        budget.startPass(NOW, 100, 0);
         offer("m-small", 2, 30);
     }
 
@@ -175,7 +175,7 @@
     @Test
     void aNewLeaderWaits() {
         large("m-large", null, false, task(Priority.NORMAL, 28, 0));
-        budget.begin(NOW - 1);
+        budget.startTerm(NOW - 1);
         assertEquals(List.of(), planForBound());
     }
 
@@ -187,7 +187,7 @@
         large("m-large", null, false, task(Priority.NORMAL, 100, 0));
         assertEquals(List.of(), planForBound());
         budget = new MoveBudget(0.1, 2 * LEASE);
-        budget.observe(NOW, 100, 0);
+        budget.startPass(NOW, 100, 0);
         assertEquals(1, planForBound().size(), "the same where leases are longer");
     }
 
