--- a/src/main/java/garnetscale/controller/JobApi.java
+++ b/src/main/java/garnetscale/controller/JobApi.java
@@ -58,7 +58,7 @@
             Consumer<String> onCancelled) {
         RequestAdmission admission = new RequestAdmission(config, replica, store);
         this.terminalJobs =
-                new TerminalJobIndex(config.maxTransactionOperations(), config.terminalJobsRemembered(), store);
+                new TerminalJobIndex(config.maxTransactionOperations(), config.maxRememberedTerminalJobs(), store);
         this.lookup = new JobLookup(replica, store, admission, terminalJobs, waitingReason);
         this.submission = new JobSubmission(config, replica, store, admission, lookup);
         this.cancellation = new JobCancellation(replica, store, admission, lookup, onCancelled);
--- a/src/main/java/garnetscale/controller/LoadView.java
+++ b/src/main/java/garnetscale/controller/LoadView.java
@@ -95,7 +95,7 @@
     private static String statusWord(UnknownReason reason) {
         return switch (reason) {
             case PARTITION_REASSIGNED -> "BLOCK_REASSIGNED";
-            case OWNER_UNHEARD -> "HOLDER_UNHEARD";
+            case OWNER_SILENT -> "HOLDER_UNHEARD";
             case OWNER_NOT_BIDDING -> "HOLDER_NOT_BIDDING";
             case MACHINE_SILENT -> "MACHINE_SILENT";
         };
--- a/src/main/java/garnetscale/core/SchedulerConfig.java
+++ b/src/main/java/garnetscale/core/SchedulerConfig.java
@@ -169,12 +169,12 @@
      * Returns how many cancellations by other controllers a partition owner remembers: as many as the key-value store can record
      * until the tasks of a cancelled job would be terminated in any case. That is the steady rate plus a burst of one second.
      */
-    public int cancellationsRemembered() {
+    public int maxRememberedCancellations() {
         return (int) Math.ceil(stateWritesPerS * (cancellationDeadlineMs / 1000.0 + 1));
     }
 
     /** Returns how many terminal jobs a controller remembers, so that it needn't read them from the key-value store. */
-    public int terminalJobsRemembered() {
+    public int maxRememberedTerminalJobs() {
         return (int) Math.ceil(stateWritesPerS * COMPLETED_JOB_RETENTION_S / WRITES_PER_COMPLETED_JOB);
     }
 
--- a/src/main/java/garnetscale/core/autoscaling/Autoscaler.java
+++ b/src/main/java/garnetscale/core/autoscaling/Autoscaler.java
@@ -88,13 +88,13 @@
         // Deletes and launches alternate: a wave of lost machines causes deletes for half a minute, and the launch of
         // replacements can't wait that long.
         if (wasLastCallDelete) {
-            call = scaleOut(now, statuses, capacity, suspects);
+            call = nextScaleOut(now, statuses, capacity, suspects);
         }
         if (call == null) {
-            call = decommissioned.isEmpty() ? stuckInstances.next(now, statuses) : delete(decommissioned);
+            call = decommissioned.isEmpty() ? stuckInstances.next(now, statuses) : scaleIn(decommissioned);
         }
         if (call == null && !wasLastCallDelete) {
-            call = scaleOut(now, statuses, capacity, suspects);
+            call = nextScaleOut(now, statuses, capacity, suspects);
         }
         wasLastCallDelete = call instanceof CloudCall.ScaleIn;
         return call != null || capacity.isEmpty() ? call : idleInstances.next(now, capacity, statuses);
@@ -112,13 +112,13 @@
         return instances.isListDue(now) ? instances.listRequest(now) : null;
     }
 
-    private static CloudCall delete(List<String> machines) {
+    private static CloudCall scaleIn(List<String> machines) {
         int count = Math.min(machines.size(), CloudCall.ScaleIn.MAX_MACHINES);
         return new CloudCall.ScaleIn(List.copyOf(machines.subList(0, count)));
     }
 
     /** Returns the next launch, or null; fills {@code capacity} with the machines that exist or boot, and marks those in use. */
-    private CloudCall scaleOut(
+    private CloudCall nextScaleOut(
             long now, Map<String, MachineStatus> statuses, List<Capacity> capacity, Set<String> suspects) {
         stuckInstances.retainSilent(statuses);
         if (replica.types().isEmpty()) {
--- a/src/main/java/garnetscale/core/balance/LoadSnapshot.java
+++ b/src/main/java/garnetscale/core/balance/LoadSnapshot.java
@@ -17,7 +17,7 @@
         PMap<MachineGroup, GroupLoad> groups,
         Demand demand) {
 
-    /** A group of whose machines a larger share is unknown counts as unknown as a whole. */
+    /** A group counts as unknown as a whole if the load of a larger share of its machines is unknown. */
     private static final double MAX_UNKNOWN_SHARE = 0.25;
 
     /** A snapshot without machines. */
--- a/src/main/java/garnetscale/core/leader/LoadObserver.java
+++ b/src/main/java/garnetscale/core/leader/LoadObserver.java
@@ -156,7 +156,7 @@
     private UnknownReason ownerReason(long now, String partition, String owner) {
         long heardAt = owner.equals(config.self()) ? now : lastHeardAt.getOrDefault(owner, Times.NEVER);
         if (now - heardAt > OWNER_HEARD_WITHIN_LEASES * config.workerLeaseMs()) {
-            return UnknownReason.OWNER_UNHEARD;
+            return UnknownReason.OWNER_SILENT;
         }
         return auction.hasCurrentBatch(partition) ? null : UnknownReason.OWNER_NOT_BIDDING;
     }
--- a/src/main/java/garnetscale/core/leader/PreemptionStops.java
+++ b/src/main/java/garnetscale/core/leader/PreemptionStops.java
@@ -87,7 +87,7 @@
         Preemption preemption = null;
         for (JobView job : JobQueue.sort(replica.jobs(), order, cycle.wallMs())) {
             boolean isUrgent = placedNothing && reserve.isUrgent(job);
-            boolean isGuaranteed = cycle.draft().quota().guarantees(job.spec());
+            boolean isGuaranteed = cycle.draft().quota().isWithinGuarantee(job.spec());
             if (!isUrgent && !isGuaranteed && !hasLowWork || !findsNoRoom(cycle, job)) {
                 continue;
             }
--- a/src/main/java/garnetscale/core/leader/TaskPlacer.java
+++ b/src/main/java/garnetscale/core/leader/TaskPlacer.java
@@ -169,7 +169,7 @@
 
     /** Whether the job is of low priority and its team beyond its guarantee, if it has one: such work waits for ever. */
     private boolean borrows(JobView job) {
-        return job.spec().priority() == Priority.LOW && !draft.quota().guarantees(job.spec());
+        return job.spec().priority() == Priority.LOW && !draft.quota().isWithinGuarantee(job.spec());
     }
 
     /** Whether a task of the job would take room that is reserved for others. */
--- a/src/main/java/garnetscale/core/partition/DesiredPlacements.java
+++ b/src/main/java/garnetscale/core/partition/DesiredPlacements.java
@@ -37,7 +37,7 @@
 
     /**
      * A peer has cancelled a job for its user. A cancelled job stays cancelled, so the peer's word is enough. As many
-     * cancellations are remembered as {@link SchedulerConfig#cancellationsRemembered} says, the newest.
+     * cancellations are remembered as {@link SchedulerConfig#maxRememberedCancellations} says, the newest.
      */
     void onCancelled(String job) {
         for (MachineView machine : machines.values()) {
@@ -46,7 +46,7 @@
             }
         }
         cancelledByPeers.add(job);
-        if (cancelledByPeers.size() > config.cancellationsRemembered()) {
+        if (cancelledByPeers.size() > config.maxRememberedCancellations()) {
             Iterator<String> oldest = cancelledByPeers.iterator();
             oldest.next();
             oldest.remove();
--- a/src/main/java/garnetscale/core/quota/QuotaUsage.java
+++ b/src/main/java/garnetscale/core/quota/QuotaUsage.java
@@ -64,7 +64,7 @@
     }
 
     /** Returns whether one more task of the job is within its team's guarantee; false for an unknown team. */
-    public boolean guarantees(JobSpec job) {
+    public boolean isWithinGuarantee(JobSpec job) {
         SchedulerConfig.Team team = teams.get(job.team());
         return team != null
                 && cpus(job.team()) + job.cpus() <= team.cpus() + MachineType.EPSILON
--- a/src/test/java/garnetscale/controller/LoadViewTest.java
+++ b/src/test/java/garnetscale/controller/LoadViewTest.java
@@ -23,7 +23,7 @@
     void groupsAreShownWithWhatIsUnknown() {
         LoadTracker tracker = new LoadTracker(1000);
         tracker.update(0, "m-1", new MachineLoad(SMALL, null, true, 8000, Map.of("red", 2500L, "blue", 1500L)));
-        tracker.update(0, "m-2", new MachineLoad(LARGE, UnknownReason.OWNER_UNHEARD, false, 16_000, Map.of()));
+        tracker.update(0, "m-2", new MachineLoad(LARGE, UnknownReason.OWNER_SILENT, false, 16_000, Map.of()));
         LoadView load = LoadView.of(
                 tracker.snapshot(500, Demand.NONE.plus("red", 120.4, 7).plusWaiting(SMALL, 120.4)), 800);
         assertEquals(
--- a/src/test/java/garnetscale/core/CorePurityTest.java
+++ b/src/test/java/garnetscale/core/CorePurityTest.java
@@ -10,10 +10,10 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** The core decides by message and time alone: no sockets, files, threads, clocks or codecs in it. */
+/** Checks that the core depends only on messages and the time that is passed in: no sockets, files, threads, clocks or codecs. */
 class CorePurityTest {
 
-    private static final List<String> FOREIGN = List.of(
+    private static final List<String> FORBIDDEN = List.of(
             "io.netty",
             "com.fasterxml",
             "org.apache.avro",
@@ -34,7 +34,7 @@
             "garnetscale.controller");
 
     @Test
-    void coreKnowsNothingOfTheOutside() throws IOException {
+    void coreDoesNotUseIoThreadsClocksOrOuterPackages() throws IOException {
         List<Path> sources;
         try (Stream<Path> walk = Files.walk(Path.of("src/main/java/garnetscale/core"))) {
             sources = walk.filter(p -> p.toString().endsWith(".java")).toList();
@@ -42,7 +42,7 @@
         assertTrue(sources.size() > 20);
         for (Path p : sources) {
             String code = Files.readString(p);
-            assertEquals(List.of(), FOREIGN.stream().filter(code::contains).toList(), p.toString());
+            assertEquals(List.of(), FORBIDDEN.stream().filter(code::contains).toList(), p.toString());
         }
     }
 }
--- a/src/test/java/garnetscale/core/ExplicitEqualityTest.java
+++ b/src/test/java/garnetscale/core/ExplicitEqualityTest.java
@@ -21,8 +21,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Records with an explicit {@code equals} compare every component. A component that was added to one and forgotten in its
- * {@code equals} would hide a change: an observation would not be sent, or a bid batch would be taken for the one before.
+ * Checks that records with an explicit {@code equals} compare every component. A component that was added to a record but not
+ * to its {@code equals} would hide changes: an observation would not be sent, or a bid batch would be taken for the previous one.
  */
 class ExplicitEqualityTest {
 
@@ -38,7 +38,7 @@
                 MachineStatus.class,
                 PeerMessage.MachineDirectory.class
             })
-    void everyComponentCounts(Class<? extends Record> type) throws ReflectiveOperationException {
+    void equalsComparesEveryComponent(Class<? extends Record> type) throws ReflectiveOperationException {
         RecordComponent[] components = type.getRecordComponents();
         Constructor<? extends Record> constructor = type.getDeclaredConstructor(
                 Arrays.stream(components).map(RecordComponent::getType).toArray(Class<?>[]::new));
--- a/src/test/java/garnetscale/core/TestConfig.java
+++ b/src/test/java/garnetscale/core/TestConfig.java
@@ -4,10 +4,10 @@
 import java.util.List;
 import java.util.Map;
 
-/** Builds the core's settings for tests: those of a small or a large cluster, with the changes that a test needs. */
+/** Builds settings of the core for tests, from those of a small or a large cluster. */
 public final class TestConfig {
 
-    private static final long CLOCK_OFF_MS = 25;
+    private static final long WALL_CLOCK_ERROR_MS = 25;
 
     private String self = "n0";
     private List<SchedulerConfig.ControllerAddress> controllers =
@@ -16,12 +16,12 @@
     private Map<String, SchedulerConfig.Team> teams = Map.of();
     private List<SchedulerConfig.ServiceLevelObjective> objectives = List.of();
     private long heartbeatIntervalMs = 1000;
-    private long leaseMs = 10_000;
-    private long cancelMs = 35_000;
-    private int transactionOps = 24;
-    private double stateRps = 150;
+    private long workerLeaseMs = 10_000;
+    private long cancellationDeadlineMs = 35_000;
+    private int maxTransactionOperations = 24;
+    private double stateRequestsPerS = 150;
     private double stateWritesPerS = 60;
-    private double cloudRps = 1.5;
+    private double cloudRequestsPerS = 1.5;
     private long listLagMs = 10_000;
     private int maxConnections = 600;
     private int valueBytes = 16 * 1024;
@@ -29,21 +29,21 @@
 
     private TestConfig() {}
 
-    /** A heartbeat every second, and at most 600 connections. */
+    /** Returns settings of a small cluster: a heartbeat every second, and at most 600 connections. */
     public static TestConfig small() {
         return new TestConfig();
     }
 
-    /** A heartbeat every five seconds, and at most 2,500 connections. */
+    /** Returns settings of a large cluster: a heartbeat every five seconds, and at most 2,500 connections. */
     public static TestConfig large() {
         TestConfig config = new TestConfig();
         config.heartbeatIntervalMs = 5000;
-        config.leaseMs = 22_000;
-        config.cancelMs = 47_000;
-        config.transactionOps = 32;
-        config.stateRps = 100;
+        config.workerLeaseMs = 22_000;
+        config.cancellationDeadlineMs = 47_000;
+        config.maxTransactionOperations = 32;
+        config.stateRequestsPerS = 100;
         config.stateWritesPerS = 40;
-        config.cloudRps = 6;
+        config.cloudRequestsPerS = 6;
         config.listLagMs = 3000;
         config.maxConnections = 2500;
         return config;
@@ -74,16 +74,16 @@
         return this;
     }
 
-    /** Heartbeat interval, lease and cancellation deadline of workers, in milliseconds. */
+    /** Sets the workers' heartbeat interval, lease and cancellation deadline, in milliseconds. */
     public TestConfig workers(long heartbeat, long lease, long cancel) {
         heartbeatIntervalMs = heartbeat;
-        leaseMs = lease;
-        cancelMs = cancel;
+        workerLeaseMs = lease;
+        cancellationDeadlineMs = cancel;
         return this;
     }
 
     public TestConfig state(double requestsPerS, double writesPerS) {
-        stateRps = requestsPerS;
+        stateRequestsPerS = requestsPerS;
         stateWritesPerS = writesPerS;
         return this;
     }
@@ -111,16 +111,16 @@
                 teams,
                 objectives,
                 heartbeatIntervalMs,
-                leaseMs,
-                cancelMs,
-                transactionOps,
-                stateRps,
+                workerLeaseMs,
+                cancellationDeadlineMs,
+                maxTransactionOperations,
+                stateRequestsPerS,
                 stateWritesPerS,
                 valueBytes,
-                cloudRps,
+                cloudRequestsPerS,
                 listLagMs,
                 maxConnections,
-                CLOCK_OFF_MS,
+                WALL_CLOCK_ERROR_MS,
                 features);
     }
 }
--- a/src/test/java/garnetscale/core/autoscaling/AutoscalerTest.java
+++ b/src/test/java/garnetscale/core/autoscaling/AutoscalerTest.java
@@ -29,7 +29,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** What the leader asks of the cloud when many machines are silent at once. */
+/** Calls to the cloud when many machines are silent at once, or were preempted. */
 class AutoscalerTest {
 
     private static final int MACHINES = 20;
@@ -67,8 +67,8 @@
         autoscaler.onTypes(TYPES);
     }
 
-    /** Submits a job that doesn't fit on all machines together. */
-    private void demand() {
+    /** Submits a job that needs more capacity than all machines together have. */
+    private void submitLargeJob() {
         JobSpec job = TestJob.named("wk-2")
                 .tasks(5000)
                 .cpus(8)
@@ -86,8 +86,8 @@
         return "m-0000" + (10 + machine);
     }
 
-    /** Lets the autoscaler read a complete instance list with the machines from {@code first} on. */
-    private void list(long now, int first) {
+    /** Passes the autoscaler a complete instance list with the machines from number {@code first} on. */
+    private void passInstanceList(long now, int first) {
         for (int calls = 0;
                 calls < 2 && !(autoscaler.next(now, List.of(), List.of(), Set.of()) instanceof CloudCall.ListInstances);
                 calls++) {
@@ -100,8 +100,8 @@
         autoscaler.onPage(now, page, false);
     }
 
-    /** The machines that are deleted when all of them are silent. */
-    private List<String> deletes(long now) {
+    /** Returns the machines that are deleted at {@code now} if all machines are silent. */
+    private List<String> deletedMachines(long now) {
         List<MachineStatus> silent = new ArrayList<>();
         for (int i = 0; i < MACHINES; i++) {
             silent.add(new MachineStatus(
@@ -117,59 +117,69 @@
         return ids;
     }
 
-    /** A wave of preempted machines once cost their tasks the whole fencing delay after each failover of their owner. */
+    /**
+     * Guards against slow recovery from a wave of preempted machines: after a failover of the partition owner, their tasks had to
+     * wait for the whole fencing delay.
+     */
     @Test
     void silentMachinesThatLeftTheListAreDeletedAtOnce() {
-        list(1000, 0);
-        list(10_000, 8);
-        assertEquals(List.of(), deletes(10_000 + LAG - 1), "lists may be older than the one before");
-        assertEquals(8, deletes(10_000 + LAG + 1).size());
+        passInstanceList(1000, 0);
+        passInstanceList(10_000, 8);
+        assertEquals(List.of(), deletedMachines(10_000 + LAG - 1), "a list may be older than the previous one");
+        assertEquals(8, deletedMachines(10_000 + LAG + 1).size());
     }
 
+    /** Many listed machines that are silent at once point to a network partition. */
     @Test
-    void manySilentMachinesThatAreListedAreRatherCutOff() {
-        list(1000, 0);
-        assertEquals(List.of(), deletes(20_000));
+    void manySilentMachinesThatAreListedAreNotDeleted() {
+        passInstanceList(1000, 0);
+        assertEquals(List.of(), deletedMachines(20_000));
     }
 
-    /** A new leader knows only its own lists, and waits until they must be younger than its term. */
+    /** A new leader uses only lists that it has read itself, and waits until they must be younger than its term. */
     @Test
-    void aNewLeaderDeletesWhatItNeverSawListed() {
-        list(1000, 5);
-        assertEquals(List.of(), deletes(4 * LAG - 1));
-        assertEquals(5, deletes(4 * LAG + 1).size());
-        assertFalse(deletes(4 * LAG + 2).contains(id(0)), "once is enough");
+    void newLeaderDeletesMachinesThatItNeverSawListed() {
+        passInstanceList(1000, 5);
+        assertEquals(List.of(), deletedMachines(4 * LAG - 1));
+        assertEquals(5, deletedMachines(4 * LAG + 1).size());
+        assertFalse(deletedMachines(4 * LAG + 2).contains(id(0)), "a machine is deleted only once");
     }
 
-    /** A wave of preempted machines led to deletes at every call for half a minute, and nothing was launched meanwhile. */
+    /**
+     * Guards against deletes that hold up launches: after a wave of preempted machines, every call for half a minute was a
+     * delete, and nothing was launched meanwhile.
+     */
     @Test
-    void replacementsAreRentedBetweenDeletes() {
-        list(1000, 0);
-        list(10_000, 8);
-        demand();
+    void launchesAlternateWithDeletes() {
+        passInstanceList(1000, 0);
+        passInstanceList(10_000, 8);
+        submitLargeJob();
         long now = 10_000 + LAG + 1;
-        assertInstanceOf(CloudCall.ScaleIn.class, change(now));
-        assertInstanceOf(CloudCall.ScaleOut.class, change(now + 500));
-        assertInstanceOf(CloudCall.ScaleIn.class, change(now + 1000), "unanswered, it is asked again");
+        assertInstanceOf(CloudCall.ScaleIn.class, nextChange(now));
+        assertInstanceOf(CloudCall.ScaleOut.class, nextChange(now + 500));
+        assertInstanceOf(CloudCall.ScaleIn.class, nextChange(now + 1000), "the unanswered delete is repeated");
     }
 
-    /** An offering that was refused while its zone was full was once not requested until long after a wave had emptied it. */
+    /**
+     * Guards against a backoff that outlasts the shortage: an offering that was refused while its zone was full was not requested
+     * until long after a wave of preemptions had emptied the zone.
+     */
     @Test
-    void whatATakenMachineStoodInIsAskedForAtOnce() {
-        list(1000, 0);
-        demand();
-        CloudCall.ScaleOut spot = (CloudCall.ScaleOut) change(2000);
+    void backoffEndsWhenAMachineOfTheOfferingLeavesTheList() {
+        passInstanceList(1000, 0);
+        submitLargeJob();
+        CloudCall.ScaleOut spot = (CloudCall.ScaleOut) nextChange(2000);
         assertTrue(spot.spot());
         for (int i = 0; i < 4; i++) {
             autoscaler.onRefused(2000, spot);
         }
-        assertFalse(((CloudCall.ScaleOut) change(4000)).spot(), "refused just now");
-        list(9500, 3);
-        assertTrue(((CloudCall.ScaleOut) change(9600)).spot());
+        assertFalse(((CloudCall.ScaleOut) nextChange(4000)).spot(), "the spot offering was refused just now");
+        passInstanceList(9500, 3);
+        assertTrue(((CloudCall.ScaleOut) nextChange(9600)).spot());
     }
 
-    /** The next call that changes something. */
-    private CloudCall change(long now) {
+    /** Returns the next call that isn't a listing. */
+    private CloudCall nextChange(long now) {
         CloudCall call = autoscaler.next(now, List.of(), List.of(), Set.of());
         return call instanceof CloudCall.ListInstances || call instanceof CloudCall.ListTypes
                 ? autoscaler.next(now, List.of(), List.of(), Set.of())
--- a/src/test/java/garnetscale/core/balance/BalanceCostMeasurement.java
+++ b/src/test/java/garnetscale/core/balance/BalanceCostMeasurement.java
@@ -16,43 +16,43 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Time and garbage of load snapshots and of a plan, by the size of the cluster: {@code mvn test -Dtest=BalanceCostMeasurement}.
- * Persistent maps are held against maps that are copied for each snapshot. Not part of a build.
+ * Measures the time and the allocation of load snapshots and of a plan, by the size of the cluster: {@code mvn test
+ * -Dtest=BalanceCostMeasurement}. Persistent maps are compared with maps that are copied for each snapshot. Not part of a build.
  */
 class BalanceCostMeasurement {
 
     private static final List<Integer> SIZES = List.of(200, 1600, 4000);
     private static final int ROUNDS = 200;
-    /** Machines that change between two snapshots, of each hundred. */
+    /** Percentage of the machines that change between two snapshots. */
     private static final int CHANGED_PERCENT = 10;
 
     private final ThreadMXBean threads = (ThreadMXBean) ManagementFactory.getThreadMXBean();
     private Object sink;
 
     @Test
-    void pictureAndPlan() {
-        for (int warm = 0; warm < 2; warm++) {
+    void snapshotAndPlan() {
+        for (int pass = 0; pass < 2; pass++) {
             for (int size : SIZES) {
-                persistent(size, warm == 1);
-                copied(size, warm == 1);
-                plan(size, warm == 1);
+                persistent(size, pass == 1);
+                copied(size, pass == 1);
+                plan(size, pass == 1);
             }
         }
     }
 
-    private void measure(String what, int size, int rounds, boolean shown, Runnable round) {
+    private void measure(String name, int size, int rounds, boolean isReported, Runnable round) {
         long bytes = threads.getCurrentThreadAllocatedBytes();
-        long began = System.nanoTime();
+        long startNs = System.nanoTime();
         for (int i = 0; i < rounds; i++) {
             round.run();
         }
-        if (shown) {
+        if (isReported) {
             System.out.printf(
                     Locale.ROOT,
                     "%-12s %5d machines: %8.3f ms, %8.1f KB each%n",
-                    what,
+                    name,
                     size,
-                    (System.nanoTime() - began) / 1e6 / rounds,
+                    (System.nanoTime() - startNs) / 1e6 / rounds,
                     (threads.getCurrentThreadAllocatedBytes() - bytes) / 1024.0 / rounds);
         }
     }
@@ -64,13 +64,13 @@
         return new MachineLoad(new MachineGroup(zone, type), null, true, 8000, Map.of("red", used));
     }
 
-    private void persistent(int size, boolean shown) {
+    private void persistent(int size, boolean isReported) {
         LoadTracker tracker = new LoadTracker(5000);
         for (int i = 0; i < size; i++) {
             tracker.update(0, "m-" + i, load(i, 0));
         }
         int[] round = new int[1];
-        measure("persistent", size, ROUNDS, shown, () -> {
+        measure("persistent", size, ROUNDS, isReported, () -> {
             round[0]++;
             for (int i = 0; i < size; i += 100 / CHANGED_PERCENT) {
                 tracker.update(round[0], "m-" + i, load(i, round[0]));
@@ -79,7 +79,7 @@
         });
     }
 
-    private void copied(int size, boolean shown) {
+    private void copied(int size, boolean isReported) {
         Map<String, MachineLoad> machines = new HashMap<>();
         Map<MachineGroup, GroupTotals> groups = new HashMap<>();
         for (int i = 0; i < size; i++) {
@@ -90,7 +90,7 @@
                     groups.getOrDefault(load.group(), GroupTotals.EMPTY).plus(load));
         }
         int[] round = new int[1];
-        measure("copied", size, ROUNDS, shown, () -> {
+        measure("copied", size, ROUNDS, isReported, () -> {
             round[0]++;
             for (int i = 0; i < size; i += 100 / CHANGED_PERCENT) {
                 MachineLoad load = load(i, round[0]);
@@ -101,8 +101,8 @@
         });
     }
 
-    /** Half of the machines are large and full of tasks that could move, the others have room; one job waits. */
-    private void plan(int size, boolean shown) {
+    /** Half of the machines are large and run tasks that could move, the others have free capacity; one job waits. */
+    private void plan(int size, boolean isReported) {
         MachineType small = new MachineType("small", 8, 0, 64, 20, 1, 1, 0.5, 20, List.of("a"));
         MachineType large = new MachineType("large", 16, 0, 64, 20, 1, 1, 0.5, 20, List.of("a"));
         JobSpec flexible = TestJob.named("wk-flexible").cpus(4).tasks(2 * size).build();
@@ -111,7 +111,7 @@
                 .cpus(12)
                 .tasks(100)
                 .build();
-        measure("plan", size, 20, shown, () -> {
+        measure("plan", size, 20, isReported, () -> {
             LoadTracker tracker = new LoadTracker(5000);
             List<SourceMachine> machines = new ArrayList<>();
             List<DestinationBid> offers = new ArrayList<>();
--- a/src/test/java/garnetscale/core/balance/BalancePropertiesTest.java
+++ b/src/test/java/garnetscale/core/balance/BalancePropertiesTest.java
@@ -17,18 +17,18 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.Provide;
 
-/** Properties that hold whatever happens in whatever order. Seeds are fixed, so that a build repeats. */
+/** Properties that hold for any sequence of events. Seeds are fixed, so that builds are reproducible. */
 class BalancePropertiesTest {
 
     private static final String SEED = "4711";
     private static final long LEASE = 10_000;
     private static final long WINDOW = 4 * LEASE;
 
-    /** A machine's new load, or its end where that is null, some time after the change before. */
-    record KeyChange(int machine, MachineLoad load, int afterMs) {}
+    /** A machine's new load, or its removal if {@code load} is null, {@code afterMs} after the previous change. */
+    record LoadChange(int machine, MachineLoad load, int afterMs) {}
 
     @Provide
-    Arbitrary<List<KeyChange>> changes() {
+    Arbitrary<List<LoadChange>> changes() {
         Arbitrary<MachineLoad> load = Combinators.combine(
                         Arbitraries.of("a", "b"),
                         Arbitraries.of("small", "large"),
@@ -44,20 +44,20 @@
                         Arbitraries.integers().between(0, 12),
                         load.injectNull(0.15),
                         Arbitraries.integers().between(0, 3000))
-                .as(KeyChange::new)
+                .as(LoadChange::new)
                 .list()
                 .ofMaxSize(80);
     }
 
-    /** The running sums equal those made from nothing, and an older picture stays as it was. */
+    /** The incremental totals equal totals computed from scratch, and an older snapshot doesn't change. */
     @Property(tries = 300, seed = SEED)
-    void theIncrementalPictureEqualsOneFromNothing(@ForAll("changes") List<KeyChange> changes) {
+    void incrementalTotalsEqualTotalsFromScratch(@ForAll("changes") List<LoadChange> changes) {
         LoadTracker tracker = new LoadTracker(5000);
         Map<String, MachineLoad> machines = new HashMap<>();
         long now = 0;
         LoadSnapshot before = tracker.snapshot(now, Demand.NONE);
         Map<MachineGroup, GroupTotals> expectedBefore = Map.of();
-        for (KeyChange change : changes) {
+        for (LoadChange change : changes) {
             now += change.afterMs();
             String machine = "m-" + change.machine();
             if (change.load() == null) {
@@ -69,7 +69,7 @@
             }
             assertEquals(expectedBefore, totals(before), "a snapshot changed");
             before = tracker.snapshot(now, Demand.NONE);
-            expectedBefore = fromNothing(machines);
+            expectedBefore = totalsFromScratch(machines);
             assertEquals(expectedBefore, totals(before));
             for (MachineGroup group : before.groups().keySet()) {
                 double utilization = before.utilization(group);
@@ -84,7 +84,7 @@
         return totals;
     }
 
-    private static Map<MachineGroup, GroupTotals> fromNothing(Map<String, MachineLoad> machines) {
+    private static Map<MachineGroup, GroupTotals> totalsFromScratch(Map<String, MachineLoad> machines) {
         Map<MachineGroup, List<MachineLoad>> byGroup = new HashMap<>();
         machines.values().forEach(load -> byGroup.computeIfAbsent(load.group(), group -> new ArrayList<>())
                 .add(load));
@@ -93,11 +93,12 @@
         return totals;
     }
 
-    /** A move that is wanted, and what happens before: leadership may change, and the transaction before may fail. */
-    record Wish(int task, boolean red, boolean toLarge, int paybackMs, int afterMs, boolean newLeader, boolean fails) {}
+    /** A requested move; leadership may change before it, and its transaction may fail. */
+    record MoveRequest(
+            int task, boolean red, boolean toLarge, int paybackMs, int afterMs, boolean newLeader, boolean fails) {}
 
     @Provide
-    Arbitrary<List<Wish>> wishes() {
+    Arbitrary<List<MoveRequest>> requests() {
         return Combinators.combine(
                         Arbitraries.integers().between(0, 30),
                         Arbitraries.of(true, false),
@@ -106,7 +107,7 @@
                         Arbitraries.integers().between(0, 600),
                         Arbitraries.integers().between(0, 40).map(n -> n == 0),
                         Arbitraries.integers().between(0, 6).map(n -> n == 0))
-                .as(Wish::new)
+                .as(MoveRequest::new)
                 .list()
                 .ofMinSize(100)
                 .ofMaxSize(400);
@@ -114,23 +115,23 @@
 
     private record Applied(Move move, long at) {}
 
-    /** All limits hold in every prefix, counted from what was applied alone, over all leaders together. */
+    /** All limits hold in every prefix of the requests, counting only applied moves, over all leaders together. */
     @Property(tries = 200, seed = SEED)
-    void limitsHoldInEveryPrefix(@ForAll("wishes") List<Wish> wishes) {
+    void limitsHoldInEveryPrefix(@ForAll("requests") List<MoveRequest> requests) {
         int placed = 400;
         double share = 0.02;
-        int atATime = 8;
+        int concurrentLimit = 8;
         LoadSnapshot load = oneGroup();
         MoveBudget budget = new MoveBudget(share, LEASE);
         budget.startTerm(0);
         long now = WINDOW;
         List<Applied> applied = new ArrayList<>();
-        Set<Move> refused = new HashSet<>();
-        for (Wish wish : wishes) {
-            now += wish.afterMs();
-            budget.reconcile(refused::contains);
-            refused.clear();
-            if (wish.newLeader()) {
+        Set<Move> notApplied = new HashSet<>();
+        for (MoveRequest request : requests) {
+            now += request.afterMs();
+            budget.reconcile(notApplied::contains);
+            notApplied.clear();
+            if (request.newLeader()) {
                 budget = new MoveBudget(share, LEASE);
                 budget.startTerm(now);
             }
@@ -138,45 +139,47 @@
             int stopping =
                     (int) applied.stream().filter(a -> time - a.at() < 3000).count();
             budget.startPass(now, placed, stopping);
-            Move move = move(wish, applied.size());
+            Move move = move(request, applied.size());
             if (!budget.allows(now, List.of(move), load)) {
                 continue;
             }
             budget.add(now, move);
-            assertTrue(stopping < atATime, "at a time");
-            if (wish.fails()) {
-                refused.add(move);
+            assertTrue(stopping < concurrentLimit, "at a time");
+            if (request.fails()) {
+                notApplied.add(move);
             } else {
                 applied.add(new Applied(move, now));
-                check(applied, now, atATime);
+                assertLimits(applied, now, concurrentLimit);
             }
         }
     }
 
-    private static void check(List<Applied> applied, long now, int atATime) {
+    private static void assertLimits(List<Applied> applied, long now, int concurrentLimit) {
         List<Applied> window =
                 applied.stream().filter(a -> now - a.at() < WINDOW).toList();
-        assertTrue(window.size() <= 4 * atATime, "in a window");
+        assertTrue(window.size() <= 4 * concurrentLimit, "in a window");
         for (String team : List.of("red", "blue")) {
-            assertTrue(window.stream().filter(a -> a.move().team().equals(team)).count() <= 2 * atATime, "of " + team);
+            assertTrue(
+                    window.stream().filter(a -> a.move().team().equals(team)).count() <= 2 * concurrentLimit,
+                    "of " + team);
         }
         Applied last = applied.get(applied.size() - 1);
-        assertTrue(last.move().paybackMs() <= WINDOW, "too long to pay");
+        assertTrue(last.move().paybackMs() <= WINDOW, "payback time too long");
         for (Applied earlier : applied.subList(0, applied.size() - 1)) {
             assertTrue(
                     !earlier.move().task().equals(last.move().task())
                             || now - earlier.at() >= earlier.move().paybackMs(),
-                    "moved again before it paid");
+                    "moved again before the last move paid back");
         }
     }
 
-    private static Move move(Wish wish, int attempt) {
-        MachineGroup from = new MachineGroup("a", wish.toLarge() ? "small" : "large");
-        MachineGroup to = new MachineGroup("a", wish.toLarge() ? "large" : "small");
+    private static Move move(MoveRequest request, int attempt) {
+        MachineGroup from = new MachineGroup("a", request.toLarge() ? "small" : "large");
+        MachineGroup to = new MachineGroup("a", request.toLarge() ? "large" : "small");
         return new Move(
-                new TaskId("wk-1", wish.task()),
+                new TaskId("wk-1", request.task()),
                 attempt,
-                wish.red() ? "red" : "blue",
+                request.red() ? "red" : "blue",
                 1,
                 "m-1",
                 from,
@@ -184,7 +187,7 @@
                 "wk-2",
                 100,
                 10,
-                wish.paybackMs());
+                request.paybackMs());
     }
 
     private static LoadSnapshot oneGroup() {
@@ -196,7 +199,7 @@
         return tracker.snapshot(0, Demand.NONE);
     }
 
-    /** Equal bids go to groups by turns: none gets more than its part by more than one bid. */
+    /** Equal bids are ordered by groups in turn: no group is ahead of another that has bids left by more than one bid. */
     @Property(tries = 200, seed = SEED)
     void equalBidsAreSpreadEvenly(@ForAll("bids") List<Integer> groups) {
         LoadTracker tracker = new LoadTracker(1000);
--- a/src/test/java/garnetscale/core/balance/MoveBudgetTest.java
+++ b/src/test/java/garnetscale/core/balance/MoveBudgetTest.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** Each limit alone, with all others far off. */
+/** Each limit on its own, with all other limits out of reach. */
 class MoveBudgetTest {
 
     private static final long LEASE = 10_000;
@@ -37,8 +37,8 @@
         return new Move(new TaskId("wk-1", task), task, team, cpus, "m-9", FROM, TO, "wk-2", 100, 10, paybackMs);
     }
 
-    /** Makes a move if it is allowed, as the only one of a pass in which so many placed tasks are being stopped. */
-    private boolean make(long now, Move move, int stopping) {
+    /** Makes a move if it is allowed, as the only one of a pass in which {@code stopping} placed tasks are being stopped. */
+    private boolean makeIfAllowed(long now, Move move, int stopping) {
         budget.startPass(now, 400, stopping);
         if (!budget.allows(now, List.of(move), load)) {
             return false;
@@ -48,69 +48,69 @@
     }
 
     @Test
-    void atATimeACountOfAllThatIsBeingStopped() {
-        assertTrue(make(NOW, move("red", 0, 0), 7));
-        assertFalse(make(NOW, move("red", 0, 0), 8), "a fiftieth of 400 tasks");
+    void limitsTasksStoppingAtATime() {
+        assertTrue(makeIfAllowed(NOW, move("red", 0, 0), 7));
+        assertFalse(makeIfAllowed(NOW, move("red", 0, 0), 8), "2% of 400 tasks");
         budget.startPass(NOW, 400, 5);
-        List<Move> together = List.of(move("red", 0, 0), move("red", 0, 0), move("red", 0, 0), move("red", 0, 0));
-        assertFalse(budget.allows(NOW, together, load));
-        assertTrue(budget.allows(NOW, together.subList(0, 3), load));
+        List<Move> jointMoves = List.of(move("red", 0, 0), move("red", 0, 0), move("red", 0, 0), move("red", 0, 0));
+        assertFalse(budget.allows(NOW, jointMoves, load));
+        assertTrue(budget.allows(NOW, jointMoves.subList(0, 3), load));
     }
 
     @Test
-    void inAWindow() {
+    void limitsMovesInAWindow() {
         for (int i = 0; i < 32; i++) {
-            assertTrue(make(NOW + i, move(i % 2 == 0 ? "red" : "blue", 0, 0), 0));
+            assertTrue(makeIfAllowed(NOW + i, move(i % 2 == 0 ? "red" : "blue", 0, 0), 0));
         }
-        assertFalse(make(NOW + 50, move("green", 0, 0), 0));
-        assertFalse(make(NOW + WINDOW - 1, move("green", 0, 0), 0));
-        assertTrue(make(NOW + WINDOW, move("green", 0, 0), 0), "the first one's window is over");
+        assertFalse(makeIfAllowed(NOW + 50, move("green", 0, 0), 0));
+        assertFalse(makeIfAllowed(NOW + WINDOW - 1, move("green", 0, 0), 0));
+        assertTrue(makeIfAllowed(NOW + WINDOW, move("green", 0, 0), 0), "the first move has left the window");
     }
 
     @Test
-    void ofATeam() {
+    void limitsMovesOfATeam() {
         for (int i = 0; i < 16; i++) {
-            assertTrue(make(NOW + i, move("red", 0, 0), 0));
+            assertTrue(makeIfAllowed(NOW + i, move("red", 0, 0), 0));
         }
-        assertFalse(make(NOW + 50, move("red", 0, 0), 0));
-        assertTrue(make(NOW + 50, move("blue", 0, 0), 0));
+        assertFalse(makeIfAllowed(NOW + 50, move("red", 0, 0), 0));
+        assertTrue(makeIfAllowed(NOW + 50, move("blue", 0, 0), 0));
     }
 
     @Test
-    void towardsAGroup() {
-        assertTrue(make(NOW, move("red", 80, 0), 0), "a single task may always go where there is room");
-        assertFalse(make(NOW + 1, move("red", 1, 0), 0), "half of 100 free CPUs");
-        assertTrue(make(NOW + LEASE, move("red", 30, 0), 0), "the first one is there");
-        assertTrue(make(NOW + LEASE, move("red", 20, 0), 0));
-        assertFalse(make(NOW + LEASE, move("red", 1, 0), 0));
+    void limitsMovesToAGroup() {
+        assertTrue(makeIfAllowed(NOW, move("red", 80, 0), 0), "a single task may always be moved where it fits");
+        assertFalse(makeIfAllowed(NOW + 1, move("red", 1, 0), 0), "at most half of 100 free CPUs");
+        assertTrue(makeIfAllowed(NOW + LEASE, move("red", 30, 0), 0), "the first task is no longer in transit");
+        assertTrue(makeIfAllowed(NOW + LEASE, move("red", 20, 0), 0));
+        assertFalse(makeIfAllowed(NOW + LEASE, move("red", 1, 0), 0));
     }
 
     @Test
-    void aTaskNotBeforeItsLastMoveHasPaid() {
-        assertTrue(make(NOW, move(7, "red", 0, 5000), 0));
-        assertFalse(make(NOW + 4999, move(7, "red", 0, 0), 0));
-        assertTrue(make(NOW + 5000, move(7, "red", 0, 0), 0));
+    void taskIsNotMovedBeforeItsLastMovePaidBack() {
+        assertTrue(makeIfAllowed(NOW, move(7, "red", 0, 5000), 0));
+        assertFalse(makeIfAllowed(NOW + 4999, move(7, "red", 0, 0), 0));
+        assertTrue(makeIfAllowed(NOW + 5000, move(7, "red", 0, 0), 0));
     }
 
     @Test
-    void nothingThatPaysLaterThanANewLeaderWaits() {
-        assertFalse(make(NOW, move("red", 0, WINDOW + 1), 0));
-        assertTrue(make(NOW, move("red", 0, WINDOW), 0));
+    void paybackTimeIsLimitedToTheWaitOfANewLeader() {
+        assertFalse(makeIfAllowed(NOW, move("red", 0, WINDOW + 1), 0));
+        assertTrue(makeIfAllowed(NOW, move("red", 0, WINDOW), 0));
         budget.startTerm(NOW);
-        assertFalse(make(NOW + WINDOW - 1, move("red", 0, 0), 0));
-        assertTrue(make(NOW + WINDOW, move("red", 0, 0), 0));
+        assertFalse(makeIfAllowed(NOW + WINDOW - 1, move("red", 0, 0), 0));
+        assertTrue(makeIfAllowed(NOW + WINDOW, move("red", 0, 0), 0));
     }
 
     @Test
-    void whatWasNotAppliedIsTakenBack() {
+    void movesThatWereNotAppliedAreRemoved() {
         Move lost = move(7, "red", 0, 5000);
         Move stored = move(8, "red", 0, 5000);
-        make(NOW, lost, 0);
-        make(NOW, stored, 0);
+        makeIfAllowed(NOW, lost, 0);
+        makeIfAllowed(NOW, stored, 0);
         assertEquals(List.of(stored), budget.reconcile(lost::equals));
         assertEquals(List.of(stored), budget.recent());
-        assertEquals(List.of(), budget.reconcile(move -> false), "each is settled once");
-        assertTrue(make(NOW + 1, move(7, "red", 0, 0), 0));
-        assertFalse(make(NOW + 1, move(8, "red", 0, 0), 0));
+        assertEquals(List.of(), budget.reconcile(move -> false), "each move is returned once");
+        assertTrue(makeIfAllowed(NOW + 1, move(7, "red", 0, 0), 0));
+        assertFalse(makeIfAllowed(NOW + 1, move(8, "red", 0, 0), 0));
     }
 }
--- a/src/test/java/garnetscale/core/bidding/BiddingTest.java
+++ b/src/test/java/garnetscale/core/bidding/BiddingTest.java
@@ -20,7 +20,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** What an owner's machines bid when more waits than they have capacity for. */
+/** Bids of an owner's machines when more jobs wait than the machines have capacity for. */
 class BiddingTest {
 
     private static final MachineType SMALL = new MachineType("small", 8, 0, 32, 50, 1, 1, 0.5, 40, List.of("a"));
@@ -30,7 +30,7 @@
     private final List<KeyChange> jobs = new ArrayList<>();
     private final List<Bidder> bidders = new ArrayList<>();
 
-    private void job(String id, int tasks, double cpus, String type) {
+    private void addJob(String id, int tasks, double cpus, String type) {
         JobSpec spec = TestJob.named(id)
                 .tasks(tasks)
                 .cpus(cpus)
@@ -41,7 +41,7 @@
         jobs.add(new KeyChange(Keys.job(id), Records.job(new JobRecord(spec, JobState.LIVE, 0)), 1));
     }
 
-    private void machines(int count, MachineType type) {
+    private void addMachines(int count, MachineType type) {
         for (int i = 0; i < count; i++) {
             bidders.add(new Bidder("m-" + type.name() + i, 1, type, "a", false, new FreeCapacity(type)));
         }
@@ -57,15 +57,18 @@
                 .bids(List.copyOf(replica.jobs()), bidders);
     }
 
-    /** Many jobs of which the small machines are full once ended the batch before the large ones had bid at all. */
+    /**
+     * Guards against jobs that only large machines fit being left without bids: many jobs that filled the small machines ended
+     * the batch before the large machines had bid at all.
+     */
     @Test
-    void whatFitsLargeMachinesAloneIsBidForBehindManySmallJobs() {
-        machines(10, SMALL);
-        machines(1, LARGE);
+    void largeMachinesBidForJobBehindManySmallJobs() {
+        addMachines(10, SMALL);
+        addMachines(1, LARGE);
         for (int i = 0; i < 12; i++) {
-            job("wk-" + i, 200, 4, "small");
+            addJob("wk-" + i, 200, 4, "small");
         }
-        job("wk-99", 4, 16, "large");
+        addJob("wk-99", 4, 16, "large");
         List<Bid> bids = bids();
         assertEquals(
                 List.of(new Bid("m-large0", 1, "wk-99", 2, 31)),
--- a/src/test/java/garnetscale/core/job/TestJob.java
+++ b/src/test/java/garnetscale/core/job/TestJob.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** Builds jobs for tests: of class c and team red, one task of one CPU and ten seconds unless a test says otherwise. */
+/** Builds jobs for tests. The defaults are class c, team red, and one task of one CPU with an estimate of ten seconds. */
 public final class TestJob {
 
     private final String id;
--- a/src/test/java/garnetscale/core/leader/LoadObserverTest.java
+++ b/src/test/java/garnetscale/core/leader/LoadObserverTest.java
@@ -97,7 +97,7 @@
     void theMachinesOfAnOwnerThatIsNotHeardAreUnknown() {
         leader.onWorkerReachability(LEASE, "n1", false);
         assertEquals(Map.of(), totals(LEASE + LEASE / 2).unknown());
-        assertUnknown(LEASE + LEASE / 2 + 2000, UnknownReason.OWNER_UNHEARD);
+        assertUnknown(LEASE + LEASE / 2 + 2000, UnknownReason.OWNER_SILENT);
         leader.onWorkerReachability(LEASE * 2, "n1", false);
         assertEquals(Map.of(), totals(LEASE * 2 + 1000).unknown());
     }
--- a/src/test/java/garnetscale/core/partition/CancellationMemoryTest.java
+++ b/src/test/java/garnetscale/core/partition/CancellationMemoryTest.java
@@ -16,7 +16,7 @@
 
     private final OwnerFixture fixture = new OwnerFixture(TestConfig.small()).placeTask();
     private final PartitionOwner owner = fixture.owner;
-    private final int remembered = fixture.config.cancellationsRemembered();
+    private final int remembered = fixture.config.maxRememberedCancellations();
     private long now;
 
     CancellationMemoryTest() {
--- a/src/test/java/garnetscale/core/queue/JobOrderTest.java
+++ b/src/test/java/garnetscale/core/queue/JobOrderTest.java
@@ -17,14 +17,14 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Shorter first, urgent first, missed deadlines last; and none of it for ever. */
+/** The order by priority, missed deadlines and work, and the bounds that prevent starvation. */
 class JobOrderTest {
 
-    private static final long CANCEL_MS = 40_000;
+    private static final long CANCELLATION_DEADLINE_MS = 40_000;
 
     private final List<KeyChange> jobs = new ArrayList<>();
 
-    private void job(String id, Priority priority, int tasks, long submittedMs, Double deadlineS) {
+    private void addJob(String id, Priority priority, int tasks, long submittedMs, Double deadlineS) {
         JobSpec spec = TestJob.named(id)
                 .priority(priority)
                 .tasks(tasks)
@@ -43,7 +43,7 @@
                 .controllers(List.of())
                 .objectives(new SchedulerConfig.ServiceLevelObjective(
                         SchedulerConfig.ObjectiveKind.DEADLINE, "c", 0, 0.9, 1))
-                .workers(1000, 10_000, CANCEL_MS)
+                .workers(1000, 10_000, CANCELLATION_DEADLINE_MS)
                 .build());
         return JobQueue.sort(replica.jobs(), order, nowMs).stream()
                 .map(job -> job.spec().id())
@@ -51,29 +51,32 @@
     }
 
     @Test
-    void urgentThenShortThenMissed() {
-        job("wk-long", Priority.NORMAL, 90, 0, null);
-        job("wk-short", Priority.NORMAL, 3, 0, null);
-        job("wk-late", Priority.NORMAL, 1, 0, 20.0);
-        job("wk-urgent", Priority.HIGH, 90, 0, null);
+    void ordersByPriorityThenMissedDeadlineThenWork() {
+        addJob("wk-long", Priority.NORMAL, 90, 0, null);
+        addJob("wk-short", Priority.NORMAL, 3, 0, null);
+        addJob("wk-late", Priority.NORMAL, 1, 0, 20.0);
+        addJob("wk-urgent", Priority.HIGH, 90, 0, null);
         assertEquals(List.of("wk-urgent", "wk-short", "wk-long", "wk-late"), sorted(1000));
     }
 
-    /** Shorter ones keep coming and a deadline is missed: both once kept the largest jobs from ever starting. */
+    /**
+     * Guards against starvation: shorter jobs that keep arriving, and a missed deadline, each kept the largest jobs from ever
+     * starting.
+     */
     @Test
-    void whatHasNotStartedComesToTheHead() {
-        job("wk-long", Priority.NORMAL, 90, 0, 50.0);
-        long later = CANCEL_MS * 3 / 2 + 1000;
-        job("wk-short", Priority.NORMAL, 1, later - 10, null);
-        job("wk-urgent", Priority.HIGH, 1, later - 10, null);
+    void unstartedJobMovesToTheHeadOfItsPriority() {
+        addJob("wk-long", Priority.NORMAL, 90, 0, 50.0);
+        long later = CANCELLATION_DEADLINE_MS * 3 / 2 + 1000;
+        addJob("wk-short", Priority.NORMAL, 1, later - 10, null);
+        addJob("wk-urgent", Priority.HIGH, 1, later - 10, null);
         assertEquals(List.of("wk-urgent", "wk-long", "wk-short"), sorted(later));
     }
 
     @Test
-    void evenBeforeUrgentOnesAfterTwiceThatTime() {
-        job("wk-long", Priority.LOW, 90, 0, null);
-        long later = 3 * CANCEL_MS + 1000;
-        job("wk-urgent", Priority.HIGH, 1, later - 10, null);
+    void unstartedJobOvertakesHigherPriorityAfterTwiceTheLimit() {
+        addJob("wk-long", Priority.LOW, 90, 0, null);
+        long later = 3 * CANCELLATION_DEADLINE_MS + 1000;
+        addJob("wk-urgent", Priority.HIGH, 1, later - 10, null);
         assertEquals(List.of("wk-long", "wk-urgent"), sorted(later));
     }
 }
