--- a/src/main/java/garnetscale/core/SchedulerConfig.java
+++ b/src/main/java/garnetscale/core/SchedulerConfig.java
@@ -55,7 +55,7 @@
     private static final long MIN_CONTROLLER_LEASE_MS = 1500;
     /** A controller's lease is a worker's lease divided by this. */
     private static final int CONTROLLER_LEASE_DIVISOR = 8;
-    /** The cancellation deadline divided by this is left for stopping tasks after the grace period. */
+    /** The time left for stopping tasks after the grace period is the cancellation deadline divided by this. */
     private static final int STOP_TIME_DIVISOR = 16;
     /** Objective in seconds for the bid window if the settings have no tighter start or guarantee objective. */
     private static final double DEFAULT_START_S = 20;
@@ -63,7 +63,7 @@
     private static final double WINDOW_MS_PER_S = 100;
 
     private static final int MIN_WORKER_REQUESTS = 8;
-    /** Requests to workers may use all connections divided by this. */
+    /** Requests to workers may use as many connections as the maximum divided by this. */
     private static final int WORKER_REQUESTS_DIVISOR = 16;
 
     /** A controller's name, zone and address ({@code host:port}). */
--- a/src/main/java/garnetscale/core/autoscaling/IdleInstances.java
+++ b/src/main/java/garnetscale/core/autoscaling/IdleInstances.java
@@ -8,13 +8,13 @@
 import java.util.Map;
 import java.util.function.Consumer;
 
-/** Scales in machines that the demand hasn't used for several boot times, so that bursts don't cause repeated launches. */
+/** Scales in machines that the demand hasn't used for several boot times, so that bursts don't make machines come and go. */
 final class IdleInstances {
 
     private static final double IDLE_BASE_S = 60;
     /** Boot times of its type that a machine must have been idle, in addition to {@link #IDLE_BASE_S}. */
     private static final double IDLE_BOOT_TIMES = 4;
-    /** A call deletes at most one machine plus all machines divided by this, since other calls wait meanwhile. */
+    /** A call deletes up to one machine plus the number of machines divided by this, since other calls wait meanwhile. */
     private static final int DELETES_PER_CALL_DIVISOR = 64;
 
     private final Consumer<String> log;
--- a/src/main/java/garnetscale/core/autoscaling/StuckInstances.java
+++ b/src/main/java/garnetscale/core/autoscaling/StuckInstances.java
@@ -19,10 +19,10 @@
     private static final double BOOT_SLACK_S = 10;
     /** Assumed boot time in seconds of a type that is no longer offered. */
     private static final double DEFAULT_BOOT_S = 60;
-    /** Up to this many machines that are silent at once are taken for single failures, not for a network partition. */
-    private static final int MAX_SINGLE_FAILURES = 2;
-    /** In a large cluster the bound is instead the number of machines divided by this. */
-    private static final int SINGLE_FAILURES_DIVISOR = 8;
+    /** Up to this many machines that are silent at once are taken for separate failures, not for a network partition. */
+    private static final int MAX_SEPARATE_FAILURES = 2;
+    /** In a large cluster that bound is the number of machines divided by this instead. */
+    private static final int SEPARATE_FAILURES_DIVISOR = 8;
 
     private final SchedulerConfig config;
     private final StateReplica replica;
@@ -129,9 +129,10 @@
             return false;
         }
         long silentMs = now - silentSince.computeIfAbsent(id, key -> now);
-        boolean areSingleFailures = silentMachines <= Math.max(MAX_SINGLE_FAILURES, machines / SINGLE_FAILURES_DIVISOR);
+        boolean areSeparateFailures =
+                silentMachines <= Math.max(MAX_SEPARATE_FAILURES, machines / SEPARATE_FAILURES_DIVISOR);
         boolean isPermanent = silentMs > config.fencingDelayMs() + 2 * config.workerLeaseMs()
-                || areSingleFailures && !replica.placements(id).isEmpty() && silentMs > config.workerLeaseMs() / 4;
+                || areSeparateFailures && !replica.placements(id).isEmpty() && silentMs > config.workerLeaseMs() / 4;
         if (isPermanent) {
             log.accept("deleting silent machine, machine=" + id + " silent_ms=" + silentMs);
         }
--- a/src/main/java/garnetscale/core/balance/LoadSnapshot.java
+++ b/src/main/java/garnetscale/core/balance/LoadSnapshot.java
@@ -58,7 +58,10 @@
         return load != null && load.unknown() == null;
     }
 
-    /** Returns the highest utilization of a known group, divided by the known groups' mean weighted by capacity; 1 if unused. */
+    /**
+     * Returns the ratio of the highest utilization of a known group to the mean over the known groups, weighted by capacity; 1 if
+     * nothing is in use.
+     */
     public double peakToMean() {
         double peak = 0;
         double used = 0;
--- a/src/main/java/garnetscale/core/balance/MovePlanner.java
+++ b/src/main/java/garnetscale/core/balance/MovePlanner.java
@@ -18,7 +18,7 @@
  * <ul>
  *   <li>A waiting job of higher priority can't be placed on any machine that it may run on. The task runs on such a machine, and
  *       a machine that the job may not run on bids for the task.
- *   <li>The task runs on a slow machine, and a late bid is much isBetter (the paper's DSP 4c, by i and i0).
+ *   <li>The task runs on a slow machine, and a late bid is much better (the paper's DSP 4c, by i and i0).
  * </ul>
  *
  * Gain and disruption are CPU-seconds of waiting. The same input yields the same plan.
@@ -30,7 +30,7 @@
     /** Tasks aren't moved to a group with a higher smoothed utilization: its free resources are about to be needed. */
     private static final double MAX_UTILIZATION = 0.8;
 
-    /** Clearances are tried cheapest first. After this many rejections in a row, more expensive ones aren't tried. */
+    /** Clearances are tried cheapest first. After this many rejections in a row, the more expensive ones aren't tried. */
     private static final int MAX_CONSECUTIVE_REJECTIONS = 16;
 
     private static final double MILLIS_PER_S = 1000;
@@ -191,7 +191,7 @@
     }
 
     /**
-     * Moves the tasks if there is a bid for each of them, also when several tasks share the slots of one bid, and if the gain is
+     * Moves the tasks if there is a bid for each of them, even when several tasks share the slots of one bid, and if the gain is
      * sufficient. Returns whether the tasks are moved.
      */
     private boolean tryClearance(MachineClearance cheapest, JobSpec job, WaitForecast forecast) {
--- a/src/main/java/garnetscale/core/bidding/Bidding.java
+++ b/src/main/java/garnetscale/core/bidding/Bidding.java
@@ -67,7 +67,7 @@
      * Prepares a batch.
      *
      * @param wallClockMs wall-clock time in milliseconds
-     * @param suspectJobs ids of jobs that fail on every machine; only one task at a time is tried of each
+     * @param suspectJobs ids of jobs that fail on every machine; one task of such a job is tried at a time
      */
     public Bidding(
             StateReplica replica,
@@ -104,8 +104,7 @@
         candidates = new long[openBidderCount];
         for (Bidder bidder : openBidders) {
             freeCpus += bidder.free.cpus();
-            // The key is a list because the hashCode of a record is linked at start-up; see the package
-            // garnetscale.core.
+            // A record as key would have its hashCode linked at start-up; see the package garnetscale.core.
             bidder.group = groups.computeIfAbsent(List.of(bidder.type.name(), bidder.zone, bidder.spot), key -> {
                 representatives.add(bidder);
                 return new BidderGroup();
--- a/src/main/java/garnetscale/core/queue/JobOrder.java
+++ b/src/main/java/garnetscale/core/queue/JobOrder.java
@@ -62,8 +62,7 @@
         JobSpec spec = job.spec();
         double waitedS = Math.max(0, nowMs - job.job().submittedMs()) / 1000.0;
         if (job.placedCount() == 0 && job.finishedCount() == 0 && waitedS > starvationLimitS) {
-            // No task has started: the job moves to the head of its priority, and after twice the limit to that of all
-            // jobs.
+            // No task has started: the job moves to the head of its priority, after twice the limit to the head of all.
             return (waitedS > 2 * starvationLimitS ? 0 : spec.priority().ordinal()) * PRIORITY_WEIGHT - waitedS;
         }
         double workCpuS = Math.max(
