--- a/src/main/java/garnetscale/core/leader/LoadObserver.java
+++ b/src/main/java/garnetscale/core/leader/LoadObserver.java
@@ -163,7 +163,7 @@
     private UnknownReason ownerReason(long now, String partition, String owner) {
         long messageAt = owner.equals(config.self()) ? now : lastMessageAt.getOrDefault(owner, Times.NEVER);
         if (now - messageAt > OWNER_TIMEOUT_LEASES * config.workerLeaseMs()) {
-            return UnknownReason.OWNER_UNHEARD;
+            return UnknownReason.OWNER_SILENT;
         }
         return auction.hasCurrentBatch(partition) ? null : UnknownReason.OWNER_NOT_BIDDING;
     }
--- a/src/main/java/garnetscale/core/leader/TaskPlacer.java
+++ b/src/main/java/garnetscale/core/leader/TaskPlacer.java
@@ -178,7 +178,7 @@
      * without limit.
      */
     private boolean borrows(JobView job) {
-        return job.spec().priority() == Priority.LOW && !draft.quota().guarantees(job.spec());
+        return job.spec().priority() == Priority.LOW && !draft.quota().isWithinGuarantee(job.spec());
     }
 
     /** Returns whether placing a task of the job would take capacity that is reserved for urgent jobs. */
--- a/src/main/java/garnetscale/core/partition/DesiredPlacements.java
+++ b/src/main/java/garnetscale/core/partition/DesiredPlacements.java
@@ -43,7 +43,7 @@
 
     /**
      * Handles a peer's report that a user cancelled a job. A cancelled job stays cancelled, so the report needs no
-     * confirmation. Only the newest reports are kept, {@link SchedulerConfig#cancellationsRemembered} of them.
+     * confirmation. Only the newest reports are kept, {@link SchedulerConfig#maxRememberedCancellations} of them.
      */
     void onCancelled(String job) {
         for (MachineView machine : machines.values()) {
@@ -52,7 +52,7 @@
             }
         }
         cancelledByPeers.add(job);
-        if (cancelledByPeers.size() > config.cancellationsRemembered()) {
+        if (cancelledByPeers.size() > config.maxRememberedCancellations()) {
             Iterator<String> oldest = cancelledByPeers.iterator();
             oldest.next();
             oldest.remove();
