--- a/src/main/java/garnetscale/controller/ClusterInspector.java
+++ b/src/main/java/garnetscale/controller/ClusterInspector.java
@@ -98,7 +98,7 @@
                 version(),
                 List.copyOf(replica.controllers()),
                 partitions.all().stream().map(this::partition).toList(),
-                replica.placedMachines().size(),
+                replica.machinesWithRecords().size(),
                 teams(),
                 showsLoad ? LoadView.of(sources.leader().load(), sources.clock().getAsLong()) : null);
     }
@@ -180,7 +180,7 @@
 
     private List<JobDetails.PlacementRow> placements(String job) {
         List<JobDetails.PlacementRow> rows = new ArrayList<>();
-        for (String machine : replica.placedMachines()) {
+        for (String machine : replica.machinesWithRecords()) {
             for (Placement placement : replica.placements(machine)) {
                 if (placement.task().job().equals(job)) {
                     rows.add(new JobDetails.PlacementRow(
--- a/src/main/java/garnetscale/controller/JobCancellation.java
+++ b/src/main/java/garnetscale/controller/JobCancellation.java
@@ -95,7 +95,7 @@
                         job.spec().team());
                 answer.accept(JobReplies.cancelled(job));
             }
-            case CONFLICT, MAYBE -> attempt(id, retries + 1, answer);
+            case CONFLICT, UNKNOWN -> attempt(id, retries + 1, answer);
             default -> answer.accept(JobReplies.notStored());
         }
     }
--- a/src/main/java/garnetscale/controller/JobSubmission.java
+++ b/src/main/java/garnetscale/controller/JobSubmission.java
@@ -125,7 +125,7 @@
                 answer.accept(JobReplies.created(id, spec.team()));
             }
             case CONFLICT -> lookup.replyForAccepted(id, answer);
-            case MAYBE ->
+            case UNKNOWN ->
                 lookup.lookUp(
                         id,
                         result -> answer.accept(
--- a/src/main/java/garnetscale/controller/StateTransactions.java
+++ b/src/main/java/garnetscale/controller/StateTransactions.java
@@ -98,7 +98,7 @@
                     try {
                         onResult(transaction, result, done);
                     } catch (IOException e) {
-                        done.accept(TransactionOutcome.MAYBE, NO_REVISION);
+                        done.accept(TransactionOutcome.UNKNOWN, NO_REVISION);
                     }
                 });
     }
@@ -116,7 +116,7 @@
             done.accept(TransactionOutcome.NO_LEASE, NO_REVISION);
         } else if (result.outcome() == HttpResult.Outcome.NO_ANSWER || result.mayHaveBeenApplied()) {
             connection.onFailed("transaction", result);
-            done.accept(TransactionOutcome.MAYBE, NO_REVISION);
+            done.accept(TransactionOutcome.UNKNOWN, NO_REVISION);
         } else {
             onRefused(result);
             done.accept(TransactionOutcome.REFUSED, NO_REVISION);
--- a/src/main/java/garnetscale/core/autoscaling/StuckInstances.java
+++ b/src/main/java/garnetscale/core/autoscaling/StuckInstances.java
@@ -66,7 +66,7 @@
                 ids.add(instance.id());
             }
         }
-        for (String id : replica.placedMachines()) {
+        for (String id : replica.machinesWithRecords()) {
             if (!replica.placements(id).isEmpty() && isSilent(statuses.get(id)) && instances.isUnlisted(now, id)) {
                 log.accept(
                         "deleting silent machine that left the instance list, to prove its tasks terminated, machine="
--- a/src/main/java/garnetscale/core/cluster/ControllerInfo.java
+++ b/src/main/java/garnetscale/core/cluster/ControllerInfo.java
@@ -3,11 +3,11 @@
 import garnetscale.core.upgrade.VersionRange;
 
 /**
- * A live controller process; its key in the state service lives as long as its state lease.
+ * A live controller process. Its key in the state service is deleted when its state lease expires.
  *
  * @param name the controller's name in the configuration
- * @param incarnation its state lease, which is another one after a restart
+ * @param incarnation the id of its state lease, which changes with every restart
  * @param zone its zone
- * @param layouts the versions of the stored layout that it reads and writes
+ * @param layouts the layout versions that it reads and writes
  */
 public record ControllerInfo(String name, long incarnation, String zone, VersionRange layouts) {}
--- a/src/main/java/garnetscale/core/cluster/FencingTokens.java
+++ b/src/main/java/garnetscale/core/cluster/FencingTokens.java
@@ -1,9 +1,9 @@
 package garnetscale.core.cluster;
 
 /**
- * How terms nest in one integer that only rises. Leader terms come from the stored counter, partition terms are numbered
- * inside a leader's term, and fencing tokens inside a partition's term, so that the partition's owner can raise a worker's
- * token by itself. Attempts are numbered inside a leader's term too, which makes each of them unique.
+ * Encodes nested terms in one monotonically increasing integer. Leader terms come from the stored counter. Partition terms are
+ * numbered within a leader's term, and fencing tokens within a partition's term, so that the partition's owner can raise a
+ * worker's token by itself. Attempts are also numbered within a leader's term, which makes each attempt id unique.
  */
 public final class FencingTokens {
 
@@ -17,27 +17,27 @@
 
     private FencingTokens() {}
 
-    /** The partition term with the given number, at most {@link #MAX_PARTITION_TERMS}, in a leader's term. */
+    /** Returns the partition term with a sequence number, at most {@link #MAX_PARTITION_TERMS}, in a leader's term. */
     public static long partitionTerm(long leaderTerm, int sequence) {
         return (leaderTerm << PARTITION_BITS) + sequence;
     }
 
-    /** The lowest fencing token of a partition term; higher than any of an earlier term. */
+    /** Returns the lowest fencing token of a partition term, which is higher than any token of an earlier term. */
     public static long firstToken(long partitionTerm) {
         return partitionTerm << TOKEN_BITS;
     }
 
-    /** The partition term that a fencing token belongs to. */
+    /** Returns the partition term that a fencing token belongs to. */
     public static long partitionTermOf(long fencingToken) {
         return fencingToken >> TOKEN_BITS;
     }
 
-    /** Whether two tokens are of one partition term; the token above a term's last one is of the next term. */
+    /** Returns whether two tokens belong to the same partition term; a term's last token plus one belongs to the next term. */
     public static boolean sameTerm(long fencingToken, long other) {
         return partitionTermOf(fencingToken) == partitionTermOf(other);
     }
 
-    /** The attempt with the given number, at most {@link #MAX_ATTEMPTS}, in a leader's term. */
+    /** Returns the id of the attempt with a sequence number, at most {@link #MAX_ATTEMPTS}, in a leader's term. */
     public static long attempt(long leaderTerm, int sequence) {
         return (leaderTerm << ATTEMPT_BITS) + sequence;
     }
--- a/src/main/java/garnetscale/core/cluster/LeaderInfo.java
+++ b/src/main/java/garnetscale/core/cluster/LeaderInfo.java
@@ -1,11 +1,11 @@
 package garnetscale.core.cluster;
 
 /**
- * The leader as the state service has it.
+ * The leader, as recorded in the state service.
  *
- * @param node the name of its controller
- * @param incarnation the state lease of its process
- * @param term comes from the stored counter and only rises
+ * @param node the name of the leader's controller
+ * @param incarnation the id of the state lease of the leader's process
+ * @param term the leader term, which is taken from the stored counter and only increases
  */
 public record LeaderInfo(String node, long incarnation, long term) {
 
--- a/src/main/java/garnetscale/core/cluster/PartitionMap.java
+++ b/src/main/java/garnetscale/core/cluster/PartitionMap.java
@@ -5,9 +5,9 @@
 import java.util.List;
 
 /**
- * Which partition a machine belongs to. Partitions never span zones, and a zone has as many as it has controllers, so that
- * each controller can own one in its zone. The mapping is a function of the machine's name and zone alone: every controller
- * finds the owner for a worker that it has never seen.
+ * Maps machines to partitions. Partitions never span zones, and a zone has as many partitions as controllers, so that each
+ * controller can own one in its zone. The mapping depends only on the machine's name and zone, so that every controller can
+ * find the owner of a worker that it hasn't seen before.
  */
 public final class PartitionMap {
 
@@ -24,20 +24,20 @@
         }
     }
 
-    /** Names of all partitions, zone by zone in the order of the configuration. */
+    /** Returns the names of all partitions, by zone in the order of the configuration. */
     public List<String> all() {
         return all;
     }
 
-    /** The zone of a partition, by its name. */
+    /** Returns the zone of the partition with this name. */
     public static String zoneOf(String partition) {
         return partition.substring(0, partition.lastIndexOf('/'));
     }
 
-    /** The partition of a machine; a zone that isn't configured counts as the first one. */
+    /** Returns the partition of a machine; a zone that isn't configured is treated as the first configured zone. */
     public String partitionOf(String machine, String zone) {
         String knownZone = config.zones().contains(zone) ? zone : config.zones().get(0);
-        return knownZone + "/" + Math.floorMod(number(machine), partitionsIn(knownZone));
+        return knownZone + "/" + Math.floorMod(machineNumber(machine), partitionsIn(knownZone));
     }
 
     private int partitionsIn(String zone) {
@@ -50,8 +50,8 @@
         return Math.max(1, controllers);
     }
 
-    /** The number at the end of a machine's name, which spreads machines evenly; the name's hash if it has none. */
-    public static int number(String machine) {
+    /** Returns the number at the end of a machine's name, which distributes machines evenly, or the name's hash without one. */
+    public static int machineNumber(String machine) {
         int dash = machine.lastIndexOf('-');
         try {
             return Integer.parseInt(machine.substring(dash + 1));
--- a/src/main/java/garnetscale/core/leader/TaskPlacer.java
+++ b/src/main/java/garnetscale/core/leader/TaskPlacer.java
@@ -218,7 +218,7 @@
     private Multiset<String> zones(JobView job) {
         return zonesOfJob.computeIfAbsent(job.spec().id(), id -> {
             Multiset<String> zones = HashMultiset.create();
-            for (String machine : replica.placedMachines()) {
+            for (String machine : replica.machinesWithRecords()) {
                 for (Placement placement : draft.placements(machine)) {
                     if (placement.task().job().equals(id)) {
                         zones.add(replica.zoneOfMachine(machine));
--- a/src/main/java/garnetscale/core/leader/TransactionPipeline.java
+++ b/src/main/java/garnetscale/core/leader/TransactionPipeline.java
@@ -59,7 +59,7 @@
     public void ended(TransactionOutcome result, long revision) {
         switch (result) {
             case OK, CONFLICT -> awaitedRevision = revision;
-            case MAYBE, NO_LEASE -> unknownGuardedBy = guardedBy;
+            case UNKNOWN, NO_LEASE -> unknownGuardedBy = guardedBy;
             // Nothing was carried out, so nothing is to be waited for.
             case REFUSED -> {}
             default -> throw new IllegalArgumentException("unknown outcome of a transaction: " + result);
--- a/src/main/java/garnetscale/core/leader/UpgradePlanner.java
+++ b/src/main/java/garnetscale/core/leader/UpgradePlanner.java
@@ -71,7 +71,7 @@
             return null;
         }
         activationCheckedAt = now;
-        Transaction activation = coordinator.automatic(now);
+        Transaction activation = coordinator.automaticActivation(now);
         if (activation != null) {
             log.accept(
                     "activating cluster version: the present one is about to be too small for what is stored, version="
--- a/src/main/java/garnetscale/core/partition/MachineAdoption.java
+++ b/src/main/java/garnetscale/core/partition/MachineAdoption.java
@@ -50,7 +50,7 @@
                 .removeIf(machine -> !machine.hasLiveEpoch()
                         && replica.placements(machine.id).isEmpty()
                         && !probes.isInDirectory(machine.id));
-        replica.placedMachines().forEach(this::adopt);
+        replica.machinesWithRecords().forEach(this::adopt);
     }
 
     /** Adds the machine if it has placements, is in an owned partition and isn't known yet. */
--- a/src/main/java/garnetscale/core/state/Bucket.java
+++ b/src/main/java/garnetscale/core/state/Bucket.java
@@ -3,30 +3,30 @@
 import garnetscale.core.cluster.PartitionMap;
 
 /**
- * A part of the snapshot, by the hash of the machines and finished sets in it. The root of a shard holds all of the shard; a
- * bucket that has outgrown one value is split into two by the next bit of the hash, as in extendible hashing.
+ * A part of the snapshot, by the hash of the machines and finished sets in it. The root of a shard contains the whole shard. A
+ * bucket that no longer fits into one value is split into two by the next bit of the hash, as in extendible hashing.
  *
- * @param shard one of {@link WorkLog#SHARDS}
- * @param depth how many times the shard was split to arrive at it
- * @param index the lowest {@code depth} bits that its hashes share
+ * @param shard the shard number, from 0 to {@link WorkLog#SHARDS} - 1
+ * @param depth the number of splits between the root and this bucket, 0 for the root
+ * @param index the lowest {@code depth} bits, after division by the number of shards, that its hashes share
  */
 record Bucket(int shard, int depth, int index) implements Comparable<Bucket> {
 
-    /** Rows that still share this many bits of their hashes stay together: a bucket with a single row can't be split at all. */
+    /** Maximum depth: records whose hashes share this many bits stay together, as a bucket with one record can't be split. */
     static final int MAX_DEPTH = 20;
     /**
-     * Pages below this belong to a root that was stored in several pages, as layout 1 does. A controller that knows layout
-     * 1 alone counts pages and finds more than a shard says it has; so it finds its listing inconsistent and never decides
-     * anything.
+     * The lowest page number of a bucket below a root. Lower numbers are pages of a root, which layout 1 may store in several
+     * pages. A controller that supports only layout 1 counts the pages of a shard and finds more than its pages state. It
+     * therefore treats its listing as inconsistent and never makes decisions.
      */
     private static final int FIRST_SPLIT_PAGE = 1 << 10;
 
-    /** All of a shard. */
+    /** Returns the bucket that contains a whole shard. */
     static Bucket root(int shard) {
         return new Bucket(shard, 0, 0);
     }
 
-    /** The bucket that a page of a shard holds; any page of layout 1 belongs to the root. */
+    /** Returns the bucket that a page of a shard belongs to; every page of layout 1 belongs to the root. */
     static Bucket ofPage(int shard, int page) {
         if (page < FIRST_SPLIT_PAGE) {
             return root(shard);
@@ -37,7 +37,7 @@
     }
 
     static int hashOfMachine(String machine) {
-        return PartitionMap.number(machine);
+        return PartitionMap.machineNumber(machine);
     }
 
     static int hashOfPart(String part) {
@@ -52,17 +52,17 @@
         return depth == 0;
     }
 
-    /** The half whose next bit is as given. */
+    /** Returns the half of this bucket whose next hash bit is {@code bit}. */
     Bucket child(int bit) {
         return new Bucket(shard, depth + 1, index | bit << depth);
     }
 
-    /** The bucket that this one is a half of; not of a root. */
+    /** Returns the bucket that this one is a half of; must not be called on a root. */
     Bucket parent() {
         return new Bucket(shard, depth - 1, index & (1 << depth - 1) - 1);
     }
 
-    /** The other half of the parent; not of a root. */
+    /** Returns the other half of the parent; must not be called on a root. */
     Bucket sibling() {
         return new Bucket(shard, depth, index ^ 1 << depth - 1);
     }
@@ -71,7 +71,7 @@
         return shardOf(hash) == shard && contains(Math.floorDiv(hash, WorkLog.SHARDS), depth, index);
     }
 
-    /** Whether all of the other bucket lies in this one. */
+    /** Returns whether this bucket contains all of the other bucket. */
     boolean contains(Bucket other) {
         return other.shard == shard && other.depth >= depth && contains(other.index, depth, index);
     }
@@ -80,17 +80,17 @@
         return (bits & (1 << depth) - 1) == index;
     }
 
-    /** The number of the page that holds it, or of the first one: a root in layout 1 may have several. */
+    /** Returns the number of its page, or of its first page: a root in layout 1 may have several. */
     int page() {
         return isRoot() ? 0 : FIRST_SPLIT_PAGE + (1 << depth) + index;
     }
 
-    /** The key of {@link #page}. */
+    /** Returns the key of {@link #page}. */
     String key() {
         return WorkLog.pageKey(shard, page());
     }
 
-    /** By shard, then by page: a root is first, a bucket comes before the halves of it. */
+    /** Compares by shard, then by page: a root comes first, and every bucket comes before its halves. */
     @Override
     public int compareTo(Bucket other) {
         if (shard != other.shard) {
--- a/src/main/java/garnetscale/core/state/ChangeReader.java
+++ b/src/main/java/garnetscale/core/state/ChangeReader.java
@@ -7,8 +7,8 @@
 import java.util.TreeMap;
 
 /**
- * Decodes the keys that a listing or a watch brings and routes them to the part of the replica that each belongs to. The
- * first record that can't be decoded closes the {@link VersionGate}, and nothing after it is read.
+ * Decodes keys from a listing or a watch and passes each to the part of the replica that it belongs to. The first record
+ * that can't be decoded closes the {@link VersionGate}, and nothing after it is read.
  */
 final class ChangeReader {
 
@@ -29,12 +29,12 @@
         modRevisions.clear();
     }
 
-    /** The revision at which a key last changed, 0 when it doesn't exist. */
+    /** Returns the revision at which a key last changed, or 0 if the key doesn't exist. */
     long modRevision(String key) {
         return modRevisions.getOrDefault(key, 0L);
     }
 
-    /** Loads a whole listing; false when it can't be read. */
+    /** Loads a full listing; returns false if it can't be read. */
     boolean load(List<KeyChange> listing) {
         TreeMap<Long, WorkLog.Entry> entries = new TreeMap<>();
         SnapshotListing snapshots = new SnapshotListing();
@@ -62,7 +62,7 @@
 
     private void readListed(KeyChange listed, TreeMap<Long, WorkLog.Entry> entries, SnapshotListing snapshots) {
         if (listed.key().startsWith(Keys.LOG)) {
-            log.noteEntry(listed, entries);
+            log.trackEntry(listed, entries);
         } else if (listed.key().startsWith(Keys.SNAPSHOT)) {
             snapshots.add(listed.key(), listed.value());
         } else {
@@ -70,8 +70,8 @@
         }
     }
 
-    /** Applies the changes that a watch brought after {@code revision}; false when they can't be read. */
-    boolean follow(List<KeyChange> changes, long revision) {
+    /** Applies the changes after {@code revision} from a watch; returns false if they can't be read. */
+    boolean advance(List<KeyChange> changes, long revision) {
         if (!gate.admits(changes)) {
             return false;
         }
@@ -90,10 +90,10 @@
             List<KeyChange> changes, long revision, TreeMap<Long, WorkLog.Entry> entries, List<String> removedJobs) {
         for (KeyChange change : changes) {
             try {
-                if (isNews(change, revision)) {
+                if (isCurrent(change, revision)) {
                     readChange(change, entries, removedJobs);
                 } else {
-                    readOvertaken(change, revision, entries);
+                    readSuperseded(change, revision, entries);
                 }
             } catch (RuntimeException e) {
                 gate.close(change, e.getMessage());
@@ -103,13 +103,19 @@
         return true;
     }
 
-    /** A page of a listing may be newer than the revision that the watch goes on from. */
-    private boolean isNews(KeyChange change, long revision) {
+    /**
+     * Returns whether a change is newer than what the replica holds. It may be older, since a page of a listing may be newer
+     * than the revision from which the watch continues.
+     */
+    private boolean isCurrent(KeyChange change, long revision) {
         return change.modRevision() > revision && change.modRevision() >= modRevision(change.key());
     }
 
-    /** The key was listed with a newer entry, but the older one is still needed: entries are applied without a gap. */
-    private void readOvertaken(KeyChange change, long revision, TreeMap<Long, WorkLog.Entry> entries) {
+    /**
+     * Adds a log entry whose key was listed with a newer entry. The older entry is still needed, since entries are applied
+     * without a gap.
+     */
+    private void readSuperseded(KeyChange change, long revision, TreeMap<Long, WorkLog.Entry> entries) {
         if (change.key().startsWith(Keys.LOG) && change.value() != null && change.modRevision() > revision) {
             LogReplica.addEntry(change, entries);
         }
@@ -123,9 +129,9 @@
             modRevisions.put(key, change.modRevision());
         }
         if (key.startsWith(Keys.LOG)) {
-            log.noteEntry(change, entries);
+            log.trackEntry(change, entries);
         } else if (key.startsWith(Keys.SNAPSHOT)) {
-            log.noteSnapshot(change);
+            log.trackSnapshotPage(change);
         } else {
             applyPlain(change);
             if (change.value() == null && key.startsWith(Keys.JOB)) {
--- a/src/main/java/garnetscale/core/state/ClusterState.java
+++ b/src/main/java/garnetscale/core/state/ClusterState.java
@@ -12,8 +12,8 @@
 import java.util.TreeMap;
 
 /**
- * The replica's copy of the plain keys, each of which holds one whole record: controllers, partition leases, the leader
- * and its term, machine types, and the active version.
+ * The replica's copy of the keys that each hold one complete record: controllers, partition leases, the leader and its
+ * term, machine types, and the active version.
  */
 final class ClusterState {
 
@@ -33,7 +33,7 @@
         version = ClusterVersion.FIRST;
     }
 
-    /** Applies a put or a delete; a key that belongs to no record of the cluster is ignored. */
+    /** Applies a put or a delete; other keys are ignored. */
     void apply(KeyChange change) {
         String key = change.key();
         Object value = change.value();
@@ -42,8 +42,8 @@
                     partitions,
                     key.substring(Keys.PARTITION.length()),
                     value == null ? null : Records.partition(value));
-        } else if (key.startsWith(Keys.NODE)) {
-            String name = key.substring(Keys.NODE.length());
+        } else if (key.startsWith(Keys.CONTROLLER)) {
+            String name = key.substring(Keys.CONTROLLER.length());
             putOrRemove(controllers, name, value == null ? null : Records.controller(name, value));
         } else if (key.equals(Keys.LEADER)) {
             leader = value == null ? null : Records.leader(value);
@@ -64,7 +64,7 @@
         }
     }
 
-    /** The lease of a partition, or null. */
+    /** Returns the lease of a partition, or null if it was never leased. */
     PartitionLease partition(String partition) {
         return partitions.get(partition);
     }
@@ -73,22 +73,22 @@
         return partitions.size();
     }
 
-    /** A live controller, or null. */
+    /** Returns a live controller, or null if no live controller has this name. */
     ControllerInfo controller(String name) {
         return controllers.get(name);
     }
 
-    /** Live controllers, by name. */
+    /** Returns the live controllers, sorted by name. */
     Collection<ControllerInfo> controllers() {
         return controllers.values();
     }
 
-    /** The leader, or null while there is none. */
+    /** Returns the leader, or null while there is none. */
     LeaderInfo leader() {
         return leader;
     }
 
-    /** The highest term that was ever given out. */
+    /** Returns the highest leader term ever issued, 0 if none was. */
     long termCounter() {
         return termCounter;
     }
@@ -97,7 +97,7 @@
         return types;
     }
 
-    /** The machine type of this name, or null. */
+    /** Returns the machine type with this name, or null if there is none. */
     MachineType type(String name) {
         for (MachineType type : types) {
             if (type.name().equals(name)) {
@@ -111,7 +111,7 @@
         return version;
     }
 
-    /** Whether the work log has to be written in the first layout. */
+    /** Returns whether the work log has to be written in the first layout. */
     boolean inFirstVersion() {
         return version.active() == Layouts.FIRST;
     }
--- a/src/main/java/garnetscale/core/state/Compaction.java
+++ b/src/main/java/garnetscale/core/state/Compaction.java
@@ -6,14 +6,15 @@
 import java.util.Map;
 
 /**
- * The puts and deletes by which one transaction rewrites a region of the snapshot: because it is furthest behind, because
- * it has outgrown a value, or because the first layout is active again.
+ * The puts and deletes by which one transaction rewrites a region of the snapshot: because the region has the lowest
+ * sequence number, because it no longer fits into one value, or because the first layout is active again.
  */
 final class Compaction {
 
-    /** The share of a transaction's operations that a compaction may take when it has a choice. */
-    private static final int MAX_SHARE_OF_OPS = 3;
+    /** A compaction that can be spread over several transactions uses at most one in this many of a transaction's operations. */
+    private static final int OPS_DIVISOR = 3;
 
+    /** Lower bound of that limit. */
     private static final int MIN_OPS = 3;
 
     private final LogReplica log;
@@ -21,16 +22,16 @@
     private final int opLimit;
     private final Map<String, Object> puts = new LinkedHashMap<>();
     private final List<String> deletes = new ArrayList<>();
-    private final boolean splitsFirst;
+    private final boolean isFirstSplit;
 
-    /** Plans what is due. */
+    /** Plans the compaction that is due, if any. */
     Compaction(LogReplica log, LogWriter.Limits limits) {
         this.log = log;
         this.pageBytes = LogWriter.pageBytes(limits.valueBytes());
-        this.opLimit = Math.max(MIN_OPS, limits.ops() / MAX_SHARE_OF_OPS);
+        this.opLimit = Math.max(MIN_OPS, limits.ops() / OPS_DIVISOR);
         planRegion(limits);
         log.keysToDelete().stream().limit(opLimit).forEach(deletes::add);
-        this.splitsFirst = log.layout() < Layouts.SPLIT_SNAPSHOT
+        this.isFirstSplit = log.layout() < Layouts.SPLIT_SNAPSHOT
                 && puts.keySet().stream()
                         .anyMatch(key -> !SnapshotIndex.bucketOf(key).isRoot());
     }
@@ -40,66 +41,69 @@
         boolean isSplit = log.layout() >= Layouts.SPLIT_SNAPSHOT;
         boolean maySplit = limits.layout() >= Layouts.SPLIT_SNAPSHOT;
         if (!maySplit && isSplit) {
-            convert(due);
+            convertToFirstLayout(due);
         } else if (maySplit && limits.forcesSplit() && !isSplit && !log.isFull()) {
-            compactInParts(log.snapshot().oldest(), true);
+            compactIntoBuckets(log.snapshot().oldest(), true);
         } else if (due != null && maySplit && (isSplit || !log.isFull())) {
-            // The first split needs an entry, and so a log that isn't full.
-            compactInParts(due, false);
+            // The first split writes an entry, so the log must not be full.
+            compactIntoBuckets(due, false);
         } else if (due != null) {
-            compactWhole(due.bucket());
+            compactAsRoot(due.bucket());
         }
     }
 
-    /** Pages of the snapshot that are written, by key. */
+    /** Returns the snapshot pages to write, by key. */
     Map<String, Object> puts() {
         return puts;
     }
 
-    /** Keys that are deleted. */
+    /** Returns the keys to delete. */
     List<String> deletes() {
         return deletes;
     }
 
-    /** Whether this is the first split of a store in the first layout. */
-    boolean splitsFirst() {
-        return splitsFirst;
+    /** Returns whether this is the first split of a store that is in the first layout. */
+    boolean isFirstSplit() {
+        return isFirstSplit;
     }
 
     /**
-     * Back from layout 2 to layout 1: a shard is written as a root again if it and the removal of its buckets fit into a
-     * transaction; else two halves are joined. A shard that isn't split is compacted as usual. A region that is due for
-     * compaction goes first, and one that can't be joined yet is compacted as it is, so that the ring buffer doesn't run full.
+     * Takes one step of the conversion from layout 2 back to layout 1. If the shard as a root and the deletes of its buckets
+     * fit into a transaction, the shard is written as a root; otherwise two sibling buckets are merged. A shard that isn't
+     * split is compacted as usual. The shard of a region that is due for compaction goes first. If nothing in it can be
+     * merged yet, the region is compacted as it is, so that the ring buffer doesn't become full.
+     *
+     * @param due the region that is due for compaction, or null
      */
-    private void convert(SnapshotIndex.Region due) {
+    private void convertToFirstLayout(SnapshotIndex.Region due) {
         SnapshotIndex snapshot = log.snapshot();
         int shard = due != null ? due.bucket().shard() : snapshot.firstSplitShard();
         Bucket root = Bucket.root(shard);
         List<WorkLog.Contents> pages = LogSizes.pages(log.contents(root), pageBytes);
         List<Bucket> stored = snapshot.storedIn(shard);
-        boolean isWhole = stored.stream().allMatch(Bucket::isRoot);
-        if (isWhole || pages.size() <= pageLimit() && stored.size() <= opLimit) {
-            compactWhole(root);
+        boolean isUnsplit = stored.stream().allMatch(Bucket::isRoot);
+        if (isUnsplit || pages.size() <= pageLimit() && stored.size() <= opLimit) {
+            compactAsRoot(root);
             stored.stream().filter(bucket -> !bucket.isRoot()).forEach(bucket -> deletePages(bucket, 0));
-        } else if (!join(shard) && due != null) {
-            compactInParts(due, false);
+        } else if (!mergeSiblings(shard) && due != null) {
+            compactIntoBuckets(due, false);
         }
     }
 
-    /** Writes two halves of a bucket as one if they fit into a page; false when there are none in the shard. */
-    private boolean join(int shard) {
+    /** Merges two sibling buckets that fit into one page; returns false if the shard has no such pair. */
+    private boolean mergeSiblings(int shard) {
         List<SnapshotIndex.Region> regions = log.snapshot().regionsOf(shard);
         for (SnapshotIndex.Region region : regions) {
             Bucket bucket = region.bucket();
-            if (bucket.isRoot() || !bucket.equals(region.stored())) {
+            if (bucket.isRoot() || !bucket.equals(region.source())) {
                 continue;
             }
             Bucket sibling = bucket.sibling();
             boolean isSiblingStored = regions.stream()
-                    .anyMatch(other -> other.bucket().equals(sibling) && sibling.equals(other.stored()));
-            WorkLog.Contents joined = log.contents(bucket.parent());
-            if (isSiblingStored && LogSizes.pages(joined, pageBytes).size() == 1) {
-                puts.put(bucket.parent().key(), LogCodec.encodePage(joined, 1));
+                    .anyMatch(other -> other.bucket().equals(sibling) && sibling.equals(other.source()));
+            WorkLog.Contents merged = log.contents(bucket.parent());
+            if (isSiblingStored && LogSizes.pages(merged, pageBytes).size() == 1) {
+                puts.put(bucket.parent().key(), LogCodec.encodePage(merged, 1));
                 deletePages(bucket, 0);
                 deletePages(sibling, 0);
                 return true;
@@ -108,13 +112,13 @@
         return false;
     }
 
-    /** How many pages fit into a transaction beside an entry. */
+    /** Returns the number of pages that fit into a transaction beside an entry. */
     private int pageLimit() {
         return Math.max(1, (LogWriter.TRANSACTION_BYTES - LogWriter.RESERVED_BYTES) / pageBytes - 1);
     }
 
-    /** Layout 1: a shard is rewritten with all of its pages at once. */
-    private void compactWhole(Bucket root) {
+    /** Rewrites a whole shard in layout 1, with all of its pages at once. */
+    private void compactAsRoot(Bucket root) {
         List<WorkLog.Contents> pages = LogSizes.pages(log.contents(root), pageBytes);
         for (int page = 0; page < pages.size(); page++) {
             puts.put(WorkLog.pageKey(root.shard(), page), LogCodec.encodePage(pages.get(page), pages.size()));
@@ -123,12 +127,13 @@
     }
 
     /**
-     * Layout 2: a region is written as buckets that each fit into a value. As many are written as a transaction may hold
-     * beside an entry; the others stay where they are stored, are the oldest then, and so come next.
+     * Rewrites a region in layout 2, as buckets that each fit into one value. Writes as many buckets as fit into the
+     * transaction beside an entry. The others stay in their present bucket, become the oldest regions, and are compacted
+     * next.
      *
-     * @param splits whether the region is split in any case
+     * @param splits whether to split the region even if it fits into one bucket
      */
-    private void compactInParts(SnapshotIndex.Region due, boolean splits) {
+    private void compactIntoBuckets(SnapshotIndex.Region due, boolean splits) {
         Map<Bucket, WorkLog.Contents> buckets = new LinkedHashMap<>();
         if (splits) {
             split(due.bucket().child(0), buckets);
@@ -142,14 +147,14 @@
                 puts.put(bucket.getKey().key(), LogCodec.encodePage(bucket.getValue(), 1));
             }
         }
-        Bucket old = due.stored();
-        boolean isWhole = puts.size() == buckets.size();
-        if (old != null && isWhole && log.snapshot().regionsIn(old).size() <= 1) {
+        Bucket old = due.source();
+        boolean isComplete = puts.size() == buckets.size();
+        if (old != null && isComplete && log.snapshot().regionsReadFrom(old).size() <= 1) {
             deletePages(old, puts.containsKey(old.key()) ? 1 : 0);
         }
     }
 
-    /** Adds the buckets, each of which fits into a page, that a bucket has to be written as. */
+    /** Splits a bucket until each part fits into a page or has the maximum depth, and adds the parts. */
     private void split(Bucket bucket, Map<Bucket, WorkLog.Contents> into) {
         WorkLog.Contents contents = log.contents(bucket);
         boolean fits = LogSizes.pages(contents, pageBytes).size() == 1;
@@ -161,7 +166,7 @@
         split(bucket.child(1), into);
     }
 
-    /** Deletes the stored pages of a bucket from the given one on. */
+    /** Deletes the stored pages of a bucket, starting with page {@code from}. */
     private void deletePages(Bucket bucket, int from) {
         for (int page = from; page < log.snapshot().pages(bucket); page++) {
             deletes.add(bucket.isRoot() ? WorkLog.pageKey(bucket.shard(), page) : bucket.key());
--- a/src/main/java/garnetscale/core/state/Delta.java
+++ b/src/main/java/garnetscale/core/state/Delta.java
@@ -10,14 +10,14 @@
 import java.util.Set;
 
 /**
- * What an entry of the work log says of a machine: not its new record but the change, since an exit concerns one of many
- * tasks. Entries are applied in order and each once, so that a change is enough.
+ * The change of a machine's record in a work log entry. An entry contains the change and not the new record, because an exit
+ * affects only one of many tasks. Entries are applied in order and exactly once, so a change is sufficient.
  *
- * @param zone   null when the record is removed
+ * @param zone   the zone of the machine, or null if its record is removed
  * @param freed  attempts that are no longer placed on the machine
- * @param stops  attempts that are to be stopped from now on, and how
- * @param placed attempts that are placed on the machine from now on
- * @param images the machine's images with their sizes in GB if they are other ones than before, else null
+ * @param stops  attempts whose stop mode changed, with the new mode
+ * @param placed attempts that are newly placed on the machine
+ * @param images images in the machine's cache with their sizes in GB if the set of images changed, otherwise null
  */
 record Delta(
         String zone,
@@ -26,7 +26,7 @@
         List<Placement> placed,
         Map<String, Double> images) {
 
-    /** The change that leads from one record to another; {@link MachineRecord#NONE} removes the record. */
+    /** Returns the change from one record to another; {@link MachineRecord#NONE} removes the record. */
     static Delta between(MachineRecord before, MachineRecord after) {
         if (after.zone() == null) {
             return new Delta(null, Set.of(), Map.of(), List.of(), null);
@@ -49,7 +49,7 @@
         return new Delta(after.zone(), freed, stops, placed, sameImages ? null : after.images());
     }
 
-    /** The record after this change. */
+    /** Returns the record after this change. */
     MachineRecord applyTo(MachineRecord before) {
         if (zone == null) {
             return MachineRecord.NONE;
--- a/src/main/java/garnetscale/core/state/FreeCapacityCache.java
+++ b/src/main/java/garnetscale/core/state/FreeCapacityCache.java
@@ -9,8 +9,8 @@
 import java.util.Set;
 
 /**
- * What placements leave free on each machine, computed again only when a machine's record has changed: with a thousand
- * machines most of a scheduling cycle would go into computing what the cycle before has computed.
+ * Caches the free capacity of each machine, and recomputes it only when the machine's record has changed. Otherwise, with a
+ * thousand machines, most of a scheduling cycle would be spent recomputing the results of the previous cycle.
  */
 public final class FreeCapacityCache {
 
@@ -19,13 +19,13 @@
     private final StateReplica replica;
     private final Map<String, Cached> cache = new HashMap<>();
 
-    /** An empty cache of what the placements in a replica leave free. */
+    /** Creates an empty cache of the free capacity under the placements in a replica. */
     public FreeCapacityCache(StateReplica replica) {
         this.replica = replica;
     }
 
-    /** The free capacity of a machine by the replica; shared, and so not to be altered. */
-    @SuppressWarnings("ReferenceEquality") // The replica replaces the list with every change and never alters it.
+    /** Returns the free capacity of a machine under the replica's placements; shared, so callers must not modify it. */
+    @SuppressWarnings("ReferenceEquality") // The replica replaces the list on every change and never modifies it.
     public FreeCapacity of(String machine, MachineType type) {
         List<Placement> placements = replica.placements(machine);
         Cached cached = cache.get(machine);
@@ -40,7 +40,7 @@
         return capacity;
     }
 
-    /** Takes what the placements use; false when one is of a job that the replica doesn't hold. */
+    /** Subtracts what the placements use; returns false if the job of any placement isn't in the replica. */
     public boolean take(FreeCapacity capacity, List<Placement> placements) {
         boolean complete = true;
         for (Placement placement : placements) {
@@ -54,7 +54,7 @@
         return complete;
     }
 
-    /** Drops all other machines from the cache. */
+    /** Removes all machines except these from the cache. */
     public void retain(Set<String> machines) {
         cache.keySet().retainAll(machines);
     }
--- a/src/main/java/garnetscale/core/state/JobView.java
+++ b/src/main/java/garnetscale/core/state/JobView.java
@@ -7,50 +7,53 @@
 import java.util.Map;
 
 /**
- * A job as the replica knows it: its record, its finished tasks and its placed tasks. A view stays the same object until the
- * job's record changes, while the progress that it shows is always the replica's latest.
+ * A job in the replica: its record, its finished tasks and its placed tasks. A view stays the same object until the job's
+ * record changes. The progress that it returns is always the replica's latest.
  */
 public final class JobView {
 
     /**
-     * Which tasks are finished and which are placed. Kept apart from the job's record, since a listing that is read in
-     * pages may bring them before it.
+     * The finished and the placed tasks of a job. Kept separately from the job's record, since a listing that is read in
+     * pages may contain them before the record.
      */
     static final class TaskProgress {
         private final BitSet finished = new BitSet();
         private final BitSet placed = new BitSet();
-        /** Tasks that are placed on more than one machine while the replica catches up with a listing, and on how many more. */
-        private final Map<Integer, Integer> morePlacements = new HashMap<>();
+        /**
+         * Number of placements beyond the first, by task. A task may be placed on more than one machine while the replica
+         * catches up with a listing.
+         */
+        private final Map<Integer, Integer> extraPlacements = new HashMap<>();
 
         private int finishedCount;
         private int placedCount;
 
-        /** Adds ({@code on}) or removes one placement of a task. */
-        void place(int task, boolean on) {
-            if (on && placed.get(task)) {
-                morePlacements.merge(task, 1, Integer::sum);
-            } else if (!on && morePlacements.containsKey(task)) {
-                morePlacements.merge(task, -1, (a, b) -> a + b == 0 ? null : a + b);
-            } else if (placed.get(task) != on) {
-                placed.set(task, on);
-                placedCount += on ? 1 : -1;
+        /** Adds one placement of a task if {@code added}, otherwise removes one. */
+        void updatePlacement(int task, boolean added) {
+            if (added && placed.get(task)) {
+                extraPlacements.merge(task, 1, Integer::sum);
+            } else if (!added && extraPlacements.containsKey(task)) {
+                extraPlacements.merge(task, -1, (a, b) -> a + b == 0 ? null : a + b);
+            } else if (placed.get(task) != added) {
+                placed.set(task, added);
+                placedCount += added ? 1 : -1;
             }
         }
 
         /** Replaces a part of the finished set; {@code tasks} are numbered from the start of the part. */
-        void finish(int part, BitSet tasks) {
+        void setFinishedPart(int part, BitSet tasks) {
             int first = part * WorkLog.TASKS_PER_PART;
             finishedCount += tasks.cardinality() - part(part).cardinality();
             finished.clear(first, first + WorkLog.TASKS_PER_PART);
             tasks.stream().forEach(i -> finished.set(first + i));
         }
 
-        /** How many parts the finished set has, up to the last one that isn't empty. */
+        /** Returns the number of parts in the finished set, up to the last non-empty one. */
         int parts() {
             return (finished.length() + WorkLog.TASKS_PER_PART - 1) / WorkLog.TASKS_PER_PART;
         }
 
-        /** A part of the finished set, numbered from its start. */
+        /** Returns a copy of one part of the finished set; its tasks are numbered from the start of the part. */
         BitSet part(int part) {
             return finished.get(part * WorkLog.TASKS_PER_PART, (part + 1) * WorkLog.TASKS_PER_PART);
         }
@@ -66,57 +69,57 @@
         this.progress = progress;
     }
 
-    /** What the user submitted. */
+    /** Returns the specification that the user submitted. */
     public JobSpec spec() {
         return job.spec();
     }
 
-    /** The stored record. */
+    /** Returns the stored record. */
     public JobRecord job() {
         return job;
     }
 
-    /** The revision at which the record last changed, for guards. */
+    /** Returns the revision at which the record last changed, for guards. */
     public long modRevision() {
         return modRevision;
     }
 
-    /** Whether the job is neither done nor cancelled. */
+    /** Returns whether the job is neither done nor cancelled. */
     public boolean isLive() {
         return !job.state().isTerminal();
     }
 
-    /** How many tasks are finished. */
+    /** Returns the number of finished tasks. */
     public int finishedCount() {
         return progress.finishedCount;
     }
 
-    /** How many tasks are placed. */
+    /** Returns the number of placed tasks. */
     public int placedCount() {
         return progress.placedCount;
     }
 
-    /** How many tasks are neither finished nor placed. */
+    /** Returns the number of tasks that are neither finished nor placed. */
     public int unstartedCount() {
         return job.spec().tasks() - progress.finishedCount - progress.placedCount;
     }
 
-    /** Whether a task is finished. */
+    /** Returns whether a task is finished. */
     public boolean isFinished(int task) {
         return progress.finished.get(task);
     }
 
-    /** Whether a task is placed on some machine. */
+    /** Returns whether a task is placed on some machine. */
     public boolean isPlaced(int task) {
         return progress.placed.get(task);
     }
 
-    /** A copy of the finished set, for the transaction that adds to it. */
+    /** Returns a copy of the finished set, for the transaction that adds to it. */
     public BitSet finishedSet() {
         return (BitSet) progress.finished.clone();
     }
 
-    /** The first task from {@code from} on that is neither finished nor placed, or -1. */
+    /** Returns the first task at or after {@code from} that is neither finished nor placed, or -1 if there is none. */
     public int nextUnstarted(int from) {
         int task = from;
         while (task < job.spec().tasks()) {
--- a/src/main/java/garnetscale/core/state/JobViews.java
+++ b/src/main/java/garnetscale/core/state/JobViews.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** The replica's jobs and the progress of their tasks, which may become known before the record of their job. */
+/** The replica's jobs and the progress of their tasks, which may be received before the job's record. */
 final class JobViews {
 
     private final Map<String, JobView> jobs = new LinkedHashMap<>();
@@ -20,22 +20,22 @@
         progress.clear();
     }
 
-    /** The job, or null. */
+    /** Returns the job, or null if there is none. */
     JobView get(String id) {
         return jobs.get(id);
     }
 
-    /** All jobs, in the order in which they became known. */
+    /** Returns all jobs, in the order in which they were received. */
     Collection<JobView> all() {
         return jobs.values();
     }
 
-    /** How many jobs have been added since this process started, listings included. */
+    /** Returns how many jobs have been added since this process started, including those in listings. */
     long added() {
         return added;
     }
 
-    /** Applies a job's stored value; null removes the job, but keeps the progress of its tasks. */
+    /** Applies a job's stored value. Null removes the job but keeps the progress of its tasks. */
     void apply(String id, Object value, long modRevision) {
         if (value == null) {
             jobs.remove(id);
@@ -46,7 +46,7 @@
         }
     }
 
-    /** Drops the progress of jobs that were removed; later than their records, since log entries may still name them. */
+    /** Removes the progress of removed jobs. Done after their records are removed, since log entries may still refer to them. */
     void dropProgress(List<String> removed) {
         removed.forEach(progress::remove);
     }
@@ -54,17 +54,17 @@
     /** Replaces a part of a job's finished set. */
     void applyFinished(String part, BitSet finished) {
         int slash = part.lastIndexOf('/');
-        progressOf(part.substring(0, slash)).finish(Integer.parseInt(part.substring(slash + 1)), finished);
+        progressOf(part.substring(0, slash)).setFinishedPart(Integer.parseInt(part.substring(slash + 1)), finished);
     }
 
     void place(Placement placement) {
-        progressOf(placement.task().job()).place(placement.task().index(), true);
+        progressOf(placement.task().job()).updatePlacement(placement.task().index(), true);
     }
 
     void free(Placement placement) {
         JobView.TaskProgress tasks = progress.get(placement.task().job());
         if (tasks != null) {
-            tasks.place(placement.task().index(), false);
+            tasks.updatePlacement(placement.task().index(), false);
         }
     }
 
@@ -81,7 +81,7 @@
         });
     }
 
-    /** Adds the bytes that finished sets take at the most, for each shard. */
+    /** Adds the maximum size in bytes of each shard's finished sets. */
     void addBytes(long[] bytesOfShard) {
         jobs.forEach((id, job) -> {
             for (int i = 0; i < progress.get(id).parts(); i++) {
--- a/src/main/java/garnetscale/core/state/LogCodec.java
+++ b/src/main/java/garnetscale/core/state/LogCodec.java
@@ -13,14 +13,15 @@
 import java.util.TreeMap;
 
 /**
- * The stored form of the work log: entries, pages of snapshots, and the machine records, deltas and finished sets in them.
- * Field names are short since every byte is sent to every controller, and the order of fields is part of the form.
+ * Encodes and decodes the stored form of the work log: entries, snapshot pages, and the machine records, deltas and finished
+ * sets in them. Field names are short because every byte is sent to every controller. The order of fields is part of the
+ * stored form.
  */
 final class LogCodec {
 
     private static final Placement.Stop[] STOPS = Placement.Stop.values();
 
-    private static final String NUMBER = "n";
+    private static final String SEQUENCE = "n";
     private static final String MACHINES = "m";
     private static final String FINISHED = "f";
     private static final String BEFORE = "b";
@@ -36,12 +37,12 @@
 
     // ---- entries and snapshot pages
 
-    /** The value of an entry. The number of the entry before is left out when it is the preceding one. */
+    /** Returns the stored value of an entry. {@code before} is omitted if it is {@code sequence - 1}. */
     static Map<String, Object> encodeEntry(WorkLog.Entry entry) {
         Map<String, Object> machines = new LinkedHashMap<>();
         entry.machines().forEach((id, delta) -> machines.put(id, encodeDelta(delta)));
-        Map<String, Object> value = encode(entry.number(), machines, entry.parts());
-        if (entry.before() != entry.number() - 1) {
+        Map<String, Object> value = encode(entry.sequence(), machines, entry.parts());
+        if (entry.before() != entry.sequence() - 1) {
             value.put(BEFORE, entry.before());
         }
         return value;
@@ -52,20 +53,21 @@
         Map<String, Delta> machines = new LinkedHashMap<>();
         ((Map<?, ?>) fields.get(MACHINES))
                 .forEach((id, delta) -> machines.put((String) id, decodeDelta((Map<?, ?>) delta)));
-        long number = numberOf(fields);
-        long before = fields.get(BEFORE) instanceof Number stored ? stored.longValue() : number - 1;
-        return new WorkLog.Entry(number, before, machines, decodeParts(fields));
+        long sequence = sequenceOf(fields);
+        long before = fields.get(BEFORE) instanceof Number stored ? stored.longValue() : sequence - 1;
+        return new WorkLog.Entry(sequence, before, machines, decodeParts(fields));
     }
 
     /**
-     * The value of a page of a snapshot.
+     * Returns the stored value of a snapshot page.
      *
-     * @param pages how many pages the bucket is stored in, since a listing may read them at different moments
+     * @param pages the number of pages that the bucket is stored in; stored because a listing may read them at different
+     *              revisions
      */
     static Map<String, Object> encodePage(WorkLog.Contents page, int pages) {
         Map<String, Object> machines = new LinkedHashMap<>();
         page.machines().forEach((id, machine) -> machines.put(id, encodeMachine(machine)));
-        Map<String, Object> value = encode(page.number(), machines, page.parts());
+        Map<String, Object> value = encode(page.sequence(), machines, page.parts());
         value.put(PAGES, pages);
         return value;
     }
@@ -75,15 +77,15 @@
         Map<String, MachineRecord> machines = new LinkedHashMap<>();
         ((Map<?, ?>) fields.get(MACHINES))
                 .forEach((id, machine) -> machines.put((String) id, decodeMachine((Map<?, ?>) machine)));
-        return new WorkLog.Contents(numberOf(fields), machines, decodeParts(fields));
+        return new WorkLog.Contents(sequenceOf(fields), machines, decodeParts(fields));
     }
 
     private static Map<String, Object> encode(
-            long number, Map<String, Object> machines, Map<String, BitSet> finishedParts) {
+            long sequence, Map<String, Object> machines, Map<String, BitSet> finishedParts) {
         Map<String, Object> parts = new LinkedHashMap<>();
         finishedParts.forEach((part, finished) -> parts.put(part, encodeFinished(finished)));
         Map<String, Object> value = new TreeMap<>();
-        value.put(NUMBER, number);
+        value.put(SEQUENCE, sequence);
         value.put(MACHINES, machines);
         value.put(FINISHED, parts);
         return value;
@@ -96,17 +98,17 @@
         return parts;
     }
 
-    /** The number of a stored entry, or the number of the last entry that a stored page contains. */
-    static long numberOf(Object value) {
-        return StoredFields.whole((Map<?, ?>) value, NUMBER);
+    /** Returns the sequence number of a stored entry, or of the last entry that a stored page contains. */
+    static long sequenceOf(Object value) {
+        return StoredFields.whole((Map<?, ?>) value, SEQUENCE);
     }
 
-    /** How many pages the bucket is stored in that a page belongs to. */
+    /** Returns the number of pages of the bucket that a stored page belongs to. */
     static int pageCountOf(Object page) {
         return ((Number) ((Map<?, ?>) page).get(PAGES)).intValue();
     }
 
-    /** A part of a finished set, as a text since the protocol has no binary values. */
+    /** Encodes a part of a finished set, in Base64 because the protocol has no binary values. */
     static String encodeFinished(BitSet part) {
         return Base64.getEncoder().encodeToString(part.toByteArray());
     }
@@ -127,7 +129,7 @@
                         fields.get(IMAGES)));
     }
 
-    /** An empty map where the record is removed; what hasn't changed is left out. */
+    /** Encodes a change of a machine record. Unchanged fields are omitted; an empty map removes the record. */
     static Map<String, Object> encodeDelta(Delta delta) {
         Map<String, Object> fields = new LinkedHashMap<>();
         if (delta.zone() != null) {
--- a/src/main/java/garnetscale/core/state/LogReplica.java
+++ b/src/main/java/garnetscale/core/state/LogReplica.java
@@ -7,8 +7,8 @@
 import java.util.stream.LongStream;
 
 /**
- * The replica's view of the work log: which entries and snapshots are stored under which keys, the last entry that has
- * been applied, and what the next transaction has to compact. It applies entries to machine records and jobs.
+ * The replica of the work log: the keys under which entries and snapshot pages are stored, the last entry that has been
+ * applied, and the region that the next transaction has to compact. Applies entries to machine records and jobs.
  */
 final class LogReplica {
 
@@ -18,11 +18,12 @@
 
     private SnapshotIndex snapshot = new SnapshotIndex();
     private LogRingBuffer ringBuffer = new LogRingBuffer();
-    /** The snapshot as it was listed: entries up to its numbers are in it already. */
+    /** The snapshot as of the last listing; each region already contains the entries up to its sequence number. */
     private SnapshotIndex listedSnapshot = snapshot;
 
+    /** The highest sequence number of any region in the listed snapshot. */
     private long listedUpTo;
-    /** The last entry that was applied. */
+    /** The sequence number of the last entry that was applied. */
     private long sequence;
 
     private boolean inconsistent;
@@ -39,7 +40,7 @@
         inconsistent = false;
     }
 
-    /** Takes the snapshots of a listing and the entries that follow them. */
+    /** Loads the snapshot from a listing, then applies the listed entries that follow it. */
     void load(SnapshotListing listing, TreeMap<Long, WorkLog.Entry> entries) {
         snapshot = listing.index();
         inconsistent = listing.isInconsistent();
@@ -47,24 +48,25 @@
         listing.forEachPart(jobs::applyFinished);
         listedSnapshot = snapshot.copy();
         listedUpTo = snapshot.newest();
-        // Pages of a listing are of different moments: behind the first gap are entries that the watch brings again.
-        sequence = snapshot.oldest().number();
+        // Pages of a listing are read at different revisions, so entries may be missing. The watch
+        // delivers the entries after the first gap again.
+        sequence = snapshot.oldest().sequence();
         apply(entries);
     }
 
-    /** Applies the entries that a watch brought; one that doesn't follow the last one makes the replica inconsistent. */
+    /** Applies entries from a watch. A gap in their sequence makes the replica inconsistent. */
     void advance(TreeMap<Long, WorkLog.Entry> entries) {
         apply(entries);
         inconsistent |= !entries.isEmpty() && entries.lastKey() > sequence;
     }
 
-    /** Whether entries or pages of a snapshot are missing: only a new listing helps. */
+    /** Returns whether entries or snapshot pages are missing, so that a new listing is required. */
     boolean isInconsistent() {
         return inconsistent;
     }
 
-    /** Takes note of the key of an entry, and adds the entry to those that are to be applied unless it was deleted. */
-    void noteEntry(KeyChange change, TreeMap<Long, WorkLog.Entry> entries) {
+    /** Records the key of an entry, and adds the entry to those to apply. For a deleted key, removes the key. */
+    void trackEntry(KeyChange change, TreeMap<Long, WorkLog.Entry> entries) {
         if (change.value() == null) {
             ringBuffer.remove(change.key());
         } else {
@@ -72,23 +74,26 @@
         }
     }
 
-    /** Adds an entry to those that are to be applied; returns its number. */
+    /** Adds an entry to those to apply, and returns its sequence number. */
     static long addEntry(KeyChange change, TreeMap<Long, WorkLog.Entry> entries) {
         WorkLog.Entry entry = LogCodec.decodeEntry(change.value());
-        entries.put(entry.number(), entry);
-        return entry.number();
+        entries.put(entry.sequence(), entry);
+        return entry.sequence();
     }
 
-    /** Takes note of a snapshot page. Its content has been applied already; its number matters for the next compaction. */
-    void noteSnapshot(KeyChange change) {
+    /**
+     * Records that a snapshot page was stored or deleted. Its contents have already been applied; its sequence number
+     * determines the next compaction.
+     */
+    void trackSnapshotPage(KeyChange change) {
         if (change.value() != null) {
-            snapshot.put(change.key(), LogCodec.numberOf(change.value()));
+            snapshot.put(change.key(), LogCodec.sequenceOf(change.value()));
         } else {
             snapshot.remove(change.key());
         }
     }
 
-    /** Applies the entries that follow the last one without a gap. */
+    /** Applies the entries that follow the last applied entry without a gap. */
     private void apply(TreeMap<Long, WorkLog.Entry> entries) {
         Map.Entry<Long, WorkLog.Entry> next = entries.higherEntry(sequence);
         while (next != null && next.getValue().before() == sequence) {
@@ -97,7 +102,10 @@
         }
     }
 
-    /** Snapshots listed later than the entries may be ahead of them: what these hold is newer than such an entry. */
+    /**
+     * Applies an entry, except to machines and finished sets whose listed snapshot region already contains it. Snapshot
+     * pages are listed after the entries, so that a page may be newer than an entry.
+     */
     private void apply(WorkLog.Entry entry) {
         entry.machines().forEach((id, delta) -> {
             if (isNewer(entry, Bucket.hashOfMachine(id))) {
@@ -109,54 +117,61 @@
                 jobs.applyFinished(part, finished);
             }
         });
-        sequence = entry.number();
+        sequence = entry.sequence();
     }
 
     private boolean isNewer(WorkLog.Entry entry, int hash) {
-        return entry.number() > listedUpTo
-                || entry.number() > listedSnapshot.regionOf(hash).number();
+        return entry.sequence() > listedUpTo
+                || entry.sequence() > listedSnapshot.regionOf(hash).sequence();
     }
 
-    /** Number of the last entry that was applied. */
+    /** Returns the sequence number of the last entry that was applied. */
     long sequence() {
         return sequence;
     }
 
-    /** How the snapshot is stored. */
+    /** Returns the index of the stored snapshot buckets. */
     SnapshotIndex snapshot() {
         return snapshot;
     }
 
-    /** The region of the snapshot that the next transaction should compact, or null. */
+    /** Returns the snapshot region that the next transaction should compact, or null if no compaction is due. */
     SnapshotIndex.Region compactionDue() {
         SnapshotIndex.Region oldest = snapshot.oldest();
-        boolean due = WorkLog.isDue(oldest.number(), sequence, snapshot.regionCount())
+        boolean due = WorkLog.isCompactionDue(oldest.sequence(), sequence, snapshot.regionCount())
                 || isFull()
-                || cluster.inFirstVersion() && ringBuffer.newestBeyondFirstLayout() > oldest.number();
+                || cluster.inFirstVersion() && ringBuffer.newestBeyondFirstLayout() > oldest.sequence();
         return due ? oldest : null;
     }
 
-    /** Whether a region has to be compacted before the next entry may be written. */
+    /** Returns whether a region has to be compacted before the next entry may be written. */
     boolean isFull() {
-        long complete = snapshot.oldest().number();
+        long complete = snapshot.oldest().sequence();
         return cluster.inFirstVersion()
                 ? ringBuffer.holdsNewerThan(complete, LogRingBuffer.firstLayoutKey(sequence + 1))
                 : ringBuffer.isFull(capacity(), complete);
     }
 
-    /** Keys of the ring buffer that the first layout doesn't use and that are no longer needed; in the first version. */
+    /**
+     * Returns the ring buffer keys to delete while the first version is active: those that the first layout doesn't use and
+     * whose entries are in the snapshot.
+     */
     List<String> keysToDelete() {
         return cluster.inFirstVersion()
-                ? ringBuffer.beyondFirstLayout(snapshot.oldest().number())
+                ? ringBuffer.compactedKeysBeyondFirstLayout(snapshot.oldest().sequence())
                 : List.of();
     }
 
-    /** Whether everything is stored as the active version says: else the leader is still converting it. */
+    /** Returns whether all records are stored in the active version; if not, the leader is still converting them. */
     boolean isConverted() {
         return !cluster.inFirstVersion() || !snapshot.isSplit() && ringBuffer.newestBeyondFirstLayout() == 0;
     }
 
-    /** Whether some shard takes more than so many pages of the first layout. */
+    /**
+     * Returns whether any shard needs more than {@code pages} pages of the first layout.
+     *
+     * @param valueBytes the maximum size of a stored value, in bytes
+     */
     boolean hasOutgrownFirstLayout(int valueBytes, int pages) {
         long[] bytesOfShard = new long[WorkLog.SHARDS];
         machines.addBytes(bytesOfShard);
@@ -164,26 +179,26 @@
         return LongStream.of(bytesOfShard).max().orElse(0) > (long) pages * LogWriter.pageBytes(valueBytes);
     }
 
-    /** The key of the last entry, or null when there is none. */
+    /** Returns the key of the last applied entry, or null if no such key is stored. */
     String lastEntryKey() {
         return ringBuffer.keyOf(sequence);
     }
 
-    /** The key that the next entry goes under. */
+    /** Returns the key under which the next entry is written. */
     String nextEntryKey() {
-        return cluster.inFirstVersion() ? LogRingBuffer.firstLayoutKey(sequence + 1) : ringBuffer.next(capacity());
+        return cluster.inFirstVersion() ? LogRingBuffer.firstLayoutKey(sequence + 1) : ringBuffer.nextKey(capacity());
     }
 
     private int capacity() {
         return WorkLog.capacity(snapshot.regionCount());
     }
 
-    /** The layout that a controller has to know to read what is stored. */
+    /** Returns the layout version that a controller must support to read the stored work log. */
     int layout() {
         return snapshot.isSplit() ? Layouts.SPLIT_SNAPSHOT : Layouts.FIRST;
     }
 
-    /** The content of a bucket of the snapshot as of the last entry, without finished sets of jobs that are terminal. */
+    /** Returns the contents of a snapshot bucket as of the last applied entry, without finished sets of terminal jobs. */
     WorkLog.Contents contents(Bucket bucket) {
         WorkLog.Contents contents = new WorkLog.Contents(sequence, new LinkedHashMap<>(), new LinkedHashMap<>());
         machines.addRecordsOf(bucket, contents.machines());
--- a/src/main/java/garnetscale/core/state/LogRingBuffer.java
+++ b/src/main/java/garnetscale/core/state/LogRingBuffer.java
@@ -6,73 +6,73 @@
 import java.util.TreeMap;
 
 /**
- * The keys under which the entries of the work log are stored. Each entry is written over the oldest one, which the snapshot
- * contains by then. The larger the snapshot, the longer it takes until every region is compacted, and the more keys there are.
+ * The ring buffer of keys under which the entries of the work log are stored. Each new entry overwrites the oldest one, which
+ * the snapshot must already contain. A larger snapshot takes longer to compact completely and needs more keys.
  */
 final class LogRingBuffer {
 
-    private final TreeMap<Long, String> keyOfNumber = new TreeMap<>();
-    private final Map<String, Long> numberOfKey = new HashMap<>();
-    /** How many keys the first layout doesn't use. */
-    private int beyondFirstLayout;
+    private final TreeMap<Long, String> keyOfSequence = new TreeMap<>();
+    private final Map<String, Long> sequenceOfKey = new HashMap<>();
+    /** Number of stored keys that the first layout doesn't use. */
+    private int keysBeyondFirstLayout;
 
-    /** An entry was stored under a key. */
-    void put(String key, long number) {
-        Long before = numberOfKey.put(key, number);
+    /** Records that an entry was stored under a key. */
+    void put(String key, long sequence) {
+        Long before = sequenceOfKey.put(key, sequence);
         if (before != null) {
-            keyOfNumber.remove(before);
+            keyOfSequence.remove(before);
         } else if (isBeyondFirstLayout(key)) {
-            beyondFirstLayout++;
+            keysBeyondFirstLayout++;
         }
-        keyOfNumber.put(number, key);
+        keyOfSequence.put(sequence, key);
     }
 
-    /** The entry under a key was deleted. */
+    /** Records that a key was deleted. */
     void remove(String key) {
-        Long before = numberOfKey.remove(key);
+        Long before = sequenceOfKey.remove(key);
         if (before == null) {
             return;
         }
-        keyOfNumber.remove(before);
+        keyOfSequence.remove(before);
         if (isBeyondFirstLayout(key)) {
-            beyondFirstLayout--;
+            keysBeyondFirstLayout--;
         }
     }
 
-    /** The key of the entry with this number, or null. */
-    String keyOf(long number) {
-        return keyOfNumber.get(number);
+    /** Returns the key of the entry with this sequence number, or null if it isn't stored. */
+    String keyOf(long sequence) {
+        return keyOfSequence.get(sequence);
     }
 
-    /** The key that the next entry is to be written under, in a ring buffer of that capacity. */
-    String next(int capacity) {
-        if (keyOfNumber.size() >= capacity) {
-            return keyOfNumber.firstEntry().getValue();
+    /** Returns the key under which to write the next entry if the ring buffer holds {@code capacity} entries. */
+    String nextKey(int capacity) {
+        if (keyOfSequence.size() >= capacity) {
+            return keyOfSequence.firstEntry().getValue();
         }
-        int position = keyOfNumber.size();
-        while (numberOfKey.containsKey(keyAt(position))) {
+        int position = keyOfSequence.size();
+        while (sequenceOfKey.containsKey(keyAt(position))) {
             position++;
         }
         return keyAt(position);
     }
 
-    /** The key that the first layout puts an entry under. */
-    static String firstLayoutKey(long number) {
-        return Keys.LOG + Math.floorMod(number, (long) WorkLog.FIRST_CAPACITY);
+    /** Returns the key under which the first layout stores an entry. */
+    static String firstLayoutKey(long sequence) {
+        return Keys.LOG + Math.floorMod(sequence, (long) WorkLog.FIRST_CAPACITY);
     }
 
-    /** Whether the key holds an entry that comes after the given one. */
-    boolean holdsNewerThan(long number, String key) {
-        return numberOfKey.getOrDefault(key, 0L) > number;
+    /** Returns whether the key holds an entry with a sequence number above {@code sequence}. */
+    boolean holdsNewerThan(long sequence, String key) {
+        return sequenceOfKey.getOrDefault(key, 0L) > sequence;
     }
 
-    /** The newest entry under a key that the first layout doesn't use, or 0. */
+    /** Returns the highest sequence number under a key that the first layout doesn't use, or 0 if there is none. */
     long newestBeyondFirstLayout() {
-        if (beyondFirstLayout == 0) {
+        if (keysBeyondFirstLayout == 0) {
             return 0;
         }
         long newest = 0;
-        for (Map.Entry<String, Long> entry : numberOfKey.entrySet()) {
+        for (Map.Entry<String, Long> entry : sequenceOfKey.entrySet()) {
             if (isBeyondFirstLayout(entry.getKey())) {
                 newest = Math.max(newest, entry.getValue());
             }
@@ -80,13 +80,13 @@
         return newest;
     }
 
-    /** Keys that the first layout doesn't use and whose entries don't go beyond the given one. */
-    List<String> beyondFirstLayout(long number) {
-        if (beyondFirstLayout == 0) {
+    /** Returns the keys that the first layout doesn't use and whose entries have sequence numbers up to {@code sequence}. */
+    List<String> compactedKeysBeyondFirstLayout(long sequence) {
+        if (keysBeyondFirstLayout == 0) {
             return List.of();
         }
-        return numberOfKey.entrySet().stream()
-                .filter(entry -> entry.getValue() <= number && isBeyondFirstLayout(entry.getKey()))
+        return sequenceOfKey.entrySet().stream()
+                .filter(entry -> entry.getValue() <= sequence && isBeyondFirstLayout(entry.getKey()))
                 .map(Map.Entry::getKey)
                 .sorted()
                 .toList();
@@ -96,12 +96,12 @@
         return Integer.parseInt(key.substring(Keys.LOG.length())) >= WorkLog.FIRST_CAPACITY;
     }
 
-    /** Whether the next entry would overwrite one that the snapshot, complete up to {@code number}, may not contain. */
-    boolean isFull(int capacity, long number) {
-        return keyOfNumber.size() >= capacity && keyOfNumber.firstKey() > number;
+    /** Returns whether the next entry would overwrite one that a snapshot complete up to {@code sequence} may not contain. */
+    boolean isFull(int capacity, long sequence) {
+        return keyOfSequence.size() >= capacity && keyOfSequence.firstKey() > sequence;
     }
 
-    /** While the ring buffer has its first size, the keys are used in the order in which the first layout uses them. */
+    /** Returns the key at a position. Up to the capacity of the first layout, keys are used in the first layout's order. */
     private static String keyAt(int position) {
         return position < WorkLog.FIRST_CAPACITY ? firstLayoutKey(position + 1) : Keys.LOG + position;
     }
--- a/src/main/java/garnetscale/core/state/LogSizes.java
+++ b/src/main/java/garnetscale/core/state/LogSizes.java
@@ -8,18 +8,18 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Upper bounds of the bytes that parts of the work log take, counted in JSON as the protocol counts them. */
+/** Upper bounds of the sizes of work log elements, in bytes of JSON, which is how the protocol counts them. */
 final class LogSizes {
 
-    /** A placement's row beside the id of its job. */
-    private static final int PLACEMENT_ROW = 52;
-    /** A machine's row beside its id, its zone and what is in it. */
-    private static final int MACHINE_ROW = 50;
-    /** An image's row beside its name. */
-    private static final int IMAGE_ROW = 28;
-    /** A part of a finished set beside its name and its bits. */
-    private static final int PART_ROW = 16;
-    /** Tasks of a finished set that one character of Base64 stands for. */
+    /** Size of a placement without the id of its job. */
+    private static final int PLACEMENT_OVERHEAD_BYTES = 52;
+    /** Size of a machine without its id, zone, placements and images. */
+    private static final int MACHINE_OVERHEAD_BYTES = 50;
+    /** Size of an image without its name. */
+    private static final int IMAGE_OVERHEAD_BYTES = 28;
+    /** Size of a part of a finished set without its name and bits. */
+    private static final int PART_OVERHEAD_BYTES = 16;
+    /** Tasks of a finished set per Base64 character. */
     private static final int TASKS_PER_CHARACTER = 6;
 
     private LogSizes() {}
@@ -33,16 +33,16 @@
     }
 
     /**
-     * A machine without placements and images.
+     * Returns the size of a machine without placements and images.
      *
-     * @param zone null when its record is removed
+     * @param zone the machine's zone, or null if its record is removed
      */
     static int emptyMachine(String id, String zone) {
-        return id.length() + MACHINE_ROW + (zone == null ? 0 : zone.length());
+        return id.length() + MACHINE_OVERHEAD_BYTES + (zone == null ? 0 : zone.length());
     }
 
     static int placement(String job) {
-        return job.length() + PLACEMENT_ROW;
+        return job.length() + PLACEMENT_OVERHEAD_BYTES;
     }
 
     static int images(Set<String> names) {
@@ -54,15 +54,15 @@
     }
 
     static int image(String name) {
-        return text(name) + IMAGE_ROW;
+        return text(name) + IMAGE_OVERHEAD_BYTES;
     }
 
-    /** A part of the finished set of a job with so many tasks. */
+    /** Returns the size of a part of the finished set of a job with {@code tasks} tasks. */
     static int part(String part, int tasks) {
-        return part.length() + Math.min(WorkLog.TASKS_PER_PART, tasks) / TASKS_PER_CHARACTER + PART_ROW;
+        return part.length() + Math.min(WorkLog.TASKS_PER_PART, tasks) / TASKS_PER_CHARACTER + PART_OVERHEAD_BYTES;
     }
 
-    /** A text with its quotation marks. */
+    /** Returns the size of a string with its quotation marks. */
     static int text(String text) {
         int bytes = 2;
         for (int i = 0; i < text.length(); i++) {
@@ -72,7 +72,7 @@
         return bytes;
     }
 
-    /** Splits the contents of a bucket into pages that each fit into a value; at least one. */
+    /** Splits the contents of a bucket into one or more pages, each at most {@code pageBytes} long unless it has one record. */
     static List<WorkLog.Contents> pages(WorkLog.Contents bucket, int pageBytes) {
         List<WorkLog.Contents> pages = new ArrayList<>();
         WorkLog.Contents page = emptyPage(bucket);
@@ -102,6 +102,6 @@
     }
 
     private static WorkLog.Contents emptyPage(WorkLog.Contents bucket) {
-        return new WorkLog.Contents(bucket.number(), new LinkedHashMap<>(), new LinkedHashMap<>());
+        return new WorkLog.Contents(bucket.sequence(), new LinkedHashMap<>(), new LinkedHashMap<>());
     }
 }
--- a/src/main/java/garnetscale/core/state/LogWriter.java
+++ b/src/main/java/garnetscale/core/state/LogWriter.java
@@ -6,27 +6,28 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Writes the work log's part of one transaction: its entry, and the compaction of a region when one is due. */
+/** Adds the work log's operations to one transaction: the next entry, and the compaction of a region if one is due. */
 public final class LogWriter {
 
     /**
-     * What a transaction of the leader may hold.
+     * Limits of a leader's transaction.
      *
-     * @param valueBytes bytes of one value
-     * @param ops        puts and deletes
-     * @param layout     the layout that may be written
-     * @param forcesSplit  whether a shard has to be split in any case, so that controllers of the first layout stay out
+     * @param valueBytes  maximum size of one value, in bytes
+     * @param ops         maximum number of puts and deletes
+     * @param layout      the layout version to write
+     * @param forcesSplit whether to split a shard even if its contents fit, so that controllers that support only the first
+     *                    layout stay inactive
      */
     public record Limits(int valueBytes, int ops, int layout, boolean forcesSplit) {}
 
-    /** What a transaction may hold in all. */
+    /** Maximum size of a transaction. */
     static final int TRANSACTION_BYTES = 64 * 1024;
-    /** What is left of it for guards and the records of terminal jobs. */
+    /** Part of a transaction that is reserved for guards and the records of terminal jobs. */
     static final int RESERVED_BYTES = 14 * 1024;
 
-    /** An attempt that is freed or stopped. */
+    /** Size of an attempt that is freed or stopped. */
     private static final int ATTEMPT_BYTES = 28;
-    /** The images of a machine, which a placement may change, and a part of a finished set, which an exit may. */
+    /** Margin for the images of a machine, which a placement may change, and a part of a finished set, which an exit may. */
     private static final int MARGIN_BYTES = 1024;
 
     private final StateReplica replica;
@@ -35,21 +36,21 @@
     private int bytesLeft;
 
     /**
-     * A writer that never splits a region.
+     * Creates a writer of the first layout, which never splits a region.
      *
-     * @param valueBytes the most bytes that a value may have
+     * @param valueBytes maximum size of one value, in bytes
      */
     public LogWriter(StateReplica replica, int valueBytes) {
         this(replica, new Limits(valueBytes, Integer.MAX_VALUE, Layouts.FIRST, false));
     }
 
-    /** A writer of the entry after the last one that the replica knows. */
+    /** Creates a writer of the entry that follows the last one in the replica. */
     public LogWriter(StateReplica replica, Limits limits) {
         this.replica = replica;
         this.log = replica.log();
         this.compaction = new Compaction(log, limits);
         int pageBytes = pageBytes(limits.valueBytes());
-        // A shard that is larger than usual leaves less for the entry, or nothing at all this time.
+        // Compacting a larger shard leaves less room for the entry, or none.
         this.bytesLeft = log.isFull()
                 ? 0
                 : Math.min(
@@ -57,57 +58,57 @@
                         TRANSACTION_BYTES - RESERVED_BYTES - compaction.puts().size() * pageBytes);
     }
 
-    /** What a page of a snapshot may take, by the largest value that is allowed. */
+    /** Returns the maximum size of a snapshot page in bytes, given the maximum size of a value. */
     static int pageBytes(int valueBytes) {
         return Math.min(valueBytes, TRANSACTION_BYTES / 4) * 15 / 16;
     }
 
-    /** How many puts and deletes it adds to the transaction by itself. */
+    /** Returns the number of puts and deletes that {@link #write} adds to the transaction. */
     public int ops() {
         return 1 + compaction.puts().size() + compaction.deletes().size();
     }
 
-    /** Whether it compacts anything, so that the transaction is worth sending without an entry. */
+    /** Returns whether a compaction is due, so that the transaction is worth sending even without an entry. */
     public boolean compacts() {
         return !compaction.puts().isEmpty() || !compaction.deletes().isEmpty();
     }
 
-    /** Whether so many bytes, and what a change of a machine usually brings, fit into the entry. */
+    /** Returns whether this many bytes fit into the entry, with a margin for images and a part of a finished set. */
     public boolean fits(int bytes) {
         return bytes + MARGIN_BYTES <= bytesLeft;
     }
 
-    /** Takes so many bytes of the entry. */
+    /** Reserves this many bytes of the entry. */
     public void reserve(int bytes) {
         bytesLeft -= bytes;
     }
 
-    /** Bytes of a machine's change by itself. */
+    /** Returns the size in bytes of a machine's change without attempts and images. */
     public int sizeOfMachine(String machine, String zone) {
         return LogSizes.emptyMachine(machine, zone);
     }
 
-    /** Bytes of an attempt that is freed or stopped. */
+    /** Returns the size in bytes of an attempt that is freed or stopped. */
     public static int sizeOfAttempt() {
         return ATTEMPT_BYTES;
     }
 
-    /** Bytes of a placement on a machine that has these images; with a new image all of them are written. */
+    /** Returns the size in bytes of a placement on a machine with these images; a new image causes all to be written. */
     public static int sizeOfPlacement(JobSpec job, Set<String> images) {
         return LogSizes.placement(job.id())
                 + (images.contains(job.image()) ? 0 : LogSizes.images(images) + LogSizes.image(job.image()));
     }
 
-    /** Bytes of a part of the finished set of a job with so many tasks. */
+    /** Returns the maximum size in bytes of a part of the finished set of a job with {@code tasks} tasks. */
     public static int sizeOfPart(String part, int tasks) {
         return LogSizes.part(part, tasks);
     }
 
     /**
-     * Adds the entry, if it changes anything, and the compaction, if one is due.
+     * Adds the entry, if it changes any machine or is needed for the first split, and the compaction, if one is due.
      *
-     * @param machines records as they are to be, by machine
-     * @param parts    new parts of finished sets, by name
+     * @param machines new machine records, by machine; {@link MachineRecord#NONE} removes a record
+     * @param parts    new parts of finished sets, by {@link WorkLog#partOf name}
      */
     public void write(Transaction transaction, Map<String, MachineRecord> machines, Map<String, BitSet> parts) {
         String last = log.lastEntryKey();
@@ -116,10 +117,10 @@
         }
         String key = log.nextEntryKey();
         transaction.guard(key, replica.modRevision(key));
-        if (!machines.isEmpty() || compaction.splitsFirst()) {
+        if (!machines.isEmpty() || compaction.isFirstSplit()) {
             if (log.isFull()) {
-                throw new IllegalStateException("no entry may be written under " + key
-                        + ": the snapshot doesn't contain the entry that is stored there");
+                throw new IllegalStateException("log is full: entry " + (log.sequence() + 1)
+                        + " would overwrite the entry under " + key + ", which isn't in the snapshot yet");
             }
             transaction.put(key, LogCodec.encodeEntry(entry(machines, parts)));
         }
@@ -128,13 +129,13 @@
     }
 
     /**
-     * The next entry. With the first split a number is left out: a controller that follows the log by layout 1 misses the
-     * entry of that number, lists the store again, and finds it inconsistent by what it knows.
+     * Builds the next entry. The first split skips a sequence number: a controller that supports only layout 1 finds the
+     * entry with that number missing, lists the store again, and finds the listing inconsistent by the rules of layout 1.
      */
     private WorkLog.Entry entry(Map<String, MachineRecord> machines, Map<String, BitSet> parts) {
         long before = log.sequence();
         Map<String, Delta> changes = new LinkedHashMap<>();
         machines.forEach((id, machine) -> changes.put(id, Delta.between(replica.machine(id), machine)));
-        return new WorkLog.Entry(compaction.splitsFirst() ? before + 2 : before + 1, before, changes, parts);
+        return new WorkLog.Entry(compaction.isFirstSplit() ? before + 2 : before + 1, before, changes, parts);
     }
 }
--- a/src/main/java/garnetscale/core/state/MachineRecord.java
+++ b/src/main/java/garnetscale/core/state/MachineRecord.java
@@ -5,15 +5,16 @@
 import java.util.Map;
 
 /**
- * What is stored of a machine.
+ * The stored record of a machine.
  *
  * @param zone       its zone, by which a new owner of its partition finds it even if it no longer sends heartbeats; null for
  *                   {@link #NONE}
- * @param placements attempts that may run on it
- * @param images     images in its cache with their sizes in GB, the latest used last, so that no failover loses them
+ * @param placements attempts that may be running on it
+ * @param images     images in its cache with their sizes in GB, the most recently used last; stored so that a failover
+ *                   doesn't lose them
  */
 public record MachineRecord(String zone, List<Placement> placements, Map<String, Double> images) {
 
-    /** A machine that has no record. */
+    /** Stands for a machine that has no record. */
     public static final MachineRecord NONE = new MachineRecord(null, List.of(), Map.of());
 }
--- a/src/main/java/garnetscale/core/state/MachineRecords.java
+++ b/src/main/java/garnetscale/core/state/MachineRecords.java
@@ -6,35 +6,35 @@
 import java.util.Map;
 import java.util.Set;
 
-/** The replica's machine records. Whatever they place is also kept in the progress of the jobs' tasks. */
+/** The replica's machine records. Their placements are also tracked in the task progress of the jobs. */
 final class MachineRecords {
 
     private final JobViews jobs;
     private final Map<String, MachineRecord> machines = new LinkedHashMap<>();
-    /** Machines whose record changed since these were last taken. */
+    /** Machines whose records changed since the last {@link #takeChanged}. */
     private Set<String> changed = new HashSet<>();
 
     MachineRecords(JobViews jobs) {
         this.jobs = jobs;
     }
 
-    /** Removes all records, each of which counts as a change; the jobs are cleared separately. */
+    /** Removes all records and marks their machines as changed. The jobs are cleared separately. */
     void clear() {
         changed.addAll(machines.keySet());
         machines.clear();
     }
 
-    /** The record of a machine, {@link MachineRecord#NONE} when it has none. */
+    /** Returns the record of a machine, or {@link MachineRecord#NONE} if it has none. */
     MachineRecord get(String id) {
         return machines.getOrDefault(id, MachineRecord.NONE);
     }
 
-    /** Machines that have a record, with or without placements. */
+    /** Returns the machines that have a record, with or without placements. */
     Set<String> ids() {
         return machines.keySet();
     }
 
-    /** Machines whose records changed since the last call. */
+    /** Returns the machines whose records changed since the last call. */
     Set<String> takeChanged() {
         Set<String> taken = changed;
         changed = new HashSet<>();
@@ -64,7 +64,7 @@
         });
     }
 
-    /** Adds the bytes that records take at the most, for each shard. */
+    /** Adds the maximum size in bytes of each shard's records. */
     void addBytes(long[] bytesOfShard) {
         machines.forEach((id, machine) ->
                 bytesOfShard[Bucket.shardOf(Bucket.hashOfMachine(id))] += LogSizes.machine(id, machine));
--- a/src/main/java/garnetscale/core/state/Records.java
+++ b/src/main/java/garnetscale/core/state/Records.java
@@ -16,8 +16,9 @@
 import java.util.Map;
 
 /**
- * The stored form of jobs and of the cluster's plain records: maps with short field names, since every byte is sent to every
- * controller. A value that can't be decoded raises a runtime exception, see {@link StoredFields}.
+ * Encodes and decodes the stored form of jobs and of the records in {@link ClusterState}: maps with short field names,
+ * because every byte is sent to every controller. Decoding an invalid value throws a runtime exception, see
+ * {@link StoredFields}.
  *
  * @see LogCodec the stored form of the work log
  */
@@ -25,7 +26,7 @@
 
     private Records() {}
 
-    /** The value of a job; fields that are null are left out. */
+    /** Returns the stored value of a job; null fields are omitted. */
     public static Map<String, Object> job(JobRecord job) {
         JobSpec spec = job.spec();
         Map<String, Object> fields = new LinkedHashMap<>();
@@ -53,7 +54,7 @@
         return fields;
     }
 
-    /** The job of a stored value. */
+    /** Decodes a job. */
     public static JobRecord job(String id, Object value) {
         Map<?, ?> fields = (Map<?, ?>) value;
         List<String> types = fields.get("types") instanceof List<?> list ? StoredFields.texts(list) : null;
@@ -81,20 +82,22 @@
     }
 
     /**
-     * What is kept of a terminal job for good.
+     * The record of a terminal job, which is kept permanently.
      *
-     * @param tasks    how many tasks it had
-     * @param finished how many of them finished
+     * @param state    its terminal state
+     * @param tasks    its number of tasks
+     * @param finished its number of finished tasks
+     * @param team     the team that it belongs to
      */
     public record TerminalJob(JobState state, int tasks, int finished, String team) {}
 
-    /** The value of a terminal job. */
+    /** Returns the stored value of a terminal job. */
     public static Map<String, Object> terminalJob(TerminalJob terminal) {
         return Map.of(
                 "s", terminal.state().name(), "n", terminal.tasks(), "f", terminal.finished(), "team", terminal.team());
     }
 
-    /** The terminal job of a stored value. */
+    /** Decodes a terminal job. */
     public static TerminalJob terminalJob(Object value) {
         Map<?, ?> fields = (Map<?, ?>) value;
         return new TerminalJob(
@@ -104,7 +107,7 @@
                 StoredFields.text(fields, "team"));
     }
 
-    /** The value of a partition's lease. */
+    /** Returns the stored value of a partition's lease. */
     public static Map<String, Object> partition(PartitionLease lease) {
         return Map.of("h", lease.owner(), "i", lease.incarnation(), "t", lease.term());
     }
@@ -115,7 +118,7 @@
                 StoredFields.text(fields, "h"), StoredFields.whole(fields, "i"), StoredFields.whole(fields, "t"));
     }
 
-    /** The value of a live controller; its name is in the key. */
+    /** Returns the stored value of a live controller; its name is in the key. */
     public static Map<String, Object> controller(ControllerInfo controller) {
         return Map.of(
                 "i",
@@ -130,14 +133,14 @@
 
     static ControllerInfo controller(String name, Object value) {
         Map<?, ?> fields = (Map<?, ?>) value;
-        // A controller from before there were versions publishes none.
+        // Controllers older than layout versions publish no range.
         VersionRange layouts = fields.containsKey("l")
                 ? new VersionRange((int) StoredFields.whole(fields, "o"), (int) StoredFields.whole(fields, "l"))
                 : VersionRange.FIRST;
         return new ControllerInfo(name, StoredFields.whole(fields, "i"), StoredFields.text(fields, "z"), layouts);
     }
 
-    /** The value of the leader's key. */
+    /** Returns the stored value of the leader. */
     public static Map<String, Object> leader(LeaderInfo leader) {
         return Map.of("h", leader.node(), "i", leader.incarnation(), "t", leader.term());
     }
@@ -148,7 +151,7 @@
                 StoredFields.text(fields, "h"), StoredFields.whole(fields, "i"), StoredFields.whole(fields, "t"));
     }
 
-    /** The value of the active version's key. */
+    /** Returns the stored value of the active version. */
     public static Map<String, Object> version(ClusterVersion version) {
         return Map.of("v", version.active(), "f", version.floor());
     }
@@ -158,7 +161,7 @@
         return new ClusterVersion((int) StoredFields.whole(fields, "v"), (int) StoredFields.whole(fields, "f"));
     }
 
-    /** The value of the term counter's key. */
+    /** Returns the stored value of the term counter. */
     public static Map<String, Object> term(long term) {
         return Map.of("t", term);
     }
@@ -167,7 +170,7 @@
         return StoredFields.whole((Map<?, ?>) value, "t");
     }
 
-    /** The value of the machine types' key. */
+    /** Returns the stored value of the machine types. */
     public static Map<String, Object> types(List<MachineType> types) {
         List<Object> rows = new ArrayList<>();
         for (MachineType type : types) {
--- a/src/main/java/garnetscale/core/state/SnapshotIndex.java
+++ b/src/main/java/garnetscale/core/state/SnapshotIndex.java
@@ -5,31 +5,33 @@
 import java.util.TreeMap;
 
 /**
- * Which buckets of the snapshot are stored, and the last entry that each contains. A bucket may have been split and only some
- * of its parts written so far, since all of them need not fit into one transaction; the rest is still read from the larger
- * bucket. So the snapshot is seen as regions, each of which is stored in a bucket that is the region itself or contains it.
+ * Index of the stored snapshot buckets, with the last entry that each contains. The parts of a split bucket may not all fit
+ * into one transaction. Until all are written, the others are still read from the larger bucket. The index therefore divides
+ * the snapshot into regions, each of which is stored in a bucket that equals or contains the region.
  */
 final class SnapshotIndex {
 
     /**
      * A part of the snapshot that is compacted as a whole.
      *
-     * @param stored the bucket that holds it, or null when nothing of it is stored yet
-     * @param number the last entry of the work log that it contains, 0 when nothing is stored
+     * @param bucket   the machines and finished sets in the region
+     * @param source   the stored bucket that contains the region, or null if none of it is stored yet
+     * @param sequence the sequence number of the last entry that the region contains, 0 if none of it is stored
      */
-    record Region(Bucket bucket, Bucket stored, long number) {}
+    record Region(Bucket bucket, Bucket source, long sequence) {}
 
     /**
      * A stored bucket.
      *
-     * @param number the last entry that it contains
-     * @param pages  how many pages it has, more than one only for a root in layout 1
+     * @param sequence the sequence number of the last entry that it contains
+     * @param pages    its number of pages, more than 1 only for a root in layout 1
      */
-    private record StoredBucket(long number, int pages) {}
+    private record StoredBucket(long sequence, int pages) {}
 
     private final List<TreeMap<Bucket, StoredBucket>> stored = new ArrayList<>();
     private final List<List<Region>> regions = new ArrayList<>();
     private int regionCount = WorkLog.SHARDS;
+    /** The cached result of {@link #oldest()}, null if regions have changed since. */
     private Region oldest;
 
     SnapshotIndex() {
@@ -39,7 +41,7 @@
         }
     }
 
-    /** A copy that later changes leave as it is. */
+    /** Returns a copy that isn't affected by later changes. */
     SnapshotIndex copy() {
         SnapshotIndex copy = new SnapshotIndex();
         for (int shard = 0; shard < stored.size(); shard++) {
@@ -50,25 +52,25 @@
         return copy;
     }
 
-    /** The bucket that a key of the snapshot belongs to. */
+    /** Returns the bucket that a snapshot key belongs to. */
     static Bucket bucketOf(String key) {
         return Bucket.ofPage(shardOf(key), pageOf(key));
     }
 
-    /** A page of the snapshot was stored. */
-    void put(String key, long number) {
+    /** Adds a stored snapshot page that contains the entries up to {@code sequence}. */
+    void put(String key, long sequence) {
         Bucket bucket = bucketOf(key);
         int pages = bucket.isRoot() ? pageOf(key) + 1 : 1;
         stored.get(bucket.shard())
                 .merge(
                         bucket,
-                        new StoredBucket(number, pages),
+                        new StoredBucket(sequence, pages),
                         (old, added) -> new StoredBucket(
-                                Math.max(old.number(), added.number()), Math.max(old.pages(), added.pages())));
+                                Math.max(old.sequence(), added.sequence()), Math.max(old.pages(), added.pages())));
         deriveRegions(bucket.shard());
     }
 
-    /** A page of the snapshot was deleted. */
+    /** Removes a deleted snapshot page. */
     void remove(String key) {
         Bucket bucket = bucketOf(key);
         TreeMap<Bucket, StoredBucket> shard = stored.get(bucket.shard());
@@ -77,18 +79,18 @@
         if (old != null && left == 0) {
             shard.remove(bucket);
         } else if (old != null) {
-            shard.put(bucket, new StoredBucket(old.number(), Math.min(old.pages(), left)));
+            shard.put(bucket, new StoredBucket(old.sequence(), Math.min(old.pages(), left)));
         }
         deriveRegions(bucket.shard());
     }
 
-    /** How many pages the stored bucket has. */
+    /** Returns the number of stored pages of a bucket, 0 if it isn't stored. */
     int pages(Bucket bucket) {
         StoredBucket here = stored.get(bucket.shard()).get(bucket);
         return here == null ? 0 : here.pages();
     }
 
-    /** Whether some shard is split, as only layout 2 allows. */
+    /** Returns whether any shard is split, which only layout 2 allows. */
     boolean isSplit() {
         for (TreeMap<Bucket, StoredBucket> shard : stored) {
             if (!shard.isEmpty() && !shard.lastKey().isRoot()) {
@@ -98,7 +100,7 @@
         return false;
     }
 
-    /** The first shard that is split; there must be one. */
+    /** Returns the lowest-numbered shard that is split; there must be one. */
     int firstSplitShard() {
         for (int shard = 0; shard < stored.size(); shard++) {
             if (!stored.get(shard).isEmpty() && !stored.get(shard).lastKey().isRoot()) {
@@ -108,23 +110,23 @@
         throw new IllegalStateException("no shard is split");
     }
 
-    /** Whether a shard is stored in part only, as in a listing whose pages are of different moments. */
+    /** Returns whether a shard is only partly stored, as in a listing whose pages were read at different revisions. */
     boolean isIncomplete() {
         for (int shard = 0; shard < stored.size(); shard++) {
             if (!stored.get(shard).isEmpty()
-                    && regions.get(shard).stream().anyMatch(region -> region.stored() == null)) {
+                    && regions.get(shard).stream().anyMatch(region -> region.source() == null)) {
                 return true;
             }
         }
         return false;
     }
 
-    /** The buckets of a shard that are stored. */
+    /** Returns the stored buckets of a shard. */
     List<Bucket> storedIn(int shard) {
         return List.copyOf(stored.get(shard).keySet());
     }
 
-    /** The regions of a shard. */
+    /** Returns the regions of a shard. */
     List<Region> regionsOf(int shard) {
         return regions.get(shard);
     }
@@ -133,7 +135,7 @@
         return regionCount;
     }
 
-    /** The region that is furthest behind; kept until something changes, since every transaction's draft asks for it. */
+    /** Returns the region with the lowest sequence number. The result is cached, since every transaction draft needs it. */
     Region oldest() {
         if (oldest == null) {
             oldest = findOldest();
@@ -145,7 +147,7 @@
         Region first = null;
         for (List<Region> shard : regions) {
             for (Region region : shard) {
-                if (first == null || region.number() < first.number()) {
+                if (first == null || region.sequence() < first.sequence()) {
                     first = region;
                 }
             }
@@ -153,18 +155,18 @@
         return first;
     }
 
-    /** The last entry that any region contains. */
+    /** Returns the sequence number of the last entry that any region contains, 0 if there is none. */
     long newest() {
         long newest = 0;
         for (List<Region> shard : regions) {
             for (Region region : shard) {
-                newest = Math.max(newest, region.number());
+                newest = Math.max(newest, region.sequence());
             }
         }
         return newest;
     }
 
-    /** The region of a machine or a part of a finished set, by its hash. */
+    /** Returns the region that contains a hash of a machine or of a part of a finished set. */
     Region regionOf(int hash) {
         for (Region region : regions.get(Bucket.shardOf(hash))) {
             if (region.bucket().contains(hash)) {
@@ -174,10 +176,10 @@
         throw new IllegalStateException("no region for hash " + hash);
     }
 
-    /** The regions that are read from a stored bucket. */
-    List<Region> regionsIn(Bucket bucket) {
+    /** Returns the regions that are read from a stored bucket. */
+    List<Region> regionsReadFrom(Bucket bucket) {
         return regions.get(bucket.shard()).stream()
-                .filter(region -> bucket.equals(region.stored()))
+                .filter(region -> bucket.equals(region.source()))
                 .toList();
     }
 
@@ -190,17 +192,17 @@
     }
 
     /**
-     * Adds the regions of a bucket: it is one itself unless a part of it is stored separately.
+     * Adds the regions of a bucket. The bucket is a single region unless a part of it is stored separately.
      *
-     * @param from   the nearest larger bucket that is stored, or null
-     * @param number the last entry which that one contains
+     * @param from     the smallest stored bucket that contains this one, or null if none does
+     * @param sequence the sequence number of the last entry in {@code from}, 0 if that is null
      */
-    private void addRegions(Bucket bucket, Bucket from, long number, List<Region> into) {
+    private void addRegions(Bucket bucket, Bucket from, long sequence, List<Region> into) {
         TreeMap<Bucket, StoredBucket> shard = stored.get(bucket.shard());
         StoredBucket here = shard.get(bucket);
         Bucket source = here == null ? from : bucket;
-        long upTo = here == null ? number : here.number();
-        if (!hasStoredWithin(bucket, shard)) {
+        long upTo = here == null ? sequence : here.sequence();
+        if (!hasStoredDescendant(bucket, shard)) {
             into.add(new Region(bucket, source, upTo));
             return;
         }
@@ -208,7 +210,7 @@
         addRegions(bucket.child(1), source, upTo, into);
     }
 
-    private static boolean hasStoredWithin(Bucket bucket, TreeMap<Bucket, StoredBucket> shard) {
+    private static boolean hasStoredDescendant(Bucket bucket, TreeMap<Bucket, StoredBucket> shard) {
         if (shard.isEmpty() || shard.lastKey().isRoot()) {
             return false;
         }
--- a/src/main/java/garnetscale/core/state/SnapshotListing.java
+++ b/src/main/java/garnetscale/core/state/SnapshotListing.java
@@ -7,57 +7,59 @@
 import java.util.Map;
 import java.util.function.BiConsumer;
 
-/** The snapshot of the work log as a listing brings it, page by page, each as of its own moment. */
+/** The snapshot of the work log as read from a listing, whose pages may be of different revisions. */
 final class SnapshotListing {
 
     private record Page(Bucket bucket, WorkLog.Contents contents) {}
 
-    /** What the pages of a root in layout 1 say of themselves: all must contain the same entries, and none be missing. */
+    /** Page counts of a root in layout 1. All of its pages must contain the same entries, and none may be missing. */
     private static final class RootPages {
-        private final long number;
+        /** The sequence number of the last entry in the first page listed. */
+        private final long sequence;
+
         private int expected;
         private int found;
 
-        RootPages(long number) {
-            this.number = number;
+        RootPages(long sequence) {
+            this.sequence = sequence;
         }
     }
 
     private final SnapshotIndex index = new SnapshotIndex();
     private final List<Page> pages = new ArrayList<>();
     private final Map<Bucket, RootPages> roots = new HashMap<>();
-    private boolean ofSeveralMoments;
+    private boolean hasMixedPages;
 
     /** Adds a page of the snapshot. */
     void add(String key, Object value) {
         WorkLog.Contents contents = LogCodec.decodePage(value);
         Bucket bucket = SnapshotIndex.bucketOf(key);
         pages.add(new Page(bucket, contents));
-        index.put(key, contents.number());
+        index.put(key, contents.sequence());
         if (bucket.isRoot()) {
-            RootPages root = roots.computeIfAbsent(bucket, absent -> new RootPages(contents.number()));
-            ofSeveralMoments |= root.number != contents.number();
+            RootPages root = roots.computeIfAbsent(bucket, absent -> new RootPages(contents.sequence()));
+            hasMixedPages |= root.sequence != contents.sequence();
             root.expected = LogCodec.pageCountOf(value);
             root.found++;
         }
     }
 
-    /** Which buckets were listed. */
+    /** Returns the index of the listed buckets. */
     SnapshotIndex index() {
         return index;
     }
 
     /**
-     * Whether the listing is inconsistent: the pages of a root are of different moments, so that a machine may have moved
-     * between them and be on neither, or a bucket was split while it was read.
+     * Returns whether the listing is inconsistent. Either the pages of a root contain different entries or are incomplete,
+     * so that a machine may have moved between them and be in neither, or a bucket was split while it was read.
      */
     boolean isInconsistent() {
-        return ofSeveralMoments
+        return hasMixedPages
                 || index.isIncomplete()
                 || roots.values().stream().anyMatch(root -> root.expected != root.found);
     }
 
-    /** Gives every machine record that is listed, by machine. */
+    /** Passes every listed machine and its record to {@code receiver}. */
     void forEachMachine(BiConsumer<String, MachineRecord> receiver) {
         for (Page page : pages) {
             page.contents().machines().forEach((id, machine) -> {
@@ -68,7 +70,7 @@
         }
     }
 
-    /** Gives every part of a finished set that is listed, by its name. */
+    /** Passes the name and the contents of every listed part of a finished set to {@code receiver}. */
     void forEachPart(BiConsumer<String, BitSet> receiver) {
         for (Page page : pages) {
             page.contents().parts().forEach((part, finished) -> {
@@ -79,8 +81,11 @@
         }
     }
 
-    /** Of a bucket that is partly split, the parts that are stored separately are newer there. */
+    /**
+     * Returns whether a hash is to be read from this page. Parts of a partly split bucket that are stored separately are newer
+     * than the same parts in the larger bucket.
+     */
     private boolean isReadFrom(Page page, int hash) {
-        return page.bucket().equals(index.regionOf(hash).stored());
+        return page.bucket().equals(index.regionOf(hash).source());
     }
 }
--- a/src/main/java/garnetscale/core/state/StateReplica.java
+++ b/src/main/java/garnetscale/core/state/StateReplica.java
@@ -13,8 +13,9 @@
 import java.util.Set;
 
 /**
- * A controller's copy of the live part of the key-value store (everything under {@link Keys#MIRRORED}) as of one
- * revision. It is loaded from a listing, follows a watch, and only moves forward: overtaken answers change nothing.
+ * A controller's copy of the live part of the key-value store (all keys under {@link Keys#REPLICATED}) as of one revision.
+ * It is loaded from a listing and then updated from a watch. Its revision only increases: stale watch responses are
+ * ignored.
  */
 public final class StateReplica {
 
@@ -28,65 +29,65 @@
     private final ChangeReader reader;
     private long revision = NOT_LOADED;
 
-    /** A replica that reads whatever this program supports. */
+    /** Creates an empty replica that reads every layout version that this program supports. */
     public StateReplica() {
         this(Layouts.SUPPORTED);
     }
 
-    /** A replica of a controller that supports these versions. */
+    /** Creates an empty replica for a controller that supports these layout versions. */
     public StateReplica(VersionRange supported) {
         gate = new VersionGate(supported);
         reader = new ChangeReader(gate, cluster, jobs, log);
     }
 
-    // ---- what it is a copy of
+    // ---- revision and consistency
 
-    /** The revision that this is a copy as of, negative while nothing is loaded. */
+    /** Returns the revision of the store that this replica reflects, negative while nothing is loaded. */
     public long revision() {
         return revision;
     }
 
-    /** Whether it holds a complete copy. */
+    /** Returns whether the replica is a complete copy of one revision. */
     public boolean isLoaded() {
         return revision >= 0;
     }
 
-    /** Whether entries of the work log or pages of its snapshot are missing: only a new listing helps. */
+    /** Returns whether work log entries or snapshot pages are missing, so that a new listing is required. */
     public boolean isInconsistent() {
         return log.isInconsistent();
     }
 
     /**
-     * Which record this controller can't read, and why; null while it can read all. The replica isn't loaded then, and
-     * its controller decides nothing.
+     * Returns the key, the revision and the error of the record that this controller can't read, or null if it can read
+     * all. While a record can't be read, the replica isn't loaded and its controller makes no decisions.
      */
     public String unreadable() {
         return gate.unreadable();
     }
 
-    /** The revision at which a key last changed, 0 when it doesn't exist. */
+    /** Returns the revision at which a key last changed, or 0 if the key doesn't exist. */
     public long modRevision(String key) {
         return reader.modRevision(key);
     }
 
-    /** Makes a transaction fail unless the active version is the one that this replica shows. */
+    /** Adds a guard that fails the transaction unless the active version is still the one in this replica. */
     public Transaction guardVersion(Transaction transaction) {
         return transaction.guard(Keys.VERSION, modRevision(Keys.VERSION));
     }
 
     // ---- jobs and machines
 
-    /** How many jobs have come in since this process started. */
+    /** Returns how many jobs have been added to this replica since the process started, including those in listings. */
     public long jobsAdded() {
         return jobs.added();
     }
 
-    /** A job that hasn't been removed, or null. */
+    /** Returns a job, or null if there is none or it was removed. */
     public JobView job(String id) {
         return jobs.get(id);
     }
 
-    /** All jobs that haven't been removed, in the order in which they became known. */
+    /** Returns all jobs that haven't been removed, in the order in which the replica received them. */
     public Collection<JobView> jobs() {
         return jobs.all();
     }
@@ -95,105 +96,110 @@
         return machines.get(id);
     }
 
-    /** The list is replaced with every change, never altered: while it is the same object nothing has changed. */
+    /**
+     * Returns the placements on a machine, empty if it has no record. The list is replaced on every change and never
+     * modified, so the same list object means that nothing has changed.
+     */
     public List<Placement> placements(String machine) {
         return machine(machine).placements();
     }
 
-    /** Images in a machine's cache, with their sizes in GB, the latest used last. */
+    /** Returns the images in a machine's cache with their sizes in GB, in order of use, the most recently used last. */
     public Map<String, Double> images(String machine) {
         return machine(machine).images();
     }
 
-    /** The zone of a machine that has a record, else null. */
+    /** Returns the zone of a machine, or null if the machine has no record. */
     public String zoneOfMachine(String machine) {
         return machine(machine).zone();
     }
 
-    /** Machines that have a record, with or without placements. */
-    public Set<String> placedMachines() {
+    /** Returns the machines that have a record, with or without placements. */
+    public Set<String> machinesWithRecords() {
         return machines.ids();
     }
 
-    /** Machines whose records changed since the last call. */
+    /** Returns the machines whose records changed since the last call. */
     public Set<String> takeChangedMachines() {
         return machines.takeChanged();
     }
 
     // ---- the cluster
 
-    /** The lease of a partition, or null when it was never leased. */
+    /** Returns the lease of a partition, or null if it was never leased. */
     public PartitionLease partition(String partition) {
         return cluster.partition(partition);
     }
 
-    /** How many partitions have a lease. */
+    /** Returns the number of partitions that have a lease. */
     public int partitionCount() {
         return cluster.partitionCount();
     }
 
-    /** A live controller, or null. */
+    /** Returns a live controller, or null if no live controller has this name. */
     public ControllerInfo controller(String name) {
         return cluster.controller(name);
     }
 
-    /** Live controllers, by name. */
+    /** Returns the live controllers, sorted by name. */
     public Collection<ControllerInfo> controllers() {
         return cluster.controllers();
     }
 
-    /** The leader, or null while there is none. */
+    /** Returns the leader, or null while there is none. */
     public LeaderInfo leader() {
         return cluster.leader();
     }
 
-    /** The highest term that was ever given out. */
+    /** Returns the highest leader term ever issued, 0 if none was. */
     public long termCounter() {
         return cluster.termCounter();
     }
 
-    /** The machine types that the cloud offers. */
+    /** Returns the machine types that the cloud offers. */
     public List<MachineType> types() {
         return cluster.types();
     }
 
-    /** The machine type of this name, or null. */
+    /** Returns the machine type with this name, or null if there is none. */
     public MachineType type(String name) {
         return cluster.type(name);
     }
 
-    /** The version of the stored state that is active for the whole cluster. */
+    /** Returns the layout version that is active for the whole cluster. */
     public ClusterVersion version() {
         return cluster.version();
     }
 
     // ---- the work log
 
-    /** The work log as far as writing its next entry needs it. */
+    /** Returns the replica of the work log, from which the next entry is written. */
     LogReplica log() {
         return log;
     }
 
-    /** Number of the last entry of the work log that was applied. */
+    /** Returns the sequence number of the last work log entry that was applied. */
     public long sequence() {
         return log.sequence();
     }
 
-    /** Whether everything is stored as the active version says: else the leader is still converting it. */
+    /** Returns whether all records are stored in the active version; if not, the leader is still converting them. */
     public boolean isConverted() {
         return log.isConverted();
     }
 
     /**
-     * Whether some shard takes more than {@code pages} pages, which the first layout can't write, or soon can't.
+     * Returns whether any shard needs more than {@code pages} pages. The first layout can't write such a shard, or soon
+     * won't be able to.
      *
-     * @param valueBytes the most bytes that a value may have
+     * @param valueBytes the maximum size of a stored value, in bytes
+     * @param pages      the number of pages that a shard may need at most
      */
     public boolean hasOutgrownFirstLayout(int valueBytes, int pages) {
         return log.hasOutgrownFirstLayout(valueBytes, pages);
     }
 
-    /** The layout that a controller has to know to read what is stored. */
+    /** Returns the layout version that a controller must support to read the stored work log. */
     public int layout() {
         return log.layout();
     }
@@ -201,11 +207,11 @@
     // ---- listings and watches
 
     /**
-     * Loads a full listing in place of what it holds, at first and when a watch has lost changes. Afterwards the replica isn't loaded, and
-     * is inconsistent, when the pages of a snapshot are of different moments: a machine may have moved between them and be
-     * on neither. It isn't loaded either when a record can't be read.
+     * Replaces the contents with a full listing, at first and after a watch has lost changes. If pages of a snapshot were
+     * read at different revisions, the replica is inconsistent and isn't loaded: a machine may have moved between two
+     * pages and be in neither. It isn't loaded either if a record can't be read.
      *
-     * @param all         every key under {@link Keys#MIRRORED}, in the order of the listing
+     * @param all         every key under {@link Keys#REPLICATED}, in the order of the listing
      * @param newRevision the revision of the listing's first page
      */
     public void reset(List<KeyChange> all, long newRevision) {
@@ -226,17 +232,18 @@
     }
 
     /**
-     * Applies what a watch brought; false when it was overtaken by a newer answer. Afterwards the replica isn't loaded when a
-     * record can't be read, and is inconsistent when entries of the work log are missing.
+     * Applies the changes from a watch response. Afterwards the replica isn't loaded if a record can't be read, and is
+     * inconsistent if work log entries are missing.
      *
-     * @param changes     all changes after {@link #revision()}, in their order
-     * @param newRevision the revision that they lead to
+     * @param changes     all changes after {@link #revision()}, in order of revision
+     * @param newRevision the revision of the store after these changes
+     * @return false if nothing was applied, because the response is stale or an earlier record couldn't be read
      */
     public boolean advance(List<KeyChange> changes, long newRevision) {
         if (newRevision <= revision || gate.unreadable() != null) {
             return false;
         }
-        revision = reader.follow(changes, revision) ? newRevision : NOT_LOADED;
+        revision = reader.advance(changes, revision) ? newRevision : NOT_LOADED;
         return true;
     }
 }
--- a/src/main/java/garnetscale/core/state/StoredFields.java
+++ b/src/main/java/garnetscale/core/state/StoredFields.java
@@ -4,15 +4,15 @@
 import java.util.Map;
 
 /**
- * Typed access to the maps and lists that stored values are made of. A field of another type, or one that is missing and may
- * not be, raises a {@link ClassCastException}, {@link NullPointerException} or {@link IndexOutOfBoundsException}, by which
- * {@link ChangeReader} knows a record that can't be read.
+ * Typed access to the maps and lists that stored values consist of. A field of the wrong type or a missing mandatory field
+ * raises a {@link ClassCastException}, {@link NullPointerException} or {@link IndexOutOfBoundsException}, by which
+ * {@link ChangeReader} detects a record that can't be read.
  */
 final class StoredFields {
 
     private StoredFields() {}
 
-    /** A text, or null. */
+    /** Returns a text field, or null if it is missing. */
     static String text(Map<?, ?> fields, String key) {
         return (String) fields.get(key);
     }
@@ -25,12 +25,12 @@
         return ((Number) fields.get(key)).doubleValue();
     }
 
-    /** Whether a flag is set; a missing one isn't. */
+    /** Returns whether a flag is set; a missing flag counts as false. */
     static boolean flag(Map<?, ?> fields, String key) {
         return Boolean.TRUE.equals(fields.get(key));
     }
 
-    /** A list, empty when it is missing. */
+    /** Returns a list field, or an empty list if it is missing. */
     static List<?> list(Map<?, ?> fields, String key) {
         return fields.get(key) instanceof List<?> list ? list : List.of();
     }
@@ -43,7 +43,7 @@
         return ((Number) row.get(column)).doubleValue();
     }
 
-    /** Every element as a text. */
+    /** Returns the string values of the elements. */
     static List<String> texts(List<?> list) {
         return list.stream().map(String::valueOf).toList();
     }
--- a/src/main/java/garnetscale/core/state/TransactionOutcome.java
+++ b/src/main/java/garnetscale/core/state/TransactionOutcome.java
@@ -1,15 +1,15 @@
 package garnetscale.core.state;
 
-/** How a transaction ended, as far as the sender knows. */
+/** The outcome of a transaction, as far as the sender knows. */
 public enum TransactionOutcome {
     /** It was applied. */
     OK,
-    /** A guard failed, so that it was not applied. */
+    /** It was not applied because a guard failed. */
     CONFLICT,
-    /** A lease that it names has expired, so that it was not applied. */
+    /** It was not applied because a lease that it uses has expired. */
     NO_LEASE,
-    /** It was not applied and never will be: it wasn't sent, or the service refused it for its limits. */
+    /** It was not applied and never will be: it wasn't sent, or the service rejected it for exceeding a limit. */
     REFUSED,
-    /** There was no answer: it may have been applied, or may still be. */
-    MAYBE
+    /** There was no response: it may have been applied, or may still be applied later. */
+    UNKNOWN
 }
--- a/src/main/java/garnetscale/core/state/VersionGate.java
+++ b/src/main/java/garnetscale/core/state/VersionGate.java
@@ -4,8 +4,8 @@
 import java.util.List;
 
 /**
- * Whether this controller can read what is stored: it supports the active version, and has met no record that it can't
- * decode. A controller that can't decides nothing, which is safer than one that misreads a record.
+ * Tracks whether this controller can read the stored state: it must support the active version and be able to decode every
+ * record. A controller that can't makes no decisions, which is safer than decisions from a misread record.
  */
 final class VersionGate {
 
@@ -16,17 +16,20 @@
         this.supported = supported;
     }
 
-    /** Forgets the unreadable record, for a new listing. */
+    /** Clears the unreadable record, for a new listing. */
     void open() {
         unreadable = null;
     }
 
-    /** Which record can't be read, and why; null while all can. */
+    /** Returns the key, the revision and the error of the unreadable record, or null if there is none. */
     String unreadable() {
         return unreadable;
     }
 
-    /** Whether the active version, if it is among the changes, is supported; to be asked before anything is decoded. */
+    /**
+     * Returns whether this controller supports the active version, or true if the changes don't include it. Must be called
+     * before any change is decoded.
+     */
     boolean admits(List<KeyChange> changes) {
         for (KeyChange change : changes) {
             if (change.key().equals(Keys.VERSION) && !admits(change)) {
@@ -53,7 +56,7 @@
         }
     }
 
-    /** Takes note that a record can't be read, and why. */
+    /** Marks a record as unreadable, for the given reason. */
     void close(KeyChange change, String reason) {
         unreadable = change.key() + " as of revision " + change.modRevision() + ": " + reason;
     }
--- a/src/main/java/garnetscale/core/state/WorkLog.java
+++ b/src/main/java/garnetscale/core/state/WorkLog.java
@@ -4,23 +4,23 @@
 import java.util.Map;
 
 /**
- * How placements and finished sets are stored: one numbered entry for each transaction of the leader, with the change of
- * every machine and the new part of every finished set that it touches. One change of the store so carries a whole award or
- * a batch of exits; with a key for each machine, the store's limit of changes per second would bound how many tasks can
- * start in a second.
+ * The log in which placements and finished sets are stored. A finished set holds the finished tasks of a job. Each
+ * transaction of the leader writes one numbered entry, with the change of every machine and the new part of every finished
+ * set that it affects. One write to the store thus carries a whole award or a batch of exits. With one key per machine, the
+ * store's limit on changes per second would limit how many tasks can start per second.
  *
- * <p>Entries are stored in a ring buffer of keys, each written over an entry that the snapshot contains by then: machines
- * and finished sets are spread over shards by hash, and every now and then a transaction compacts the region of the
- * snapshot that is furthest behind, which means that it rewrites the region. Reading the store means reading the
- * snapshot and then, for each region, the entries after the region's number.
+ * <p>Entries are stored in a ring buffer of keys. Each overwrites an entry that the snapshot already contains. Machines and
+ * finished sets are distributed over the snapshot's shards by hash. When a compaction is due, a transaction rewrites the
+ * snapshot region with the lowest sequence number. To read the store, a controller reads the snapshot and then, for each
+ * region, the entries after the region's sequence number.
  *
  * @see Bucket how a shard is split further
  */
 public final class WorkLog {
 
-    /** Shards of the snapshot. */
+    /** Number of shards of the snapshot. */
     static final int SHARDS = 32;
-    /** Entries in the ring buffer for each region: a compaction may be put off for long before the ring buffer is full. */
+    /** Entries in the ring buffer per region; leaves time to postpone compactions before the ring buffer is full. */
     private static final int ENTRIES_PER_REGION = 3;
     /** Entries in the ring buffer while no shard is split, and always in the first layout. */
     static final int FIRST_CAPACITY = ENTRIES_PER_REGION * SHARDS;
@@ -30,48 +30,56 @@
     private WorkLog() {}
 
     /**
-     * An entry.
+     * An entry of the log.
      *
-     * @param before   the number of the entry that it follows
+     * @param sequence its sequence number
+     * @param before   the sequence number of the preceding entry, usually {@code sequence - 1}
      * @param machines changes of machine records, by machine
      * @param parts    new parts of finished sets, by {@link #partOf name}
      */
-    record Entry(long number, long before, Map<String, Delta> machines, Map<String, BitSet> parts) {}
+    record Entry(long sequence, long before, Map<String, Delta> machines, Map<String, BitSet> parts) {}
 
     /**
      * The contents of a bucket of the snapshot, or of one page of it.
      *
-     * @param number the last entry that is contained
+     * @param sequence the sequence number of the last entry that is contained
+     * @param machines machine records, by machine
+     * @param parts    parts of finished sets, by {@link #partOf name}
      */
-    record Contents(long number, Map<String, MachineRecord> machines, Map<String, BitSet> parts) {}
+    record Contents(long sequence, Map<String, MachineRecord> machines, Map<String, BitSet> parts) {}
 
-    /** The name of a part of a job's finished set. */
+    /** Returns the name of a part of a job's finished set, by the part's index. */
     static String part(String job, int part) {
         return job + "/" + part;
     }
 
-    /** The name of the part of a job's finished set that a task is in. */
+    /** Returns the name of the part of a job's finished set that contains a task. */
     public static String partOf(String job, int task) {
         return part(job, task / TASKS_PER_PART);
     }
 
-    /** The bits of a named part, numbered from 0, of a whole finished set. */
+    /** Returns the bits of the named part of a whole finished set, numbered from 0. */
     public static BitSet bitsOf(BitSet all, String part) {
         int first = TASKS_PER_PART * Integer.parseInt(part.substring(part.lastIndexOf('/') + 1));
         return all.get(first, first + TASKS_PER_PART);
     }
 
-    /** The key of a page of a shard's snapshot. */
+    /** Returns the key of a snapshot page. */
     static String pageKey(int shard, int page) {
         return Keys.SNAPSHOT + shard + "/" + page;
     }
 
-    /** Whether a region of the snapshot that contains entries up to {@code number} is to be compacted. */
-    static boolean isDue(long number, long sequence, int regions) {
-        return sequence - number >= capacity(regions) / 2;
+    /**
+     * Returns whether a compaction is due for a snapshot region that contains the entries up to {@code regionSequence}.
+     *
+     * @param sequence the sequence number of the last entry in the log
+     * @param regions  the number of regions in the snapshot
+     */
+    static boolean isCompactionDue(long regionSequence, long sequence, int regions) {
+        return sequence - regionSequence >= capacity(regions) / 2;
     }
 
-    /** How many entries the ring buffer holds when the snapshot has so many regions. */
+    /** Returns the number of entries that the ring buffer can hold for a snapshot with {@code regions} regions. */
     static int capacity(int regions) {
         return ENTRIES_PER_REGION * regions;
     }
--- a/src/main/java/garnetscale/core/upgrade/ClusterVersion.java
+++ b/src/main/java/garnetscale/core/upgrade/ClusterVersion.java
@@ -1,18 +1,18 @@
 package garnetscale.core.upgrade;
 
 /**
- * The cluster's layout version, as it is stored.
+ * The stored layout version of the cluster.
  *
  * @param active the layout version that records are written in
  * @param floor  the lowest version that may become active again; it rises when a version is finalized
  */
 public record ClusterVersion(int active, int floor) {
 
-    /** The version where none is stored. */
+    /** The version if none is stored. */
     public static final ClusterVersion FIRST =
             new ClusterVersion(VersionRange.FIRST_VERSION, VersionRange.FIRST_VERSION);
 
-    /** Whether there is no way back to an earlier version. */
+    /** Returns whether no earlier version may become active again. */
     public boolean isFinal() {
         return floor == active;
     }
--- a/src/main/java/garnetscale/core/upgrade/UpgradeCoordinator.java
+++ b/src/main/java/garnetscale/core/upgrade/UpgradeCoordinator.java
@@ -10,60 +10,64 @@
 import java.util.Map;
 
 /**
- * Decides on the cluster's layout version; used by the leader alone. A version becomes active in one transaction that is guarded
- * by the leader's key, by the version before it and by the record of every live controller: it fails if a controller joins,
- * restarts or leaves in between.
+ * Decides on the cluster's layout version; used only by the leader. A version is activated in one transaction, which is guarded
+ * by the leader's key, the previous version and the record of every live controller. It fails if any of these controllers
+ * restarts or leaves in between. A controller that joins in between reads the version first, and makes no decisions if it
+ * doesn't support it.
  */
 public final class UpgradeCoordinator {
 
-    /** Pages of a shard that the first layout can write in one transaction together with a log entry. */
-    private static final int PAGES_IN_FIRST_LAYOUT = 2;
-    /** How often live controllers are observed within the activation delay. */
-    private static final int OBSERVATIONS_PER_DELAY = 40;
+    /** Maximum number of pages of a shard that the first layout can write in one transaction together with a log entry. */
+    private static final int MAX_PAGES_IN_FIRST_LAYOUT = 2;
+    /** Number of observations of the live controllers per settle time. */
+    private static final int OBSERVATIONS_PER_SETTLE_TIME = 40;
 
     private final StateReplica replica;
-    private final VersionRange own;
+    private final VersionRange supported;
     private final long settleMs;
     private final int valueBytes;
-    /** When each live controller process was first seen, by name and incarnation. */
+    /** Time at which each live controller process was first observed, in milliseconds, by name and incarnation. */
     private final Map<String, Long> firstSeenAt = new HashMap<>();
 
     private long observedAt = Times.NEVER;
 
     /**
-     * Observes nothing yet.
+     * Creates a coordinator without observations.
      *
-     * @param own      the layout versions that this controller supports
-     * @param settleMs how long every live controller must have been up before a version is activated
-     * @param valueBytes most bytes in one stored value
+     * @param supported  the layout versions that this controller supports
+     * @param settleMs   how long every live controller must have been up before a version is activated, in milliseconds
+     * @param valueBytes maximum size of one stored value, in bytes
      */
-    public UpgradeCoordinator(StateReplica replica, VersionRange own, long settleMs, int valueBytes) {
+    public UpgradeCoordinator(StateReplica replica, VersionRange supported, long settleMs, int valueBytes) {
         this.replica = replica;
-        this.own = own;
+        this.supported = supported;
         this.settleMs = settleMs;
         this.valueBytes = valueBytes;
     }
 
-    /** Forgets all observations; to be called when this controller becomes leader. */
+    /** Clears all observations; must be called when this controller becomes leader. */
     public void clear() {
         firstSeenAt.clear();
         observedAt = Times.NEVER;
     }
 
-    /** Records which controllers are alive. */
+    /** Records which controllers are live, unless the last observation is very recent compared to the settle time. */
     public void observe(long now) {
-        if (now - observedAt < settleMs / OBSERVATIONS_PER_DELAY) {
+        if (now - observedAt < settleMs / OBSERVATIONS_PER_SETTLE_TIME) {
             return;
         }
         observedAt = now;
         firstSeenAt.keySet().removeIf(process -> replica.controllers().stream()
-                .noneMatch(node -> processOf(node).equals(process)));
-        replica.controllers().forEach(node -> firstSeenAt.putIfAbsent(processOf(node), now));
+                .noneMatch(controller -> processOf(controller).equals(process)));
+        replica.controllers().forEach(controller -> firstSeenAt.putIfAbsent(processOf(controller), now));
     }
 
-    /** The transaction that activates the next version, once more is stored than the present one can soon hold; else null. */
-    public Transaction automatic(long now) {
-        if (!replica.hasOutgrownFirstLayout(valueBytes, PAGES_IN_FIRST_LAYOUT)) {
+    /**
+     * Returns the transaction that activates the next version if the stored state is about to outgrow the active version and
+     * every precondition holds, otherwise null.
+     */
+    public Transaction automaticActivation(long now) {
+        if (!replica.hasOutgrownFirstLayout(valueBytes, MAX_PAGES_IN_FIRST_LAYOUT)) {
             return null;
         }
         return activate(now) instanceof UpgradeDecision.Commit commit ? commit.transaction() : null;
@@ -81,27 +85,27 @@
     private UpgradeDecision activate(long now) {
         ClusterVersion version = replica.version();
         int next = version.active() + 1;
-        boolean supportedByAny =
-                replica.controllers().stream().anyMatch(node -> node.layouts().contains(next));
+        boolean supportedByAny = replica.controllers().stream()
+                .anyMatch(controller -> controller.layouts().contains(next));
         if (!supportedByAny) {
             return new UpgradeDecision.Done(version);
         }
-        for (ControllerInfo node : replica.controllers()) {
-            if (!node.layouts().contains(next)) {
+        for (ControllerInfo controller : replica.controllers()) {
+            if (!controller.layouts().contains(next)) {
                 return new UpgradeDecision.Refused(
-                        "controller " + node.name() + " supports " + node.layouts() + " and not " + next);
+                        "controller " + controller.name() + " supports " + controller.layouts() + " and not " + next);
             }
         }
-        for (ControllerInfo node : replica.controllers()) {
-            long upMs = now - firstSeenAt.getOrDefault(processOf(node), now);
+        for (ControllerInfo controller : replica.controllers()) {
+            long upMs = now - firstSeenAt.getOrDefault(processOf(controller), now);
             if (upMs < settleMs) {
-                return new UpgradeDecision.Refused("controller " + node.name() + " has been there for " + upMs + " of "
-                        + settleMs + " ms that it has to");
+                return new UpgradeDecision.Refused("controller " + controller.name() + " has been there for " + upMs
+                        + " of " + settleMs + " ms that it has to");
             }
         }
         Transaction transaction = guardedTransaction();
-        replica.controllers().forEach(node -> {
-            String key = Keys.controller(node.name());
+        replica.controllers().forEach(controller -> {
+            String key = Keys.controller(controller.name());
             transaction.guard(key, replica.modRevision(key));
         });
         return commit(transaction, version.activated(next));
@@ -115,11 +119,11 @@
         if (version.isFinal()) {
             return new UpgradeDecision.Refused("version " + version.active() + " is finalized");
         }
-        if (!own.contains(version.active() - 1)) {
+        if (!supported.contains(version.active() - 1)) {
             return new UpgradeDecision.Refused(
-                    "this controller supports " + own + " and not " + (version.active() - 1));
+                    "this controller supports " + supported + " and not " + (version.active() - 1));
         }
-        if (replica.hasOutgrownFirstLayout(valueBytes, PAGES_IN_FIRST_LAYOUT)) {
+        if (replica.hasOutgrownFirstLayout(valueBytes, MAX_PAGES_IN_FIRST_LAYOUT)) {
             return new UpgradeDecision.Refused("more is stored than version " + (version.active() - 1) + " can hold");
         }
         return commit(guardedTransaction(), version.deactivated());
@@ -143,7 +147,7 @@
         return new UpgradeDecision.Commit(transaction.put(Keys.VERSION, Records.version(next)), next);
     }
 
-    private static String processOf(ControllerInfo node) {
-        return node.name() + "#" + node.incarnation();
+    private static String processOf(ControllerInfo controller) {
+        return controller.name() + "#" + controller.incarnation();
     }
 }
--- a/src/main/java/garnetscale/core/upgrade/UpgradeStep.java
+++ b/src/main/java/garnetscale/core/upgrade/UpgradeStep.java
@@ -1,11 +1,11 @@
 package garnetscale.core.upgrade;
 
-/** A step that an operator may request from the leader. Each is idempotent: a repeat of a step that is done changes nothing. */
+/** A step that an operator may request from the leader. Every step is idempotent: repeating a completed step changes nothing. */
 public enum UpgradeStep {
     /** Activates the next version, if every live controller supports it. */
     ACTIVATE,
-    /** Goes back to the version before the active one; stored records are converted back. */
+    /** Returns to the version before the active one and converts the stored records back. */
     DEACTIVATE,
-    /** Rules out going back to an earlier version. */
+    /** Prevents a return to any earlier version. */
     FINALIZE
 }
--- a/src/main/java/garnetscale/core/upgrade/VersionRange.java
+++ b/src/main/java/garnetscale/core/upgrade/VersionRange.java
@@ -1,15 +1,15 @@
 package garnetscale.core.upgrade;
 
-/** The layout versions that a controller reads and writes, both ends included. */
+/** The range of layout versions that a controller reads and writes, inclusive at both ends. */
 public record VersionRange(int oldest, int latest) {
 
-    /** The version that is active where none is stored, and the only one of controllers that publish no range. */
+    /** The version that is active if none is stored, and the only one supported by controllers that publish no range. */
     public static final int FIRST_VERSION = 1;
 
-    /** The range of controllers that publish none. */
+    /** The range of controllers that publish no range. */
     public static final VersionRange FIRST = new VersionRange(FIRST_VERSION, FIRST_VERSION);
 
-    /** Whether the version lies within the range. */
+    /** Returns whether the version is within the range. */
     public boolean contains(int version) {
         return version >= oldest && version <= latest;
     }
--- a/src/test/java/garnetscale/controller/ScriptedCluster.java
+++ b/src/test/java/garnetscale/controller/ScriptedCluster.java
@@ -82,7 +82,7 @@
 
     // ---- the leader
 
-    /** Sends a transaction with any outcome that PROTOCOL allows; MAYBE comes after the client's two seconds. */
+    /** Sends a transaction with any outcome that PROTOCOL allows; UNKNOWN comes after the client's two seconds. */
     private void commit(Transaction transaction, BiConsumer<TransactionOutcome, Long> done) {
         if (now < failingUntil) {
             at(networkDelay(), () -> done.accept(TransactionOutcome.REFUSED, -1L));
@@ -95,13 +95,13 @@
                     countOccurrence("carried out, answer lost");
                 }
             });
-            at(2000, () -> done.accept(TransactionOutcome.MAYBE, -1L));
+            at(2000, () -> done.accept(TransactionOutcome.UNKNOWN, -1L));
         } else if (luck < answerLost + late) {
             at(
                     2000 + random.nextInt(10_000),
                     () -> countOccurrence(
                             state.commit(transaction) == 200 ? "carried out late" : "late and overtaken"));
-            at(2000, () -> done.accept(TransactionOutcome.MAYBE, -1L));
+            at(2000, () -> done.accept(TransactionOutcome.UNKNOWN, -1L));
         } else {
             at(networkDelay(), () -> {
                 int status = state.commit(transaction);
--- a/src/test/java/garnetscale/core/sim/SimulatedCluster.java
+++ b/src/test/java/garnetscale/core/sim/SimulatedCluster.java
@@ -183,7 +183,7 @@
 
     /** The type of a machine. */
     String typeOf(String worker) {
-        return shape.type(PartitionMap.number(worker)).name();
+        return shape.type(PartitionMap.machineNumber(worker)).name();
     }
 
     long leaderTerm() {
--- a/src/test/java/garnetscale/core/sim/SimulatedStateLink.java
+++ b/src/test/java/garnetscale/core/sim/SimulatedStateLink.java
@@ -221,7 +221,7 @@
                                     : "late and overtaken"));
             node.after(2000, () -> {
                 if (node.life == process) {
-                    done.accept(TransactionOutcome.MAYBE, -1L);
+                    done.accept(TransactionOutcome.UNKNOWN, -1L);
                 }
             });
             return;
@@ -240,6 +240,6 @@
                 },
                 new CommitAnswer(TransactionOutcome.REFUSED, -1),
                 answer -> done.accept(answer.outcome(), answer.revision()),
-                () -> done.accept(TransactionOutcome.MAYBE, -1L));
+                () -> done.accept(TransactionOutcome.UNKNOWN, -1L));
     }
 }
--- a/src/test/java/garnetscale/core/state/LargeClusterFixture.java
+++ b/src/test/java/garnetscale/core/state/LargeClusterFixture.java
@@ -16,13 +16,13 @@
 import java.util.Random;
 import java.util.TreeMap;
 
-/** A store with the service's limits, in which a leader writes the records of up to four thousand machines. */
+/** A store with the limits of the state service, to which a leader writes the records of up to 4,000 machines. */
 final class LargeClusterFixture {
 
     static final int VALUE_BYTES = 16 * 1024;
     static final int OPS = 24;
     private static final int TRANSACTION_BYTES = 64 * 1024;
-    /** Machines in all, and placements on each: a shard takes 120 KB, twice what a transaction may hold. */
+    /** With {@link #PLACEMENTS} placements on each of these machines, a shard takes 120 KB, twice the size of a transaction. */
     static final int MACHINES = 4000;
 
     private static final int PLACEMENTS = 14;
@@ -40,10 +40,10 @@
     final Random random = log.random;
     final StateReplica leader = log.leader;
     private long attempts;
-    /** Transactions that could only compact. */
+    /** Number of transactions that could only compact, because the log was full. */
     private int fullCount;
 
-    /** Empty, with the second layout active. */
+    /** Creates an empty store with the second layout active. */
     LargeClusterFixture() {
         activate(Layouts.SPLIT_SNAPSHOT);
     }
@@ -56,12 +56,12 @@
         return "m-" + (100_000 + number);
     }
 
-    /** How many transactions could only compact, since the log was full. */
+    /** Returns the number of transactions that could only compact, because the log was full. */
     int fullCount() {
         return fullCount;
     }
 
-    /** Writes an entry with new records of some machines, and whatever is due to be compacted. */
+    /** Writes an entry with new records of some machines, and the compaction that is due, if any. */
     void write(List<String> machines) {
         Map<String, MachineRecord> records = new LinkedHashMap<>();
         for (String id : machines) {
@@ -76,8 +76,8 @@
         commit(records);
     }
 
-    /** Writes new records of a few machines drawn by lot. */
-    void writeAny() {
+    /** Writes new records of a few random machines. */
+    void writeRandomMachines() {
         List<String> machines = new ArrayList<>();
         for (int i = random.nextInt(MACHINES_IN_ENTRY); i >= 0; i--) {
             machines.add(machine(random.nextInt(MACHINES)));
@@ -85,14 +85,14 @@
         write(machines.stream().distinct().toList());
     }
 
-    /** Fills the cluster from nothing, a few machines an entry. */
+    /** Writes the records of all machines, a few machines per entry. */
     void fill() {
         for (int i = 0; i < MACHINES; i += MACHINES_IN_ENTRY) {
             write(machinesOfEntry(i));
         }
     }
 
-    /** The machines from a number on that go into one entry. */
+    /** Returns the machines, from number {@code first} on, whose records go into one entry. */
     static List<String> machinesOfEntry(int first) {
         List<String> machines = new ArrayList<>();
         for (int k = first; k < Math.min(MACHINES, first + MACHINES_IN_ENTRY); k++) {
@@ -107,7 +107,7 @@
         commit(records);
     }
 
-    /** Commits an entry with these records and a task that is finished. */
+    /** Commits an entry with these records and one finished task, or only a compaction if the log is full. */
     private void commit(Map<String, MachineRecord> records) {
         LogWriter writer = new LogWriter(
                 leader, new LogWriter.Limits(VALUE_BYTES, OPS, leader.version().active(), false));
@@ -122,7 +122,7 @@
         log.commit(transaction);
     }
 
-    /** Every key under a prefix, as of one moment. */
+    /** Returns every key under a prefix, as of one revision. */
     List<KeyChange> list(String prefix) {
         return log.list(prefix);
     }
@@ -131,28 +131,28 @@
         log.follow(replica);
     }
 
-    /** A new replica that lists everything as of one moment. */
+    /** Returns a new replica, loaded from a listing as of one revision. */
     StateReplica listAtOnce() {
         return log.listAtOnce();
     }
 
-    /** Lists in pages, with the store going on between them; null when what was read is inconsistent. */
+    /** Returns a new replica, loaded from pages with writes between them, or null if the listing was inconsistent. */
     StateReplica listInPages() {
-        return log.listInPages(PAGE_KEYS, this::writeAny);
+        return log.listInPages(PAGE_KEYS, this::writeRandomMachines);
     }
 
-    /** What a replica shows of machines and finished tasks. */
-    static Map<String, Object> seen(StateReplica replica) {
+    /** Returns the placements and finished tasks in a replica. */
+    static Map<String, Object> visibleState(StateReplica replica) {
         Map<String, Object> all = new TreeMap<>();
-        replica.placedMachines().forEach(id -> all.put(id, replica.placements(id)));
+        replica.machinesWithRecords().forEach(id -> all.put(id, replica.placements(id)));
         all.put("finished", replica.job(JOB).finishedSet());
         return all;
     }
 
-    /** Whoever lists now has to see what the leader sees. */
-    void assertReadAlike(String when) {
+    /** Asserts that a newly loaded replica contains the same state as the leader's. */
+    void assertNewReplicaMatchesLeader(String when) {
         StateReplica fresh = listAtOnce();
         assertTrue(fresh.isLoaded(), when);
-        assertEquals(seen(leader), seen(fresh), when);
+        assertEquals(visibleState(leader), visibleState(fresh), when);
     }
 }
--- a/src/test/java/garnetscale/core/state/LayoutChangeTest.java
+++ b/src/test/java/garnetscale/core/state/LayoutChangeTest.java
@@ -3,7 +3,7 @@
 import static garnetscale.core.state.LargeClusterFixture.MACHINES;
 import static garnetscale.core.state.LargeClusterFixture.MACHINES_IN_ENTRY;
 import static garnetscale.core.state.LargeClusterFixture.machine;
-import static garnetscale.core.state.LargeClusterFixture.seen;
+import static garnetscale.core.state.LargeClusterFixture.visibleState;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -14,18 +14,18 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** From the first layout to the second and back: whichever is active, what is stored is read alike at every moment. */
+/** Conversion from the first layout to the second and back; new replicas must match the leader's at every step. */
 class LayoutChangeTest {
 
     private final LargeClusterFixture cluster = new LargeClusterFixture();
     private final StateReplica leader = cluster.leader;
 
-    /** What was stored in several pages before is converted, whichever of its parts is written first. */
+    /** A shard that layout 1 stored in several pages is converted, whichever of its buckets is written first. */
     @Test
-    void shardsOfSeveralPagesAreTakenOver() {
+    void shardsOfSeveralPagesAreConverted() {
         cluster.activate(Layouts.FIRST);
         List<String> shard = new ArrayList<>();
-        // Four buckets, of which a transaction holds two: the shard is partly split for a while.
+        // Four buckets, of which a transaction can hold two: the shard is partly split for a while.
         for (int i = 0; i < 40; i++) {
             shard.add(machine(i * WorkLog.SHARDS));
         }
@@ -39,15 +39,15 @@
             cluster.write(List.of(shard.get(i % shard.size())));
             StateReplica fresh = cluster.listAtOnce();
             assertTrue(fresh.isLoaded(), "entry " + i);
-            assertEquals(seen(leader), seen(fresh), "entry " + i);
+            assertEquals(visibleState(leader), visibleState(fresh), "entry " + i);
         }
         assertEquals(0, leader.log().snapshot().pages(root));
         assertEquals(Layouts.SPLIT_SNAPSHOT, leader.layout());
     }
 
     /**
-     * A controller of layout 1 follows entries by consecutive numbers and counts the pages of a shard. The first split is
-     * made to fail both, so that such a controller lists the store for ever and never decides anything.
+     * A controller that supports only layout 1 expects consecutive sequence numbers and counts the pages of a shard. The first
+     * split violates both, so that such a controller lists the store repeatedly and never makes decisions.
      */
     @Test
     void theFirstLayoutFindsASplitStoreInconsistent() {
@@ -68,12 +68,12 @@
             found.merge(shard, Integer.parseInt(page.key().substring(slash + 1)) + 1, Math::max);
             expected.put(shard, LogCodec.pageCountOf(page.value()));
         }
-        assertFalse(found.equals(expected), "layout 1 would take it for whole");
+        assertFalse(found.equals(expected), "layout 1 would accept the listing as complete");
     }
 
     /**
-     * Back to the first layout once the cluster is small enough for it, however far the store had grown, and on again: read
-     * alike at every moment, and in the end just as the first layout would have stored it.
+     * After a large store has shrunk, it is converted back to the first layout, and then to the second again. New replicas
+     * must match the leader's at every step, and the converted store must be exactly as the first layout writes it.
      */
     @Test
     void theFirstLayoutIsRestoredWhenItIsActiveAgain() {
@@ -86,10 +86,10 @@
             writeOneOf(few);
         }
 
-        cluster.assertReadAlike("converted");
+        cluster.assertNewReplicaMatchesLeader("converted");
         assertTrue(cluster.fullCount() > 0, "the log was never full");
         for (KeyChange entry : cluster.list(Keys.LOG)) {
-            assertEquals(LogRingBuffer.firstLayoutKey(LogCodec.numberOf(entry.value())), entry.key());
+            assertEquals(LogRingBuffer.firstLayoutKey(LogCodec.sequenceOf(entry.value())), entry.key());
         }
         for (KeyChange page : cluster.list(Keys.SNAPSHOT)) {
             assertTrue(SnapshotIndex.bucketOf(page.key()).isRoot(), page.key());
@@ -98,14 +98,14 @@
         cluster.activate(Layouts.SPLIT_SNAPSHOT);
         cluster.fill();
 
-        cluster.assertReadAlike("on again");
+        cluster.assertNewReplicaMatchesLeader("second layout again");
         assertEquals(Layouts.SPLIT_SNAPSHOT, leader.layout());
         assertEquals(List.of(), cluster.state.oversized());
     }
 
-    /** Removes all machines and writes 300 of them again, while the snapshot stays split as it was. */
+    /** Removes all machines and writes 300 of them again; the snapshot stays split. */
     private List<String> shrinkToFewMachines() {
-        List<String> all = List.copyOf(leader.placedMachines());
+        List<String> all = List.copyOf(leader.machinesWithRecords());
         for (int i = 0; i < all.size(); i += MACHINES_IN_ENTRY) {
             cluster.remove(all.subList(i, Math.min(all.size(), i + MACHINES_IN_ENTRY)));
         }
@@ -119,26 +119,26 @@
         for (int i = 0; i < few.size(); i += MACHINES_IN_ENTRY) {
             cluster.write(few.subList(i, i + MACHINES_IN_ENTRY));
         }
-        // Once round the ring buffer, so that the keys that the first layout uses hold entries of any age.
+        // Fills the ring buffer once more, so that the keys of the first layout hold entries of any age.
         for (int i = 4 * leader.log().snapshot().regionCount(); i > 0; i--) {
             writeOneOf(few);
         }
         return few;
     }
 
-    /** Writes until everything is in the first layout, and compares on the way. */
+    /** Writes until everything is in the first layout, and compares replicas after some of the steps. */
     private void convert(List<String> few) {
         int steps = 0;
         while (!leader.isConverted()) {
-            // Half of the time there is work meanwhile, half of the time the conversion goes on by itself.
+            // Every other step also writes a record; the others only convert.
             if (steps % 2 == 0) {
                 writeOneOf(few);
             } else {
                 cluster.write(List.of());
             }
-            // At first entries are in keys that the first layout would use for others, and are still needed.
+            // At first, keys of the first layout still hold entries that are needed but have other sequence numbers.
             if (++steps < 40 || steps % 25 == 0) {
-                cluster.assertReadAlike("step " + steps);
+                cluster.assertNewReplicaMatchesLeader("step " + steps);
             }
             assertTrue(steps < 5000, "not converted");
         }
--- a/src/test/java/garnetscale/core/state/LogFixture.java
+++ b/src/test/java/garnetscale/core/state/LogFixture.java
@@ -11,10 +11,10 @@
 import java.util.List;
 import java.util.Random;
 
-/** A store whose work log a leader writes by its replica, and which other replicas follow or list. */
+/** A store whose work log is written from a leader's replica, and read by other replicas through listings and watches. */
 final class LogFixture {
 
-    /** More keys than any test stores. */
+    /** Page size of a listing in one page; more keys than any test stores. */
     private static final int ALL_KEYS = 100_000;
 
     final StateModel state;
@@ -30,12 +30,12 @@
         leader.reset(list(Keys.REPLICATED), state.revision());
     }
 
-    /** Every key under a prefix, as of one moment. */
+    /** Returns every key under a prefix, as of one revision. */
     List<KeyChange> list(String prefix) {
         return state.list(prefix, null, ALL_KEYS);
     }
 
-    /** Commits a transaction of the leader, which then sees it. */
+    /** Commits a transaction of the leader and updates the leader's replica. */
     void commit(Transaction transaction) {
         assertEquals(200, state.commit(transaction), () -> state.oversized().toString());
         follow(leader);
@@ -45,12 +45,12 @@
         commit(new Transaction().put(Keys.VERSION, Records.version(new ClusterVersion(version, Layouts.FIRST))));
     }
 
-    /** Brings a replica up to date by a watch. */
+    /** Updates a replica from a watch. */
     void follow(StateReplica replica) {
         replica.advance(state.changes(Keys.REPLICATED, replica.revision()), state.revision());
     }
 
-    /** A new replica that lists everything as of one moment. */
+    /** Returns a new replica, loaded from a listing as of one revision. */
     StateReplica listAtOnce() {
         StateReplica replica = new StateReplica();
         replica.reset(list(Keys.REPLICATED), state.revision());
@@ -58,9 +58,11 @@
     }
 
     /**
-     * A new replica that lists in pages, up to date by a watch afterwards; null when its listing was inconsistent.
+     * Returns a new replica, loaded from a listing in pages and then updated from a watch, or null if the listing was
+     * inconsistent.
      *
-     * @param write what is written between two pages, none to two times
+     * @param pageKeys number of keys per page
+     * @param write    the write that is run zero to two times after each page
      */
     StateReplica listInPages(int pageKeys, Runnable write) {
         List<KeyChange> listed = new ArrayList<>();
--- a/src/test/java/garnetscale/core/state/LogRingBufferTest.java
+++ b/src/test/java/garnetscale/core/state/LogRingBufferTest.java
@@ -9,21 +9,21 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Which key the next entry goes under, and when it must not: what it overwrites has to be in the snapshot. */
+/** The key of the next entry, and the rule that an overwritten entry must already be in the snapshot. */
 class LogRingBufferTest {
 
     private final LogRingBuffer ringBuffer = new LogRingBuffer();
 
     private void fill(int entries) {
         for (long number = 1; number <= entries; number++) {
-            ringBuffer.put(ringBuffer.next(entries), number);
+            ringBuffer.put(ringBuffer.nextKey(entries), number);
         }
     }
 
     @Test
-    void aRingBufferOfTheFirstSizeUsesTheKeysOfTheFirstLayout() {
+    void aRingBufferOfMinimumCapacityUsesTheKeysOfTheFirstLayout() {
         for (long number = 1; number <= 3 * WorkLog.FIRST_CAPACITY; number++) {
-            String key = ringBuffer.next(WorkLog.FIRST_CAPACITY);
+            String key = ringBuffer.nextKey(WorkLog.FIRST_CAPACITY);
             assertEquals(LogRingBuffer.firstLayoutKey(number), key);
             ringBuffer.put(key, number);
         }
@@ -41,18 +41,19 @@
     }
 
     @Test
-    void aRingBufferGrowsByKeysThatAreNotInUse() {
+    void aGrowingRingBufferUsesNewKeys() {
         int entries = 2 * WorkLog.FIRST_CAPACITY;
         Set<String> keys = new HashSet<>();
         for (long number = 1; number <= entries; number++) {
-            String key = ringBuffer.next(entries);
+            String key = ringBuffer.nextKey(entries);
             assertTrue(keys.add(key), key + " is used twice");
             ringBuffer.put(key, number);
         }
         assertEquals(entries, ringBuffer.newestBeyondFirstLayout());
-        assertEquals(List.of("g/l/96", "g/l/97"), ringBuffer.beyondFirstLayout(WorkLog.FIRST_CAPACITY + 2));
-        // One in the middle is deleted, as on the way back to the first layout, and then the way back is given up.
+        assertEquals(
+                List.of("g/l/96", "g/l/97"), ringBuffer.compactedKeysBeyondFirstLayout(WorkLog.FIRST_CAPACITY + 2));
+        // A key in the middle is deleted, as in a conversion to the first layout that is then abandoned.
         ringBuffer.remove("g/l/97");
-        assertFalse(keys.contains(ringBuffer.next(entries + 1)), "it would overwrite a live entry");
+        assertFalse(keys.contains(ringBuffer.nextKey(entries + 1)), "it would overwrite a live entry");
     }
 }
--- a/src/test/java/garnetscale/core/state/SnapshotListingTest.java
+++ b/src/test/java/garnetscale/core/state/SnapshotListingTest.java
@@ -12,7 +12,7 @@
 import java.util.TreeSet;
 import org.junit.jupiter.api.Test;
 
-/** Pages of different moments: a part that was rewritten is read from the newer bucket, the rest from the older one. */
+/** Pages read at different revisions: a rewritten part is read from the newer bucket, the rest from the older one. */
 class SnapshotListingTest {
 
     private static final Bucket ROOT = Bucket.root(0);
@@ -36,17 +36,17 @@
     }
 
     @Test
-    void aMachineThatIsRemovedFromTheNewerBucketDoesNotComeBackFromTheOlder() {
+    void aMachineMissingFromTheNewerBucketIsNotReadFromTheOlder() {
         listing.add(ROOT.key(), page(10, MACHINES));
         listing.add(ROOT.child(0).key(), page(20, "m-0"));
         assertFalse(listing.isInconsistent());
         assertEquals(Set.of("m-0", "m-32", "m-96"), machines());
-        assertEquals(20, listing.index().regionOf(0).number());
-        assertEquals(10, listing.index().regionOf(32).number());
+        assertEquals(20, listing.index().regionOf(0).sequence());
+        assertEquals(10, listing.index().regionOf(32).sequence());
     }
 
     @Test
-    void halvesThatArePlacedApartAreTheWhole() {
+    void bothHalvesOfASplitShardAreComplete() {
         listing.add(ROOT.child(0).key(), page(20, "m-0", "m-64"));
         assertTrue(listing.isInconsistent(), "the other half is missing");
         listing.add(ROOT.child(1).key(), page(30, "m-32", "m-96"));
@@ -55,10 +55,10 @@
     }
 
     @Test
-    void aRootOfSeveralPagesMustBeOfOneMoment() {
+    void pagesOfARootMustContainTheSameEntries() {
         listing.add(WorkLog.pageKey(0, 0), Map.of("n", 10, "m", Map.of(), "f", Map.of(), "c", 2));
         assertTrue(listing.isInconsistent(), "a page is missing");
         listing.add(WorkLog.pageKey(0, 1), Map.of("n", 11, "m", Map.of(), "f", Map.of(), "c", 2));
-        assertTrue(listing.isInconsistent(), "the pages are of different moments");
+        assertTrue(listing.isInconsistent(), "the pages contain different entries");
     }
 }
--- a/src/test/java/garnetscale/core/state/SplitSnapshotTest.java
+++ b/src/test/java/garnetscale/core/state/SplitSnapshotTest.java
@@ -6,7 +6,7 @@
 import static garnetscale.core.state.LargeClusterFixture.VALUE_BYTES;
 import static garnetscale.core.state.LargeClusterFixture.machine;
 import static garnetscale.core.state.LargeClusterFixture.machinesOfEntry;
-import static garnetscale.core.state.LargeClusterFixture.seen;
+import static garnetscale.core.state.LargeClusterFixture.visibleState;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -24,37 +24,37 @@
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
 
-/** A snapshot that has outgrown its shards is split within the service's limits, and read alike at any moment. */
+/** A snapshot that outgrows its shards is split within the service's limits; new replicas match the leader's throughout. */
 class SplitSnapshotTest {
 
     private final LargeClusterFixture cluster = new LargeClusterFixture();
     private final StateReplica leader = cluster.leader;
 
     @Test
-    void fourThousandMachinesAreStoredWithinTheLimitsAndReadAlike() {
+    void fourThousandMachinesAreStoredWithinTheLimits() {
         StateReplica follower = cluster.listAtOnce();
         for (int i = 0; i < MACHINES; i += MACHINES_IN_ENTRY) {
             cluster.write(machinesOfEntry(i));
-            // A record that is removed must not come back from a bucket of which only a part was rewritten.
+            // A removed record must not reappear from a bucket that was only partly rewritten.
             cluster.remove(List.of(machine(cluster.random.nextInt(i + 1))));
-            // Between these sizes shards outgrow what one transaction compacts, and are partly split for a while.
+            // Between these sizes, shards outgrow one compaction, and are partly split for a while.
             if (i > MACHINES / 5 && i < MACHINES / 2 || i % (10 * MACHINES_IN_ENTRY) == 0) {
-                cluster.assertReadAlike("filled up to " + i);
+                cluster.assertNewReplicaMatchesLeader("filled up to " + i);
             }
         }
         int listings = 0;
         for (int round = 0; round < 12; round++) {
             for (int i = 0; i < 60; i++) {
-                cluster.writeAny();
+                cluster.writeRandomMachines();
             }
             StateReplica lister = cluster.listInPages();
             cluster.follow(follower);
             assertFalse(follower.isInconsistent(), "round " + round);
-            assertEquals(seen(leader), seen(follower), "follower in round " + round);
+            assertEquals(visibleState(leader), visibleState(follower), "follower in round " + round);
             if (lister != null) {
                 listings++;
                 assertFalse(lister.isInconsistent(), "round " + round);
-                assertEquals(seen(leader), seen(lister), "lister in round " + round);
+                assertEquals(visibleState(leader), visibleState(lister), "lister in round " + round);
             }
         }
         assertTrue(listings >= 8, "only " + listings + " of 12 listings were consistent");
@@ -64,12 +64,12 @@
         assertEquals(List.of(), cluster.state.oversized());
     }
 
-    /** The ring buffer stays in proportion to the snapshot, and nothing is overwritten before it is compacted. */
+    /** The ring buffer stays proportional to the snapshot, and no entry is overwritten before it is compacted. */
     @Test
     void theRingBufferGrowsWithTheSnapshotAndStaysBounded() {
         cluster.fill();
         for (int i = 0; i < 3000; i++) {
-            cluster.writeAny();
+            cluster.writeRandomMachines();
             assertFalse(leader.log().isFull(), "after " + i);
         }
         int entries = cluster.list(Keys.LOG).size();
@@ -77,45 +77,45 @@
         assertTrue(entries <= WorkLog.capacity(leader.log().snapshot().regionCount()), entries + " entries");
     }
 
-    /** Without the layout that allows it nothing is split: then the service refuses what has outgrown a transaction. */
+    /** In the first layout no shard is split, so the service rejects a transaction that has become too large. */
     @Test
     void withoutSplittingTheLimitsAreExceeded() {
         cluster.activate(Layouts.FIRST);
         try {
             for (int i = 0; i < MACHINES; i++) {
                 List<String> machine = List.of(machine(i));
-                // What doesn't fit beside a compaction is written with a later transaction.
-                while (!leader.placedMachines().containsAll(machine)) {
+                // A record that doesn't fit beside a compaction is written by a later transaction.
+                while (!leader.machinesWithRecords().containsAll(machine)) {
                     cluster.write(machine);
                 }
             }
         } catch (AssertionError refused) {
             assertFalse(cluster.state.oversized().isEmpty());
             assertEquals(Layouts.FIRST, leader.layout());
-            int stored = leader.placedMachines().size();
+            int stored = leader.machinesWithRecords().size();
             assertTrue(stored > MACHINES / 4, "only " + stored + " machines were stored");
             return;
         }
         throw new AssertionError("4,000 machines fit into the first layout");
     }
 
-    /** What the program before stored, kept as the service would list it: read in full, and taken over by the second layout. */
+    /** A listing kept from the previous version of the program is read completely and converted to the second layout. */
     @Test
-    void whatTheProgramBeforeStoredIsRead() throws IOException {
-        Map<?, ?> kept;
+    void theStateOfThePreviousVersionIsRead() throws IOException {
+        Map<?, ?> recorded;
         try (InputStream in = SplitSnapshotTest.class.getResourceAsStream("/layouts/first-layout.cbor")) {
-            kept = Cbor.readMap(in.readAllBytes());
+            recorded = Cbor.readMap(in.readAllBytes());
         }
         List<KeyChange> stored = new ArrayList<>();
-        for (Object pair : (List<?>) kept.get("pairs")) {
+        for (Object pair : (List<?>) recorded.get("pairs")) {
             Map<?, ?> row = (Map<?, ?>) pair;
             stored.add(new KeyChange((String) row.get("key"), row.get("v"), ((Number) row.get("stamp")).longValue()));
         }
         StateReplica replica = new StateReplica();
-        replica.reset(stored, ((Number) kept.get("ledger")).longValue());
+        replica.reset(stored, ((Number) recorded.get("ledger")).longValue());
         assertTrue(replica.isLoaded(), replica.unreadable());
         assertEquals(VersionRange.FIRST, replica.controller("n0").layouts());
-        Map<?, ?> expected = (Map<?, ?>) kept.get("expected");
+        Map<?, ?> expected = (Map<?, ?>) recorded.get("expected");
         assertEquals(((Number) expected.get("sequence")).longValue(), replica.sequence());
         assertEquals(expected.get("placements"), placementsOf(replica));
         ((Map<?, ?>) expected.get("finished"))
@@ -125,10 +125,10 @@
         Transaction everything = new Transaction();
         stored.forEach(c -> everything.put(c.key(), c.value()));
         everything.put(Keys.VERSION, Records.version(new ClusterVersion(Layouts.SPLIT_SNAPSHOT, Layouts.FIRST)));
-        StateModel taken = new StateModel();
-        taken.commit(everything);
+        StateModel converted = new StateModel();
+        converted.commit(everything);
         StateReplica follower = new StateReplica();
-        follower.reset(taken.list(Keys.REPLICATED, null, 100_000), taken.revision());
+        follower.reset(converted.list(Keys.REPLICATED, null, 100_000), converted.revision());
         for (int i = 0; i < 3 * WorkLog.FIRST_CAPACITY; i++) {
             LogWriter log =
                     new LogWriter(follower, new LogWriter.Limits(VALUE_BYTES, OPS, Layouts.SPLIT_SNAPSHOT, false));
@@ -137,18 +137,18 @@
                     transaction,
                     Map.of("m-999999", new MachineRecord("a", List.of(), Map.of("img", (double) i))),
                     Map.of());
-            assertEquals(200, taken.commit(transaction));
-            follower.advance(taken.changes(Keys.REPLICATED, follower.revision()), taken.revision());
+            assertEquals(200, converted.commit(transaction));
+            follower.advance(converted.changes(Keys.REPLICATED, follower.revision()), converted.revision());
         }
         assertEquals(Layouts.SPLIT_SNAPSHOT, follower.layout());
         StateReplica fresh = new StateReplica();
-        fresh.reset(taken.list(Keys.REPLICATED, null, 100_000), taken.revision());
+        fresh.reset(converted.list(Keys.REPLICATED, null, 100_000), converted.revision());
         Map<String, List<String>> after = placementsOf(fresh);
         after.remove("m-999999");
         assertEquals(expected.get("placements"), after);
     }
 
-    /** A bucket that a listing missed, since it was split while its pages were read, is a gap and not an empty cluster. */
+    /** A bucket that a listing missed, because it was split during the listing, must be detected and not be read as empty. */
     @Test
     void aListingWithoutOneOfTheBucketsIsInconsistent() {
         cluster.fill();
@@ -159,18 +159,20 @@
                 .toList();
         assertTrue(buckets.size() > WorkLog.SHARDS, buckets.size() + " buckets");
         int inconsistent = 0;
-        for (KeyChange missed : buckets) {
+        for (KeyChange missing : buckets) {
             StateReplica replica = new StateReplica();
             replica.reset(
                     all.stream()
-                            .filter(listed -> !listed.key().equals(missed.key()))
+                            .filter(listed -> !listed.key().equals(missing.key()))
                             .toList(),
                     cluster.state.revision());
-            // Where an older bucket above it is still stored, the entries since then are needed, and there or missing.
+            // If an older, larger bucket is still stored, the later entries are needed: stored or missing.
             boolean isBehind = replica.sequence() < leader.sequence();
             assertTrue(
-                    replica.isInconsistent() || isBehind || seen(replica).equals(seen(leader)),
-                    "without " + missed.key());
+                    replica.isInconsistent()
+                            || isBehind
+                            || visibleState(replica).equals(visibleState(leader)),
+                    "without " + missing.key());
             inconsistent += replica.isInconsistent() ? 1 : 0;
         }
         assertTrue(inconsistent > WorkLog.SHARDS, "only " + inconsistent + " were inconsistent");
@@ -178,19 +180,19 @@
 
     private static Map<String, List<String>> placementsOf(StateReplica replica) {
         Map<String, List<String>> placements = new TreeMap<>();
-        for (String machine : replica.placedMachines()) {
+        for (String machine : replica.machinesWithRecords()) {
             placements.put(
                     machine,
                     replica.placements(machine).stream()
                             .map(placement -> placement.task() + " " + placement.attempt() + " "
-                                    + placement.agentEpoch() + " " + keptWord(placement.stop()))
+                                    + placement.agentEpoch() + " " + storedStopName(placement.stop()))
                             .toList());
         }
         return placements;
     }
 
-    /** The word for a stop in the kept file, which the program before wrote with the names of its own constants. */
-    private static String keptWord(Placement.Stop stop) {
+    /** Returns the name of a stop mode in the kept file, which uses the constants of the previous version of the program. */
+    private static String storedStopName(Placement.Stop stop) {
         return switch (stop) {
             case KEEP -> "KEEP";
             case CHECKPOINT -> "SAVE";
--- a/src/test/java/garnetscale/core/state/StoredFormsTest.java
+++ b/src/test/java/garnetscale/core/state/StoredFormsTest.java
@@ -24,14 +24,14 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** The exact keys and values of every record in the state service, and that each value is read back as it was. */
+/** Checks the exact keys and values of every record in the state service, and that every value decodes to the original. */
 class StoredFormsTest {
 
     private static final ExpectedForms EXPECTED = new ExpectedForms("stored.txt");
     private static final String JOB = "wk-000412";
     private static final long ATTEMPT = 1L << 40;
 
-    /** The two jobs differ in their flags such that no two flags can be taken for each other. */
+    /** The flags of the two jobs differ so that a codec that mixes up any two flags fails. */
     private static JobSpec fullJob(Priority priority) {
         return new JobSpec(
                 JOB,
@@ -262,7 +262,7 @@
                 SnapshotIndex.bucketOf(root.child(1).child(1).key()));
     }
 
-    /** Where machines and parts of finished sets lie: any other hash would look for them in other keys. */
+    /** Pins the hashes and shards of machines and parts of finished sets: another hash would look them up under other keys. */
     @Test
     void bucketHashes() {
         int machine = Bucket.hashOfMachine("m-000231");
--- a/src/test/java/garnetscale/core/state/StoredLogTest.java
+++ b/src/test/java/garnetscale/core/state/StoredLogTest.java
@@ -13,7 +13,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** What the log writer puts into transactions, entry by entry, for a small store that is the same in every run. */
+/** Compares the transactions of the log writer with kept ones, entry by entry, for a small deterministic store. */
 class StoredLogTest {
 
     private static final ExpectedForms EXPECTED = new ExpectedForms("log.txt");
@@ -22,12 +22,12 @@
     private static final int MACHINES = 40;
     private static final String JOB = "wk-1";
     private static final int TASKS = 10_000;
-    /** Enough for the whole ring buffer to be overwritten and for every shard to be compacted. */
+    /** Enough to overwrite the whole ring buffer and compact every shard. */
     private static final int ENTRIES = WorkLog.FIRST_CAPACITY + WorkLog.SHARDS;
     /** The first entry with which a compaction is due, counted from 0. */
     private static final int FIRST_COMPACTION = WorkLog.FIRST_CAPACITY / 2;
 
-    /** Nothing is drawn by lot here. */
+    /** This test uses no random numbers. */
     private static final long ANY_SEED = 0;
 
     private final LogFixture log = new LogFixture(
@@ -35,7 +35,7 @@
     private final StateReplica replica = log.leader;
     private final List<Transaction> written = new ArrayList<>();
 
-    /** Places an attempt on one machine in place of what it had, and finishes a task. */
+    /** Replaces the placements of one machine with a single attempt, and finishes a task. */
     private void write(LogWriter.Limits limits) {
         int number = written.size();
         LogWriter writer = new LogWriter(replica, limits);
@@ -53,9 +53,9 @@
         written.add(transaction);
     }
 
-    private void write(int entries, int layout, boolean splitsAny) {
+    private void write(int entries, int layout, boolean forcesSplit) {
         for (int i = 0; i < entries; i++) {
-            write(new LogWriter.Limits(VALUE_BYTES, OPS, layout, splitsAny));
+            write(new LogWriter.Limits(VALUE_BYTES, OPS, layout, forcesSplit));
         }
     }
 
@@ -63,7 +63,7 @@
         EXPECTED.checkTree(name, StateCodec.tree(written.get(number)));
     }
 
-    /** The keys that each transaction writes, and removes (marked by a minus sign). */
+    /** Checks the keys that each transaction puts and deletes; deletes are marked with a minus sign. */
     private void checkKeys(String name, int from) {
         List<Object> keys = new ArrayList<>();
         for (Transaction transaction : written.subList(from, written.size())) {
--- a/src/test/java/garnetscale/core/state/WorkLogTest.java
+++ b/src/test/java/garnetscale/core/state/WorkLogTest.java
@@ -18,7 +18,7 @@
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
 
-/** Whoever follows the store in any steps, and whoever lists it in pages while it changes, sees the same work. */
+/** Replicas updated from watches in any steps, and replicas loaded from pages during writes, contain the same state. */
 class WorkLogTest {
 
     private static final int VALUE_BYTES = 16 * 1024;
@@ -35,7 +35,7 @@
         return TestJob.named(id).tasks(10_000).imageGb(1).build();
     }
 
-    /** Replaces what is placed on a few machines and finishes a task here and there. */
+    /** Replaces the placements of a few machines and sometimes finishes a task. */
     private void write() {
         LogWriter writer = new LogWriter(leader, VALUE_BYTES);
         Map<String, MachineRecord> machines = new LinkedHashMap<>();
@@ -65,7 +65,7 @@
         log.commit(transaction);
     }
 
-    /** Lists in pages, with the store going on between them, as long as it takes to get a consistent listing. */
+    /** Lists in pages with writes between them, and repeats up to {@link #MAX_LISTINGS} times until a listing is consistent. */
     private StateReplica list() {
         for (int tries = 0; tries < MAX_LISTINGS; tries++) {
             StateReplica replica = log.listInPages(PAGE_KEYS, this::write);
@@ -77,9 +77,9 @@
         throw new AssertionError("no listing was consistent");
     }
 
-    private static Map<String, Object> seen(StateReplica replica) {
+    private static Map<String, Object> visibleState(StateReplica replica) {
         Map<String, Object> all = new TreeMap<>();
-        replica.placedMachines().forEach(id -> all.put(id, replica.placements(id)));
+        replica.machinesWithRecords().forEach(id -> all.put(id, replica.placements(id)));
         all.put("placed", replica.job("wk-1").placedCount());
         all.put("finished", replica.job("wk-2").finishedSet());
         all.put("count", replica.job("wk-2").finishedCount());
@@ -87,11 +87,12 @@
     }
 
     /**
-     * The follower takes many entries at once, with compactions among them: the number of one once hid the entries that came
-     * in the same answer and before it, and the placements of all machines were lost on one controller.
+     * Guards against a follower that skips entries when a watch response contains both entries and compactions. The sequence
+     * number of a compaction once hid the entries before it in the same response, and one controller lost the placements of
+     * all machines.
      */
     @Test
-    void followersAndListersSeeTheSame() {
+    void followersAndListersSeeTheSameState() {
         StateReplica follower = list();
         for (int round = 0; round < 40; round++) {
             for (int i = random.nextInt(40); i >= 0; i--) {
@@ -99,18 +100,18 @@
             }
             log.follow(follower);
             assertFalse(follower.isInconsistent());
-            assertEquals(seen(leader), seen(follower), "follower in round " + round);
+            assertEquals(visibleState(leader), visibleState(follower), "follower in round " + round);
             StateReplica lister = list();
-            assertEquals(seen(leader), seen(lister), "lister in round " + round);
+            assertEquals(visibleState(leader), visibleState(lister), "lister in round " + round);
             log.follow(follower);
         }
         assertTrue(leader.sequence() > 4 * WorkLog.FIRST_CAPACITY, "only " + leader.sequence() + " entries");
         assertTrue(log.list(Keys.LOG).size() <= WorkLog.FIRST_CAPACITY);
     }
 
-    /** A follower that is told only the newest entry under a key has to notice that it lost the others. */
+    /** A follower that receives only the newest entry must detect that earlier ones are missing. */
     @Test
-    void lostEntriesAreNoticed() {
+    void missingEntriesAreDetected() {
         StateReplica follower = list();
         long from = follower.revision();
         write();
@@ -120,7 +121,7 @@
         assertTrue(follower.isInconsistent());
     }
 
-    /** The largest records that the limits allow still make values and transactions that the service takes. */
+    /** Pages with the largest records that the limits allow stay within the size of a value. */
     @Test
     void pagesStayBelowTheLimits() {
         WorkLog.Contents shard = new WorkLog.Contents(1, new LinkedHashMap<>(), new LinkedHashMap<>());
@@ -143,21 +144,21 @@
         List<WorkLog.Contents> pages = LogSizes.pages(shard, VALUE_BYTES * 15 / 16);
         assertTrue(pages.size() > 2);
         for (WorkLog.Contents page : pages) {
-            int bytes = json(LogCodec.encodePage(page, pages.size()));
+            int bytes = jsonBytes(LogCodec.encodePage(page, pages.size()));
             assertTrue(bytes <= VALUE_BYTES, bytes + " bytes");
         }
     }
 
-    /** Bytes of a value in JSON, as the protocol counts. */
-    private static int json(Object value) {
+    /** Returns the size in bytes of a value in JSON, as the protocol counts it. */
+    private static int jsonBytes(Object value) {
         if (value instanceof Map<?, ?> map) {
             return 2
                     + map.entrySet().stream()
-                            .mapToInt(field -> json(field.getKey()) + 2 + json(field.getValue()))
+                            .mapToInt(field -> jsonBytes(field.getKey()) + 2 + jsonBytes(field.getValue()))
                             .sum();
         }
         if (value instanceof List<?> list) {
-            return 2 + list.stream().mapToInt(element -> json(element) + 1).sum();
+            return 2 + list.stream().mapToInt(element -> jsonBytes(element) + 1).sum();
         }
         return value instanceof String text
                 ? LogSizes.text(text)
--- a/src/test/java/garnetscale/core/trace/TraceCluster.java
+++ b/src/test/java/garnetscale/core/trace/TraceCluster.java
@@ -305,7 +305,7 @@
         boolean answered = end.equals("ok");
         node.pipeline.ended(
                 !answered
-                        ? TransactionOutcome.MAYBE
+                        ? TransactionOutcome.UNKNOWN
                         : result.equals("200") ? TransactionOutcome.OK : TransactionOutcome.CONFLICT,
                 state.revision());
         node.pipeline.ready();
--- a/src/test/java/garnetscale/core/upgrade/UpgradeCluster.java
+++ b/src/test/java/garnetscale/core/upgrade/UpgradeCluster.java
@@ -10,13 +10,13 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** A few controllers on one key-value store, each with a replica that is as old as the test leaves it. */
+/** A few controllers on one key-value store; each replica is updated only when the test does so. */
 final class UpgradeCluster {
 
     static final long SETTLE_MS = 1000;
     static final int VALUE_BYTES = 16 * 1024;
 
-    /** A controller's process. */
+    /** A controller process. */
     static final class Controller {
         final String name;
         final VersionRange supported;
@@ -35,7 +35,7 @@
     private final Map<String, Long> leases = new HashMap<>();
     private long term;
 
-    /** Starts a controller under a name, which lists the keys and registers itself. */
+    /** Starts a controller process; it lists the keys and registers itself if it can read them. */
     Controller start(String name, VersionRange supported) {
         end(name);
         Controller controller = new Controller(name, supported);
@@ -55,7 +55,7 @@
         return controller;
     }
 
-    /** The process under a name ends, and so does its lease. */
+    /** Ends a controller process and its lease. */
     void end(String name) {
         Long lease = leases.remove(name);
         if (lease != null) {
@@ -63,7 +63,7 @@
         }
     }
 
-    /** The controller becomes the leader. */
+    /** Makes a controller the leader. */
     void elect(Controller controller) {
         long lease = leases.getOrDefault(controller.name, 0L);
         commit(
@@ -72,7 +72,7 @@
                         .put(Keys.LEADER, Records.leader(new LeaderInfo(controller.name, lease, ++term)), lease));
     }
 
-    /** Sends a change as every controller does: it fails unless the version is the one that the sender knows. */
+    /** Commits as every controller does: fails unless the active version is the one in its replica; 0 if that isn't loaded. */
     int commit(Controller by, Transaction transaction) {
         return by.replica.isLoaded() ? state.commit(by.replica.guardVersion(transaction)) : 0;
     }
@@ -90,7 +90,7 @@
         }
     }
 
-    /** The active version as it is stored. */
+    /** Returns the stored version. */
     ClusterVersion version() {
         StateReplica all = new StateReplica(new VersionRange(1, Integer.MAX_VALUE));
         all.reset(state.list(Keys.VERSION, null, 1), state.revision());
--- a/src/test/java/garnetscale/core/upgrade/UpgradeCoordinatorTest.java
+++ b/src/test/java/garnetscale/core/upgrade/UpgradeCoordinatorTest.java
@@ -16,7 +16,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** Each step with what prevents it, and steps that coincide with controllers that join, leave and restart. */
+/** The preconditions of every step, and steps concurrent with controllers that join, leave and restart. */
 class UpgradeCoordinatorTest {
 
     private static final VersionRange OLD = VersionRange.FIRST;
@@ -32,7 +32,7 @@
         settle();
     }
 
-    /** The leader sees who is there, and has done so for long enough afterwards. */
+    /** Lets the leader observe the live controllers for longer than the settle time. */
     private void settle() {
         cluster.follow(leader);
         now += LATER;
@@ -40,21 +40,21 @@
         now += LATER;
     }
 
-    private UpgradeDecision ask(UpgradeStep step) {
+    private UpgradeDecision decide(UpgradeStep step) {
         cluster.follow(leader);
         leader.upgrades.observe(now);
         return leader.upgrades.decide(now, step);
     }
 
     private Transaction transaction(UpgradeStep step) {
-        return assertInstanceOf(UpgradeDecision.Commit.class, ask(step)).transaction();
+        return assertInstanceOf(UpgradeDecision.Commit.class, decide(step)).transaction();
     }
 
     private String refusal(UpgradeStep step) {
-        return assertInstanceOf(UpgradeDecision.Refused.class, ask(step)).reason();
+        return assertInstanceOf(UpgradeDecision.Refused.class, decide(step)).reason();
     }
 
-    private void carryOut(UpgradeStep step) {
+    private void execute(UpgradeStep step) {
         assertEquals(200, cluster.commit(leader, transaction(step)));
         cluster.follow(leader);
     }
@@ -66,39 +66,39 @@
     }
 
     @Test
-    void aControllerThatDoesNotSupportTheVersionIsNamed() {
+    void refusalNamesTheControllerThatDoesNotSupportTheVersion() {
         cluster.start("n1", OLD);
         settle();
         assertEquals("controller n1 supports 1 to 1 and not 2", refusal(UpgradeStep.ACTIVATE));
         cluster.start("n1", NEW);
         assertEquals("controller n1 has been there for 0 of 1000 ms that it has to", refusal(UpgradeStep.ACTIVATE));
         settle();
-        carryOut(UpgradeStep.ACTIVATE);
+        execute(UpgradeStep.ACTIVATE);
         assertEquals(new ClusterVersion(2, 1), cluster.version());
     }
 
     @Test
-    void everyStepIsIdempotentAndFinalizingIsForGood() {
-        carryOut(UpgradeStep.ACTIVATE);
-        assertInstanceOf(UpgradeDecision.Done.class, ask(UpgradeStep.ACTIVATE));
-        carryOut(UpgradeStep.DEACTIVATE);
-        assertInstanceOf(UpgradeDecision.Done.class, ask(UpgradeStep.DEACTIVATE));
+    void everyStepIsIdempotentAndFinalizingIsPermanent() {
+        execute(UpgradeStep.ACTIVATE);
+        assertInstanceOf(UpgradeDecision.Done.class, decide(UpgradeStep.ACTIVATE));
+        execute(UpgradeStep.DEACTIVATE);
+        assertInstanceOf(UpgradeDecision.Done.class, decide(UpgradeStep.DEACTIVATE));
         assertEquals(ClusterVersion.FIRST, cluster.version());
-        carryOut(UpgradeStep.ACTIVATE);
-        carryOut(UpgradeStep.FINALIZE);
-        assertInstanceOf(UpgradeDecision.Done.class, ask(UpgradeStep.FINALIZE));
+        execute(UpgradeStep.ACTIVATE);
+        execute(UpgradeStep.FINALIZE);
+        assertInstanceOf(UpgradeDecision.Done.class, decide(UpgradeStep.FINALIZE));
         assertEquals("version 2 is finalized", refusal(UpgradeStep.DEACTIVATE));
         assertEquals(new ClusterVersion(2, 2), cluster.version());
     }
 
-    /** In the same instant, and so after the leader has looked: any change of who is there makes the activation fail. */
+    /** A guarded controller that leaves or restarts after the leader's last observation makes the activation fail. */
     @Test
-    void whoeverJoinsLeavesOrReturnsMakesTheActivationFail() {
+    void aControllerThatLeavesOrRestartsMakesTheActivationFail() {
         cluster.start("n1", NEW);
         settle();
-        Transaction beforeReturn = transaction(UpgradeStep.ACTIVATE);
+        Transaction beforeRestart = transaction(UpgradeStep.ACTIVATE);
         cluster.start("n1", OLD);
-        assertEquals(409, cluster.commit(leader, beforeReturn));
+        assertEquals(409, cluster.commit(leader, beforeRestart));
         cluster.start("n1", NEW);
         settle();
         Transaction beforeLeaving = transaction(UpgradeStep.ACTIVATE);
@@ -107,14 +107,17 @@
         assertEquals(ClusterVersion.FIRST, cluster.version());
     }
 
-    /** One that joins for the first time isn't among those relied on; it reads the version first, and so stands aside. */
+    /** A controller that joins for the first time isn't guarded; it reads the version first and then makes no decisions. */
     @Test
-    void anOldControllerThatJoinsMeanwhileStandsAside() {
+    void anOldControllerThatJoinsDuringActivationStaysInactive() {
         Transaction activation = transaction(UpgradeStep.ACTIVATE);
         UpgradeCluster.Controller old = cluster.start("n1", OLD);
         assertTrue(old.replica.isLoaded());
         assertEquals(200, cluster.commit(leader, activation));
-        assertEquals(409, cluster.commit(old, job("wk-1")), "it hasn't seen the switch, and writes nothing");
+        assertEquals(
+                409,
+                cluster.commit(old, job("wk-1")),
+                "its replica is older than the activation, so the write must fail");
         cluster.follow(old);
         assertFalse(old.replica.isLoaded());
         assertEquals(
@@ -124,14 +127,14 @@
         assertEquals(0, cluster.commit(old, job("wk-1")));
         cluster.end("n1");
         settle();
-        carryOut(UpgradeStep.DEACTIVATE);
+        execute(UpgradeStep.DEACTIVATE);
         cluster.follow(old);
-        assertTrue(old.replica.isLoaded(), "and is back once the version before is active again");
+        assertTrue(old.replica.isLoaded(), "loaded again once the previous version is active");
         assertEquals(200, cluster.commit(old, job("wk-1")));
     }
 
     @Test
-    void aLeaderThatWasReplacedActivatesNothing() {
+    void aReplacedLeaderCannotActivate() {
         Transaction late = transaction(UpgradeStep.ACTIVATE);
         UpgradeCluster.Controller next = cluster.start("n1", NEW);
         cluster.elect(next);
@@ -143,14 +146,14 @@
     void aLateActivationDoesNotUndoADeactivation() {
         Transaction repeated = transaction(UpgradeStep.ACTIVATE);
         assertEquals(200, cluster.commit(leader, repeated));
-        carryOut(UpgradeStep.DEACTIVATE);
+        execute(UpgradeStep.DEACTIVATE);
         assertEquals(409, cluster.state.commit(repeated));
         assertEquals(ClusterVersion.FIRST, cluster.version());
     }
 
-    /** Cut short, or of a kind that nobody knows: it is never taken for absent, and nothing is decided from the rest. */
+    /** A truncated or unknown record is never treated as absent, and no decisions are made from the other records. */
     @Test
-    void aRecordThatDoesNotParseIsAnErrorOfThatRecord() {
+    void anInvalidRecordMakesTheReplicaUnreadable() {
         cluster.state.commit(job("wk-1"));
         cluster.state.commit(new Transaction().put(Keys.job("wk-2"), Map.of("s", "LIVE")));
         cluster.follow(leader);
@@ -162,7 +165,7 @@
         cluster.state.commit(job("wk-2")
                 .guard(Keys.job("wk-2"), cluster.state.get(Keys.job("wk-2")).modRevision()));
         cluster.list(leader);
-        assertTrue(leader.replica.isLoaded(), "readable again, and so is everything");
+        assertTrue(leader.replica.isLoaded(), "loaded again once the record is valid");
         assertNotNull(leader.replica.job("wk-1"));
     }
 }
