--- a/src/test/java/garnetscale/core/upgrade/UpgradePropertiesTest.java
+++ b/src/test/java/garnetscale/core/upgrade/UpgradePropertiesTest.java
@@ -23,14 +23,14 @@
 import net.jqwik.api.Tuple;
 import net.jqwik.api.lifecycle.AfterContainer;
 
-/** Whatever the order of steps and failures: nobody writes while a version is active that it doesn't support. */
+/** In any order of steps and failures, no controller writes while a version is active that it doesn't support. */
 class UpgradePropertiesTest {
 
     private static final VersionRange OLD = VersionRange.FIRST;
     private static final VersionRange NEW = Layouts.SUPPORTED;
     private static final int CONTROLLERS = 3;
 
-    /** What may happen; transactions are held and sent again at any later time, as by a network that delays and repeats. */
+    /** Kinds of events. Transactions are kept and sent again later, as in a network that delays and duplicates messages. */
     enum Kind {
         START_OLD,
         START_NEW,
@@ -44,10 +44,10 @@
         SEND_AGAIN
     }
 
-    /** Something that happens to one controller of a random history. */
+    /** An event of a random history, at one controller. */
     record Event(Kind kind, int controller) {}
 
-    /** Versions that became active, over all tries. */
+    /** Number of activations, over all tries. */
     private static int activations;
 
     private record Sent(UpgradeCluster.Controller by, Transaction transaction) {}
@@ -73,7 +73,7 @@
     }
 
     @Property(tries = 2500, seed = "1602")
-    void noWriterIsOutsideTheActiveVersion(@ForAll("events") List<Event> events) {
+    void noControllerWritesInAVersionThatItDoesNotSupport(@ForAll("events") List<Event> events) {
         UpgradeCluster cluster = new UpgradeCluster();
         Map<Integer, UpgradeCluster.Controller> controllers = new HashMap<>();
         List<Sent> sent = new ArrayList<>();
@@ -152,12 +152,12 @@
     }
 
     @AfterContainer
-    static void versionsDidBecomeActive() {
+    static void activationsAreCovered() {
         assertTrue(activations > 100, "only " + activations + " activations");
     }
 
     @Property(tries = 200, seed = "2024")
-    void aVersionIsReadAsItWasWritten(@ForAll("versions") ClusterVersion version) {
+    void versionRoundTrip(@ForAll("versions") ClusterVersion version) {
         UpgradeCluster cluster = new UpgradeCluster();
         cluster.state.commit(new Transaction().put(Keys.VERSION, Records.version(version)));
         assertEquals(version, cluster.version());
