--- a/src/main/java/garnetscale/core/state/Compaction.java
+++ b/src/main/java/garnetscale/core/state/Compaction.java
@@ -11,10 +11,9 @@
  */
 final class Compaction {
 
-    /** A compaction that can be spread over several transactions uses at most one in this many of a transaction's operations. */
+    /** Divides a transaction's operations; a compaction that can be spread over several transactions uses one such share. */
     private static final int OPS_DIVISOR = 3;
-
-    /** Lower bound of that limit. */
+    /** Lower bound of a compaction's share of operations. */
     private static final int MIN_OPS = 3;
 
     private final LogReplica log;
--- a/src/test/java/garnetscale/core/state/SplitSnapshotTest.java
+++ b/src/test/java/garnetscale/core/state/SplitSnapshotTest.java
@@ -166,7 +166,8 @@
                             .filter(listed -> !listed.key().equals(missing.key()))
                             .toList(),
                     cluster.state.revision());
-            // If an older, larger bucket is still stored, the later entries are needed: stored or missing.
+            // The missing region may be read from an older, larger bucket that is still stored. The
+            // replica then applies the entries since that bucket, or is behind if some of them are gone.
             boolean isBehind = replica.sequence() < leader.sequence();
             assertTrue(
                     replica.isInconsistent()
--- a/src/test/java/garnetscale/core/state/StoredFormsTest.java
+++ b/src/test/java/garnetscale/core/state/StoredFormsTest.java
@@ -192,7 +192,7 @@
     }
 
     @Test
-    void node() {
+    void controller() {
         ControllerInfo node = new ControllerInfo("n-0", 7, "a", new VersionRange(1, 2));
         EXPECTED.checkTree("node", Records.controller(node));
         assertEquals(node, Records.controller("n-0", Records.controller(node)));
