--- a/src/main/java/garnetscale/core/leader/Balancer.java
+++ b/src/main/java/garnetscale/core/leader/Balancer.java
@@ -83,7 +83,7 @@
         dueAt = now;
     }
 
-    /** Records that a message of the controller has arrived. */
+    /** Records that a message from the controller has arrived. */
     void onControllerMessage(long now, String node) {
         observer.onControllerMessage(now, node);
     }
@@ -119,7 +119,7 @@
                         placement -> placement.attempt() == move.attempt() && placement.stop() == Placement.Stop.KEEP);
     }
 
-    /** Updates the load and plans moves, once per heartbeat interval. */
+    /** Updates the load and plans moves, at most once per heartbeat interval. */
     void plan(SchedulingCycle cycle) {
         if (!settings.enabled() || cycle.now() < dueAt) {
             return;
@@ -207,7 +207,8 @@
 
     /**
      * Returns whether the job has waited for at least a heartbeat interval and no bidder has room for it. Always false for jobs
-     * with a zone affinity or anti-affinity, because room in another zone might be of no use to them.
+     * with a zone affinity or anti-affinity, because room in another zone might be of no use to them, for quarantined jobs, and
+     * for jobs that their team's quota doesn't allow.
      */
     private boolean findsNoRoom(SchedulingCycle cycle, JobView job) {
         return !job.spec().zoneAffinity()
--- a/src/main/java/garnetscale/core/leader/BidRanking.java
+++ b/src/main/java/garnetscale/core/leader/BidRanking.java
@@ -16,9 +16,12 @@
 /** Ranks the usable bids for a job, best first. A new instance is created for each scheduling cycle. */
 final class BidRanking {
 
-    /** A sort key consists, from its low bits on, of the bid's index, its finish in tenths of a second, and its rank. */
+    /** Bits of a sort key for the bid's index. From the lowest bits up, a key holds the index, the finish, and the rank. */
     private static final int INDEX_BITS = 22;
 
+    /**
+     * Bits of a sort key for the bid's finish in tenths of a second. Finishes beyond the maximum, about 7 hours, are capped.
+     */
     private static final int FINISH_BITS = 18;
 
     /** A usable bid, and the machine that it is for. */
@@ -44,9 +47,9 @@
     }
 
     /**
-     * Returns the usable bids for the job, sorted by their finish. Bids within the same whole second count as equal, because
-     * estimates are no more accurate than that. Among equals, spot machines come first: a job that loses nothing by running on
-     * one leaves regular machines to jobs that would lose by it.
+     * Returns the usable bids for the job, sorted by their estimated finish. Bids whose finish rounds to the same second count
+     * as equal, because estimates are no more accurate than that. Among these, spot machines come first: a job that finishes no
+     * later on a spot machine leaves regular machines to jobs that would.
      */
     List<Candidate> ranked(JobSpec job) {
         List<Candidate> usable = usable(job);
@@ -87,8 +90,8 @@
     }
 
     /**
-     * Returns the rank of a bid, which is the same for bids that count as equal: by finish in whole seconds, with spot machines
-     * before others.
+     * Returns the rank of a bid, which is the same for bids that count as equal: by finish rounded to seconds, with spot
+     * machines before others.
      */
     private static long rank(Candidate candidate) {
         return 2 * Math.round(candidate.bid().finishS())
--- a/src/main/java/garnetscale/core/leader/ExitRecorder.java
+++ b/src/main/java/garnetscale/core/leader/ExitRecorder.java
@@ -24,7 +24,7 @@
     /**
      * The end of an attempt, as published by the partition's owner.
      *
-     * @param partitionTerm term of the owner's lease; once the partition has a new term, this report doesn't count any more
+     * @param partitionTerm term of the owner's lease; once the partition has a new term, this report no longer counts
      * @param status        exit of the attempt, or null if it was terminated without one
      */
     private record Exit(String machine, String partition, long partitionTerm, long attempt, TaskStatus status) {}
@@ -70,7 +70,7 @@
         }
     }
 
-    /** Handles the proof of the cloud that nothing runs on the machine any more. */
+    /** Handles the cloud's proof that nothing runs on the machine any more. */
     void onMachineTerminated(String machine) {
         terminatedMachines.add(machine);
     }
--- a/src/main/java/garnetscale/core/leader/FailureTracker.java
+++ b/src/main/java/garnetscale/core/leader/FailureTracker.java
@@ -12,9 +12,9 @@
 import java.util.function.Predicate;
 
 /**
- * Distinguishes jobs that fail by their own fault from faulty machines, by whether other tasks succeed. A job that fails on
- * several machines and completes no task is quarantined. Its failures, past and future, are then not counted against any
- * machine; otherwise two faulty submissions spread over a fleet would take all of it out of service.
+ * Distinguishes jobs that fail by their own fault from jobs that fail because of faulty machines, by whether other tasks
+ * succeed. A job that fails on several machines and completes no task is quarantined. Its failures, past and future, are then
+ * not counted against any machine; otherwise two faulty submissions spread over a fleet would take all of it out of service.
  *
  * <p>A quarantined job is retried one task at a time, at growing intervals, until one of its tasks completes or its user
  * cancels it. If a job has completed tasks, single tasks of it are quarantined in the same way.
@@ -37,9 +37,12 @@
 
     /** Failures of a job, or of a task of a job that has completed others. */
     private static final class FailureHistory {
+        /** Machines on which the job or task has failed. */
         final Set<String> machines = new HashSet<>();
+
         int retries;
         boolean hasCompletedTasks;
+        /** End of the current backoff, in milliseconds of the steady clock, or {@link Times#NEVER} if there was none. */
         long retryAt = Times.NEVER;
 
         boolean isQuarantined() {
@@ -84,8 +87,8 @@
     }
 
     /**
-     * Records a failure on a machine. Returns whether from now on the job or the task is considered at fault, rather than the
-     * machine.
+     * Records a failure on a machine. Returns whether the job or the task, rather than the machine, is now considered to be at
+     * fault.
      */
     boolean recordFailure(long now, TaskId task, String machine) {
         FailureHistory ofJob = jobs.computeIfAbsent(task.job(), id -> new FailureHistory());
@@ -124,14 +127,16 @@
         return history != null && history.hasCompletedTasks;
     }
 
-    /** Returns whether the backoff after the task's last failure is over. */
+    /**
+     * Returns whether the task isn't in a backoff of its own. The backoff of its job is applied by {@link #allowedPlacements}.
+     */
     boolean mayStart(long now, TaskId task) {
         FailureHistory history = tasks.get(task);
         return history == null || now >= history.retryAt;
     }
 
     /**
-     * Returns how many more tasks of the job may be placed now.
+     * Returns how many more tasks of the job may be placed now, or {@link Integer#MAX_VALUE} if the job isn't quarantined.
      *
      * @param placed number of tasks of the job that are placed already
      */
--- a/src/main/java/garnetscale/core/leader/HeadroomReserve.java
+++ b/src/main/java/garnetscale/core/leader/HeadroomReserve.java
@@ -12,9 +12,9 @@
 
 /**
  * Computes the CPUs that are kept free for urgent classes of jobs, which must start almost at once. An objective for the
- * waiting time that is shorter than two heartbeat intervals can't be met with room that has yet to come free. Less urgent jobs
- * therefore leave as much free as arriving urgent jobs usually take. A job that has itself waited for long is no longer held
- * back.
+ * waiting time of at most two heartbeat intervals can't be met with room that has yet to come free. Less urgent jobs therefore
+ * leave as much free as arriving urgent jobs usually take. Most jobs that have themselves waited for long are no longer held
+ * back; see {@link #appliesTo}.
  */
 final class HeadroomReserve {
 
@@ -61,7 +61,7 @@
         }
     }
 
-    /** Updates the averages of how large jobs of the urgent classes are and how many arrive. */
+    /** Updates the averages of the size and the arrival rate of jobs of the urgent classes. */
     void observe(long now, Iterable<JobView> jobs) {
         double newCpus = 0;
         Set<String> present = new HashSet<>();
@@ -95,7 +95,7 @@
      * size, and tasks that are stopped for others must write their checkpoints first.
      *
      * @param fleetCpus CPUs of the fleet
-     * @param borrows   whether the job that leaves them free is of low priority and beyond its team's guarantee
+     * @param borrows   whether the job that leaves them free is of low priority and not within a guarantee of its team
      */
     double cpus(double fleetCpus, boolean borrows) {
         double usual = usualJobCpus();
@@ -103,7 +103,7 @@
         return Math.min(MAX_SHARE * fleetCpus, wanted);
     }
 
-    /** Returns the CPUs of one average job of each urgent class. */
+    /** Returns the sum of the CPUs of one average job of each urgent class. */
     private double usualJobCpus() {
         double sum = 0;
         for (double cpus : jobCpus.values()) {
@@ -120,11 +120,11 @@
     /**
      * Returns whether the job must leave the reserve free. The reserve applies only to jobs of lower priority than every job
      * seen of an urgent class, and only until a job has waited for its class's limit. That limit doesn't end it for a job that
-     * borrows and has begun: such a job must leave the reserve free however long it waits. A job that has not begun would
-     * otherwise never begin on a full fleet.
+     * borrows and has begun: such a job must leave the reserve free however long it waits. For a job that has not begun, the
+     * limit always ends the reserve, because it would otherwise never begin on a full fleet.
      *
-     * @param borrows whether the job is of low priority and beyond its team's guarantee
-     * @param wallMs  time of day in milliseconds since 1970
+     * @param borrows whether the job is of low priority and not within a guarantee of its team
+     * @param wallMs  wall-clock time in milliseconds since the Unix epoch
      */
     boolean appliesTo(JobView job, boolean borrows, long wallMs) {
         JobSpec spec = job.spec();
--- a/src/main/java/garnetscale/core/leader/Leader.java
+++ b/src/main/java/garnetscale/core/leader/Leader.java
@@ -24,8 +24,8 @@
  * placements and of finished tasks. It has at most one transaction in flight (see {@link TransactionPipeline}) and drafts each
  * one only from the replica and from what partition owners have published, so a lost response costs no more than a new draft.
  *
- * <p>Every controller has an instance. While its controller doesn't lead, an instance only watches for its turn to be elected.
- * Times are milliseconds of the steady clock.
+ * <p>Every controller has an instance. While its controller doesn't lead, an instance only checks whether its controller should
+ * become the leader. Times are milliseconds of the steady clock.
  */
 public final class Leader {
 
@@ -66,7 +66,7 @@
 
     // ---- leadership
 
-    /** Sets the lease that the state service granted to this process. The lease identifies the process from now on. */
+    /** Sets the ID of the lease that the state service granted to this process. The ID identifies the process from now on. */
     public void onLeaseGranted(long lease) {
         election.onLeaseGranted(lease);
     }
@@ -81,7 +81,7 @@
      * that term and discards everything known from an earlier one.
      */
     public boolean leads(long now) {
-        if (election.takeUp(now)) {
+        if (election.updateTerm(now)) {
             beginTerm(now);
         }
         return election.isLeading();
@@ -125,7 +125,7 @@
 
     // ---- messages
 
-    /** Sets the offset in milliseconds that is added to the steady clock to get the time of day. */
+    /** Sets the offset in milliseconds that is added to the steady clock to get the wall-clock time since the Unix epoch. */
     public void setWallClockOffset(long offset) {
         wallClockOffset = offset;
     }
@@ -142,7 +142,8 @@
     }
 
     /**
-     * Handles a machine status published by a partition's owner. The status is dropped if the sender isn't the current owner.
+     * Handles a machine status published by a partition's owner. The status is ignored if this controller doesn't lead, or if
+     * the sender no longer holds the partition's lease.
      */
     public void onMachineStatus(long now, MachineStatus status) {
         PartitionLease lease = replica.partition(status.partition());
@@ -243,14 +244,14 @@
         return machineEvaluator.emptyDecommissioned();
     }
 
-    /** Returns whether jobs or tasks have been quarantined since the last call. */
+    /** Returns whether jobs or tasks have been quarantined since the last call of this method. */
     public boolean takeNewlyQuarantined() {
         return machineEvaluator.takeNewlyQuarantined();
     }
 
     /**
-     * Returns the quarantined jobs, which fail on every machine. Because of them, no machines are added, no tasks are preempted
-     * and no machine is kept from bidding.
+     * Returns the quarantined jobs, which fail on every machine. No machines are added and no tasks are preempted for them, and
+     * no machine is kept from bidding because of them.
      */
     public Set<String> quarantinedJobs() {
         return context.failures().quarantinedJobs();
--- a/src/main/java/garnetscale/core/leader/LeaderContext.java
+++ b/src/main/java/garnetscale/core/leader/LeaderContext.java
@@ -17,9 +17,9 @@
  * @param auction    open bids
  * @param estimator  estimates of how long tasks run and how fast machines are
  * @param failures   failures of jobs and tasks, and which of them are quarantined
- * @param order      order in which jobs wait
+ * @param order      order of the waiting jobs
  * @param capacities capacity that stored placements leave free
- * @param awardTimes when this leader placed its attempts
+ * @param awardTimes times at which this leader placed its attempts
  * @param log        receives one line for each event of interest to operators
  */
 record LeaderContext(
--- a/src/main/java/garnetscale/core/leader/LeaderElection.java
+++ b/src/main/java/garnetscale/core/leader/LeaderElection.java
@@ -25,7 +25,8 @@
     /** Controller leases for which a leader must have been visible in the replica before it may be deposed. */
     private static final int LEASES_BEFORE_DEPOSING = 4;
     /**
-     * Time for which a leader that resigned leaves the leadership to other controllers, in multiples of the isolation timeout.
+     * Time for which a leader that resigned because no worker reached it leaves the leadership to other controllers, in
+     * multiples of the isolation timeout.
      */
     private static final int ISOLATION_TIMEOUTS_AFTER_RESIGNING = 4;
 
@@ -34,7 +35,7 @@
     private final PeerFailureDetector failureDetector;
     private final Consumer<String> log;
 
-    /** This process's lease in the state service, or {@link #NO_INCARNATION}. */
+    /** ID of this process's lease in the state service, or {@link #NO_INCARNATION}. */
     private long incarnation = NO_INCARNATION;
     /** Time before which this controller isn't a candidate, unless it is the only controller. */
     private long candidateFrom = Times.NEVER;
@@ -44,7 +45,9 @@
     /** When the term that was last taken up began. */
     private long leadingSince;
 
+    /** Leader in the replica when this was last checked, or null if there was none. */
     private LeaderInfo lastSeenLeader;
+    /** When {@link #lastSeenLeader} was first seen. */
     private long lastSeenLeaderSince;
 
     LeaderElection(
@@ -55,7 +58,7 @@
         this.log = log;
     }
 
-    /** Sets the lease that the state service granted to this process. The lease identifies the process from now on. */
+    /** Sets the ID of the lease that the state service granted to this process. The ID identifies the process from now on. */
     void onLeaseGranted(long lease) {
         incarnation = lease;
     }
@@ -72,7 +75,7 @@
      * Updates the term from the replica. Returns true if this process takes up leadership by this call, under a term that it
      * hasn't led under before.
      */
-    boolean takeUp(long now) {
+    boolean updateTerm(long now) {
         long currentTerm = leadingTerm();
         boolean isNewTerm = currentTerm != NO_TERM && currentTerm != term;
         term = currentTerm;
@@ -123,10 +126,10 @@
      * transaction of a leader is guarded by the key that this replaces.
      *
      * <p>Three rules keep two controllers from deposing each other over and over. Only a recent suspicion counts, because a
-     * process that is still live a controller lease after it was suspected wasn't down. A suspicion doesn't count if the same
-     * controller was falsely suspected a while ago. It doesn't count either if all other controllers are suspected at once:
-     * then the network is at fault, and the state service knows better which processes are alive. The last two rules don't
-     * protect a leader that no worker reaches, since deposing it loses nothing.
+     * process that is still live a controller lease after it was suspected wasn't down. A suspicion doesn't count if a recent
+     * suspicion of the same controller turned out to be false. Nor does it count if all other controllers are suspected at
+     * once: then the network is at fault, and the state service knows better which processes are alive. The last two rules
+     * don't protect a leader that no worker reaches, since deposing it loses nothing.
      */
     private boolean isLeaderDown(long now) {
         LeaderInfo leader = replica.leader();
@@ -144,8 +147,8 @@
     }
 
     /**
-     * Returns the transaction by which this leader steps down because its term has no numbers left. A new term is needed, under
-     * this controller or another.
+     * Returns the transaction by which this leader steps down because the numbers of its term are nearly exhausted. A new term
+     * is needed, under this controller or another.
      */
     Transaction resignForNewTerm() {
         log.accept("resigning leadership: the numbers of the term are nearly exhausted, term=" + term);
--- a/src/main/java/garnetscale/core/leader/LoadObserver.java
+++ b/src/main/java/garnetscale/core/leader/LoadObserver.java
@@ -30,12 +30,17 @@
  */
 final class LoadObserver {
 
-    /** Worker leases without a message of an owner after which its statuses of machines are no longer trusted. */
+    /** Worker leases without a message from an owner after which its machine statuses are no longer trusted. */
     private static final double OWNER_TIMEOUT_LEASES = 0.5;
     /** Time constant of the average utilization, in heartbeat intervals. */
     private static final double SMOOTHING_INTERVALS = 5;
 
-    /** Inputs from which a machine's load was last computed. */
+    /**
+     * Inputs from which a machine's load was last computed.
+     *
+     * @param unknownReason why the load isn't known, or null if it is
+     * @param isServing     whether the load is known and the machine accepts tasks; see {@link MachineLoad#serving}
+     */
     private record Inputs(
             MachineStatus status,
             List<Placement> placements,
@@ -63,7 +68,7 @@
     private final Auction auction;
     private final Estimator estimator;
     private final LoadTracker tracker;
-    /** When the last message of each controller arrived. */
+    /** When the last message from each controller arrived. */
     private final Map<String, Long> lastMessageAt = new HashMap<>();
     /** Inputs last used, by machine. */
     private final Map<String, Inputs> inputs = new HashMap<>();
@@ -86,7 +91,7 @@
         snapshot = LoadSnapshot.EMPTY;
     }
 
-    /** Records that a message of the controller has arrived. */
+    /** Records that a message from the controller has arrived. */
     void onControllerMessage(long now, String node) {
         lastMessageAt.put(node, now);
     }
@@ -189,7 +194,7 @@
         return demand;
     }
 
-    /** Adds the CPU-seconds for which a job waits, split among the groups that it fits in proportion to their capacity. */
+    /** Adds the CPU-seconds of a job's waiting tasks, split in proportion to capacity among the groups in which they fit. */
     private Demand plusWaiting(Demand demand, LoadSnapshot load, JobSpec job, double waitingCpuS) {
         List<MachineGroup> fitting = new ArrayList<>();
         double capacityCpus = 0;
--- a/src/main/java/garnetscale/core/leader/MachineEvaluator.java
+++ b/src/main/java/garnetscale/core/leader/MachineEvaluator.java
@@ -18,16 +18,16 @@
 
 /**
  * Decides which machines are fit for work, by how fast their tasks run and by which tasks fail on them. Cordons machines for a
- * while, decommissions them, and forgets machines that are silent and have no placements. {@link FailureTracker} decides
- * whether a job or task fails by its own fault.
+ * limited time or decommissions them, and forgets machines that are silent and have no placements. {@link FailureTracker}
+ * decides whether a job or task fails by its own fault.
  */
 final class MachineEvaluator {
 
     /** Factor by which a machine must be slower than its peers to be decommissioned. */
     private static final double SLOW_FACTOR = 2.2;
     /**
-     * Tasks of jobs that succeed elsewhere that must fail on a machine, without any task completing there in between, before
-     * the machine is decommissioned.
+     * Number of different tasks that must fail on a machine, with no task completing there in between, before the machine is
+     * decommissioned. Only tasks of jobs that succeed elsewhere count.
      */
     private static final int FAILURES_TO_DECOMMISSION = 4;
     /**
@@ -70,8 +70,9 @@
     }
 
     /**
-     * Forgets silent machines without placements. Machines that the cloud took away before this leader's first list leave no
-     * other trace. If they were counted, too many machines would seem silent for any to be given up early.
+     * Forgets silent machines without placements. If the cloud removed a machine before this leader first received the cloud's
+     * list, silence is the only sign of that. If such machines were counted, so many would seem silent that no silent machine
+     * would be deleted early.
      */
     private void forgetSilent(long now) {
         machines.values()
@@ -194,7 +195,7 @@
         return jobsOnSlowMachines;
     }
 
-    /** Returns whether jobs or tasks have been quarantined since the last call. */
+    /** Returns whether jobs or tasks have been quarantined since the last call of this method. */
     boolean takeNewlyQuarantined() {
         boolean result = hasNewlyQuarantined;
         hasNewlyQuarantined = false;
--- a/src/main/java/garnetscale/core/leader/MachineState.java
+++ b/src/main/java/garnetscale/core/leader/MachineState.java
@@ -28,7 +28,7 @@
     long cordonedUntil = Times.NEVER;
     /** Number of times in a row that the machine was cordoned because tasks failed. */
     int consecutiveCordons;
-    /** Tasks that have failed here since one last completed, except those that fail on every machine. */
+    /** Tasks that have failed here since a task last completed here, except those that fail on every machine. */
     final Set<TaskId> failedTasks = new HashSet<>();
     /** Whether the machine is scaled in as soon as it has no placements, because it is slow or its tasks fail. */
     boolean decommissioned;
@@ -38,7 +38,7 @@
         this.id = id;
     }
 
-    /** Takes over the status that the owner published, and reports completed tasks to the estimator. */
+    /** Replaces the status by the one that the owner published, and reports completed tasks to the estimator. */
     void onStatus(long now, MachineStatus published, StateReplica replica, Estimator estimator) {
         status = published;
         statusAt = now;
@@ -59,12 +59,12 @@
     }
 
     /** Returns whether the machine's heartbeats arrive and the cloud hasn't announced its eviction. */
-    boolean isServing() {
+    boolean isAvailable() {
         return !status.silent() && status.evictionNoticeS() == null;
     }
 
-    /** Returns whether tasks may be placed on the machine: it serves, and is neither cordoned nor decommissioned. */
+    /** Returns whether tasks may be placed on the machine: it is available, and neither cordoned nor decommissioned. */
     boolean acceptsTasks(long now) {
-        return isServing() && now >= cordonedUntil && !decommissioned;
+        return isAvailable() && now >= cordonedUntil && !decommissioned;
     }
 }
--- a/src/main/java/garnetscale/core/leader/MoveSources.java
+++ b/src/main/java/garnetscale/core/leader/MoveSources.java
@@ -44,7 +44,7 @@
         }
     }
 
-    /** Returns whether the machine is slower than others, but not slow enough to be decommissioned. */
+    /** Returns whether the machine is slower than its peers, but not decommissioned. */
     boolean isSlow(MachineState machine) {
         return !machine.decommissioned && estimator.machineFactor(machine.id) > 1;
     }
@@ -76,9 +76,9 @@
     }
 
     /**
-     * Returns the task as the planner sees it. Its run time counts from its award. The heartbeat that reports its start may be
-     * late or lost, and counted from there, a task that is costly to move would look like a new one. For the same reason a task
-     * that an earlier leader placed isn't moved.
+     * Returns the task as the planner sees it. Its run time is counted from its award, because the heartbeat that reports its
+     * start may be late or lost. Counted from that heartbeat, a task that is costly to move would look as if it had just
+     * started. A task that an earlier leader placed isn't moved, because the time of its award is unknown.
      */
     private RunningTask task(SchedulingCycle cycle, MachineState machine, Placement placement, JobView job) {
         JobSpec spec = job.spec();
--- a/src/main/java/garnetscale/core/leader/PartitionAssigner.java
+++ b/src/main/java/garnetscale/core/leader/PartitionAssigner.java
@@ -88,8 +88,8 @@
     }
 
     /**
-     * Returns the transaction that leases partitions without a usable owner, or else moves a partition to an idle controller in
-     * its zone. Returns null if there is nothing to change.
+     * Returns the transaction that leases partitions without a usable owner, or else moves a partition to a controller in its
+     * zone that owns none. Returns null if there is nothing to change.
      */
     Transaction plan(long now, long leaderTerm) {
         observeControllers(now);
@@ -124,7 +124,7 @@
      * Returns the partitions that have no live owner or should go to another one.
      *
      * @param owned          receives the owner of each other partition
-     * @param isolatedOwners receives the owner to pass over for a partition because it is isolated from its machines
+     * @param isolatedOwners receives, by partition, the owner that is passed over because it is isolated from its machines
      */
     private List<String> partitionsToLease(long now, Multiset<String> owned, Map<String, String> isolatedOwners) {
         List<String> found = new ArrayList<>();
@@ -143,7 +143,11 @@
         return found;
     }
 
-    /** Returns the controller that should own the partition, or null if none can. */
+    /**
+     * Returns the controller that should own the partition, or null if none can.
+     *
+     * @param isolatedOwner controller to pass over, or null if there is none
+     */
     private ControllerInfo bestOwner(String partition, Multiset<String> owned, String isolatedOwner) {
         ControllerInfo best = null;
         for (ControllerInfo node : replica.controllers()) {
@@ -179,9 +183,9 @@
     }
 
     /**
-     * Returns whether the partition has several machines, all of them silent, and neither the leader's election nor the
-     * partition's last reassignment is recent enough to explain that. The owner may be cut off from the workers while the state
-     * service and its peers still reach it.
+     * Returns whether the partition has several machines, all of them silent, and there is another controller. Always false for
+     * the isolation timeout after the leader's election or the partition's last reassignment, which would explain the silence.
+     * The owner may be cut off from the workers while the state service and its peers still reach it.
      */
     private boolean hasOnlySilentMachines(long now, String partition) {
         int silent = 0;
@@ -199,8 +203,9 @@
     }
 
     /**
-     * Returns a partition to move to a controller in the same zone that owns none, or null if there is none. Such a partition's
-     * owner owns several or is in another zone. The partition is no longer counted in {@code owned}.
+     * Returns a partition whose current owner owns several or is in another zone, and that should move to a controller in its
+     * own zone that owns none. Returns null if there is no such partition. The returned partition is no longer counted in
+     * {@code owned}.
      */
     private String partitionToRebalance(long now, Multiset<String> owned) {
         for (ControllerInfo node : replica.controllers()) {
--- a/src/main/java/garnetscale/core/leader/PeerFailureDetector.java
+++ b/src/main/java/garnetscale/core/leader/PeerFailureDetector.java
@@ -64,7 +64,7 @@
                 + controller);
     }
 
-    /** Handles the report of a controller whether workers reach it. */
+    /** Handles a controller's report on whether workers reach it. */
     void onWorkerReachability(String controller, boolean isIsolated) {
         if (isIsolated ? isolatedFromWorkers.add(controller) : isolatedFromWorkers.remove(controller)) {
             log.accept((isIsolated ? "controller is isolated from workers" : "controller is reached by workers again")
@@ -72,7 +72,7 @@
         }
     }
 
-    /** Returns whether this controller has no connection to the other. */
+    /** Returns whether this controller has no connection to the given one. */
     boolean isSuspected(String controller) {
         return suspectedSince.containsKey(controller);
     }
@@ -86,7 +86,7 @@
         return since != null && now - since < config.controllerLeaseMs();
     }
 
-    /** Returns whether a suspicion of the controller turned out to be false a while ago. */
+    /** Returns whether a suspicion of the controller recently turned out to be false. */
     boolean wasFalselySuspected(long now, String controller) {
         return now - falselySuspectedAt.getOrDefault(controller, Times.NEVER)
                 < LEASES_AFTER_FALSE_SUSPICION * config.controllerLeaseMs();
--- a/src/main/java/garnetscale/core/leader/PlacementPlanner.java
+++ b/src/main/java/garnetscale/core/leader/PlacementPlanner.java
@@ -52,10 +52,10 @@
     }
 
     /**
-     * Returns the transaction, or null if there is nothing to change.
+     * Returns the cycle's transaction, or null if there is nothing to change.
      *
      * @param now    milliseconds of the steady clock
-     * @param wallMs time of day in milliseconds since 1970
+     * @param wallMs wall-clock time in milliseconds since the Unix epoch
      */
     Transaction plan(long now, long wallMs) {
         TransactionDraft draft = new TransactionDraft(replica, QuotaUsage.of(config, replica), logLimits());
--- a/src/main/java/garnetscale/core/leader/Preemption.java
+++ b/src/main/java/garnetscale/core/leader/Preemption.java
@@ -17,7 +17,7 @@
 
 /**
  * Preempts tasks of lower priority for jobs that can't be placed because no machine has room. Tasks that lose the least work
- * are preempted first: tasks that write checkpoints, then tasks that have run for a short time. A task that writes no
+ * are preempted first, so mostly tasks that write checkpoints and tasks that have run for a short time. A task that writes no
  * checkpoints and is past a fifth of its estimated time is left to finish.
  *
  * <p>Tasks that are already being stopped count as freed room, so that tasks aren't preempted twice for the same need. No task
@@ -32,7 +32,7 @@
     private static final int MIN_STOP_LIMIT = 8;
     /** The limit rises to one stop per this many machines in a large fleet. */
     private static final int MACHINES_PER_STOP = 16;
-    /** Stands for the seconds of lost work of a task that must not be preempted. */
+    /** Returned in place of the seconds of lost work if a task must not be preempted. */
     private static final double NOT_PREEMPTIBLE = -1;
 
     /**
@@ -173,8 +173,9 @@
     }
 
     /**
-     * Returns the fewest of the machine's cheapest stops that make room for one more task, or null if there are none. Stops are
-     * counted per machine, because stopping small tasks on different machines makes no room for a large one.
+     * Returns the machine's cheapest stops, up to the first that makes room for one more task, or null if even all of them
+     * together don't. Stops are chosen machine by machine, because stopping small tasks on different machines makes no room for
+     * a large one.
      */
     private Stops cheapest(Candidate candidate, JobSpec spec, boolean isUrgent, boolean isGuaranteed) {
         FreeCapacity free = candidate.free().copy();
--- a/src/main/java/garnetscale/core/leader/PreemptionStops.java
+++ b/src/main/java/garnetscale/core/leader/PreemptionStops.java
@@ -23,8 +23,8 @@
 final class PreemptionStops {
 
     /**
-     * Jobs at the head of the queue for which tasks are preempted at a time. If there are no victims for these, there are none
-     * for the jobs behind them either.
+     * Maximum number of jobs without room, from the head of the queue, for which tasks are preempted in one cycle. If there are
+     * no victims for these, there are none for the jobs behind them either.
      */
     private static final int MAX_JOBS = 4;
     /** Bidding windows to wait after a search that preempted nothing, while tasks of the lowest priority run. */
@@ -43,6 +43,7 @@
     /** Tasks that have been preempted before. */
     private final Set<TaskId> preemptedTasks = new HashSet<>();
 
+    /** Time of the next search for victims, in milliseconds of the steady clock. */
     private long dueAt = Times.NEVER;
 
     PreemptionStops(LeaderContext context, HeadroomReserve reserve) {
@@ -123,6 +124,10 @@
         return job.unstartedCount() - cycle.draft().placedCount(job.spec().id());
     }
 
+    /**
+     * Returns whether tasks of the job still wait although its bidding window has closed or there are no bids for it. Always
+     * false for quarantined jobs and for jobs that their team's quota doesn't allow.
+     */
     private boolean findsNoRoom(SchedulingCycle cycle, JobView job) {
         String id = job.spec().id();
         boolean isBiddingOpen =
--- a/src/main/java/garnetscale/core/leader/SchedulingCycle.java
+++ b/src/main/java/garnetscale/core/leader/SchedulingCycle.java
@@ -6,7 +6,7 @@
  * State shared by the steps of one scheduling cycle.
  *
  * @param now      milliseconds of the steady clock
- * @param wallMs   time of day in milliseconds since 1970, the clock of job records
+ * @param wallMs   wall-clock time in milliseconds since the Unix epoch, as in job records
  * @param machines all machines known to the leader
  * @param draft    transaction that the steps add to
  */
--- a/src/main/java/garnetscale/core/leader/TaskPlacer.java
+++ b/src/main/java/garnetscale/core/leader/TaskPlacer.java
@@ -22,8 +22,8 @@
 
 /**
  * Places waiting tasks on the machines with the best bids, taking jobs in queue order. A new instance is created for each
- * scheduling cycle. Every restriction is checked again here against the draft, whatever a bid says, because a bid is an offer
- * as of an older revision.
+ * scheduling cycle. Every restriction on a placement is checked again here against the draft, because a bid was made for an
+ * older revision of the stored state.
  */
 final class TaskPlacer {
 
@@ -50,9 +50,9 @@
     /** Zones of each job's placed tasks, one entry per task, by job. Only for jobs with a zone affinity or anti-affinity. */
     private final Map<String, Multiset<String>> zonesByJob = new HashMap<>();
 
-    /** CPUs of all serving machines. */
+    /** CPUs of all available machines. */
     private double fleetCpus;
-    /** CPUs of all serving machines that are free once the draft is applied. */
+    /** CPUs of all available machines that are free once the draft is applied. */
     private double freeCpus;
 
     TaskPlacer(LeaderContext context, HeadroomReserve reserve, LoadSnapshot load, SchedulingCycle cycle) {
@@ -73,6 +73,7 @@
     /** A job whose waiting tasks are being placed. */
     private static final class WaitingTasks {
         final JobView job;
+        /** Whether the job is of low priority and not within a guarantee of its team. */
         final boolean borrows;
         /** CPUs that the job must leave free if the headroom reserve applies to it. */
         final double reservedCpus;
@@ -109,7 +110,7 @@
     private void sumCapacities() {
         for (MachineState machine : machines.values()) {
             MachineType type = replica.type(machine.status.type());
-            if (machine.isServing() && type != null) {
+            if (machine.isAvailable() && type != null) {
                 freeCpus += draft.changes(machine.id)
                         ? freeCapacity(machine).cpus()
                         : storedCapacities.of(machine.id, type).cpus();
@@ -174,8 +175,8 @@
     }
 
     /**
-     * Returns whether the job is of low priority and not covered by a guarantee of its team. Such work may be kept waiting
-     * without limit.
+     * Returns whether the job is of low priority and not within a guarantee of its team. Such a job may be kept waiting without
+     * limit.
      */
     private boolean borrows(JobView job) {
         return job.spec().priority() == Priority.LOW && !draft.quota().isWithinGuarantee(job.spec());
--- a/src/main/java/garnetscale/core/leader/TransactionDraft.java
+++ b/src/main/java/garnetscale/core/leader/TransactionDraft.java
@@ -31,11 +31,11 @@
  */
 final class TransactionDraft {
 
-    /** An image with a longer name isn't recorded, because a few of them would fill a machine's record. */
+    /** Maximum length in characters of the name of a recorded image; a few longer names would fill a machine's record. */
     private static final int MAX_IMAGE_NAME_LENGTH = 100;
     /** Maximum number of images recorded for a machine. */
     private static final int MAX_IMAGES = 16;
-    /** Operations that end a job: its job key is deleted, and a terminal record is written. */
+    /** Operations needed to end a job: its job key is deleted, and a terminal record is written. */
     private static final int OPS_PER_JOB_END = 2;
 
     private final StateReplica replica;
@@ -50,9 +50,9 @@
     private final Map<String, Map<String, Double>> images = new HashMap<>();
 
     private final Set<String> removedMachines = new HashSet<>();
-    /** Finished tasks, by job, of the jobs of which the draft finishes tasks; includes tasks that finished earlier. */
+    /** Finished tasks, by job, including those that finished earlier. Only for jobs with tasks that the draft finishes. */
     private final Map<String, BitSet> finished = new LinkedHashMap<>();
-    /** Stored parts of the sets in {@link #finished} that change. */
+    /** Names of the stored parts of the sets in {@link #finished} that change. */
     private final Set<String> finishedParts = new LinkedHashSet<>();
     /** Number of tasks that the draft places, by job. */
     private final Map<String, Integer> placedCounts = new HashMap<>();
@@ -170,7 +170,7 @@
         }
     }
 
-    /** Handles a machine that is terminated for good: its record is removed if it has no placements left. */
+    /** Removes the record of a machine that is terminated for good, if the machine has no placements left. */
     void removeMachine(String machine) {
         if (edit(machine, replica.zoneOfMachine(machine)).isEmpty()) {
             removedMachines.add(machine);
@@ -196,7 +196,7 @@
         return placedCounts.getOrDefault(job, 0);
     }
 
-    /** Ends a cancelled job without placements; its key leaves the part of the store that the replica mirrors. */
+    /** Ends a cancelled job that has no placements. Its job key is deleted, so the replica no longer contains the job. */
     void recordCancelled(JobView job) {
         endJob(job.spec().id());
     }
--- a/src/main/java/garnetscale/core/leader/TransactionPipeline.java
+++ b/src/main/java/garnetscale/core/leader/TransactionPipeline.java
@@ -67,7 +67,8 @@
     /**
      * Records the outcome of the transaction in flight.
      *
-     * @param revision revision that the replica must reach before the next transaction
+     * @param revision revision that the replica must reach before the next transaction; used only if the outcome is OK or
+     *     CONFLICT
      */
     public void ended(TransactionOutcome result, long revision) {
         switch (result) {
--- a/src/test/java/garnetscale/core/leader/BalancerTest.java
+++ b/src/test/java/garnetscale/core/leader/BalancerTest.java
@@ -46,7 +46,7 @@
     private static final long NOW = 60_000;
     private static final MachineType SMALL = new MachineType("small", 8, 0, 32, 20, 1, 1, 0.5, 20, List.of("a"));
     private static final MachineType LARGE = new MachineType("large", 16, 0, 64, 20, 1, 1, 0.5, 20, List.of("a"));
-    private static final long AWARDED = NOW - 30_000;
+    private static final long AWARDED_AT = NOW - 30_000;
 
     private final SchedulerConfig config = TestConfig.small()
             .teams(new SchedulerConfig.Team("red", 0, 100, 0, 0))
@@ -69,22 +69,22 @@
     BalancerTest() {
         state.commit(new Transaction()
                 .put(Keys.TYPES, Records.types(List.of(SMALL, LARGE)))
-                .put(Keys.job("wk-1"), Records.job(new JobRecord(flexible, JobState.LIVE, AWARDED))));
+                .put(Keys.job("wk-1"), Records.job(new JobRecord(flexible, JobState.LIVE, AWARDED_AT))));
         state.join("n0", 1, "a");
         state.lease("a/0", "n0", 1, TERM);
         state.lead("n0", 1, 1);
         leader.onLeaseGranted(1);
         assertTrue(leader.leads(0));
-        publishStatus(AWARDED, "m-000001", LARGE, List.of());
-        publishStatus(AWARDED, "m-000002", SMALL, List.of());
-        bid(AWARDED, new Bid("m-000001", 1, "wk-1", 1, 100));
-        state.commit(leader.plan(AWARDED));
+        publishStatus(AWARDED_AT, "m-000001", LARGE, List.of());
+        publishStatus(AWARDED_AT, "m-000002", SMALL, List.of());
+        bid(AWARDED_AT, new Bid("m-000001", 1, "wk-1", 1, 100));
+        state.commit(leader.plan(AWARDED_AT));
         state.commit(new Transaction()
                 .put(Keys.job("wk-2"), Records.job(new JobRecord(largeOnly, JobState.LIVE, NOW - 5000))));
     }
 
     private void publishRunning() {
-        publishStatus(AWARDED + 1000, "m-000001", LARGE, List.of(placedTask(TaskState.RUNNING)));
+        publishStatus(AWARDED_AT + 1000, "m-000001", LARGE, List.of(placedTask(TaskState.RUNNING)));
     }
 
     private TaskStatus placedTask(TaskState taskState) {
--- a/src/test/java/garnetscale/core/leader/FailureTrackerTest.java
+++ b/src/test/java/garnetscale/core/leader/FailureTrackerTest.java
@@ -23,7 +23,7 @@
         }
     }
 
-    /** All tasks of a quarantined job, hundreds of them, were once started again after each pause, and failed again. */
+    /** All tasks of a quarantined job, hundreds of them, were once started again after each backoff, and failed again. */
     @Test
     void aQuarantinedJobIsRetriedOneTaskAtATimeWithGrowingBackoff() {
         failOnDifferentMachines(0, "wk-1", 60);
--- a/src/test/java/garnetscale/core/leader/LoadObserverTest.java
+++ b/src/test/java/garnetscale/core/leader/LoadObserverTest.java
@@ -25,11 +25,11 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** Whether the leader counts the load of a machine that another controller owns as known, and why it doesn't. */
+/** Whether the leader counts the load of a machine that another controller owns as known, and if not, for which reason. */
 class LoadObserverTest {
 
     private static final long TERM = FencingTokens.partitionTerm(1, 1);
-    private static final long LEASE = 10_000;
+    private static final long WORKER_LEASE_MS = 10_000;
     private static final MachineGroup GROUP = new MachineGroup("a", "t");
 
     private final SchedulerConfig config = TestConfig.small()
@@ -93,16 +93,16 @@
     }
 
     /**
-     * Owners publish a machine's status only when it changes, so an idle machine's load counts as known for as long as messages
-     * of its owner arrive.
+     * Owners publish a machine's status only when it changes, so the load of a machine whose status doesn't change counts as
+     * known for as long as messages from its owner arrive.
      */
     @Test
     void theMachinesOfAnOwnerWithoutRecentMessagesAreUnknown() {
-        leader.onWorkerReachability(LEASE, "n1", false);
-        assertEquals(Map.of(), totals(LEASE + LEASE / 2).unknown());
-        assertUnknown(LEASE + LEASE / 2 + 2000, UnknownReason.OWNER_SILENT);
-        leader.onWorkerReachability(LEASE * 2, "n1", false);
-        assertEquals(Map.of(), totals(LEASE * 2 + 1000).unknown());
+        leader.onWorkerReachability(WORKER_LEASE_MS, "n1", false);
+        assertEquals(Map.of(), totals(WORKER_LEASE_MS + WORKER_LEASE_MS / 2).unknown());
+        assertUnknown(WORKER_LEASE_MS + WORKER_LEASE_MS / 2 + 2000, UnknownReason.OWNER_SILENT);
+        leader.onWorkerReachability(WORKER_LEASE_MS * 2, "n1", false);
+        assertEquals(Map.of(), totals(WORKER_LEASE_MS * 2 + 1000).unknown());
     }
 
     @Test
--- a/src/test/java/garnetscale/core/leader/PartitionAssignerTest.java
+++ b/src/test/java/garnetscale/core/leader/PartitionAssignerTest.java
@@ -72,8 +72,8 @@
     }
 
     /**
-     * A controller that can't read the stored layout stands aside and answers no requests, so its partitions would have no
-     * working owner.
+     * A controller that can't read the stored layout makes no decisions and answers no requests, so its partitions would have
+     * no working owner.
      */
     @Test
     void aControllerThatCannotReadTheStoredLayoutOwnsNoPartition() {
