--- a/src/main/java/garnetscale/core/Features.java
+++ b/src/main/java/garnetscale/core/Features.java
@@ -7,13 +7,13 @@
 /**
  * Features that operators can switch on. All are off by default. docs/operations.md describes the features file.
  *
- * @param automaticActivation whether the leader activates the next layout version without an operator's command, once more is
- *     stored than the active version can hold
+ * @param automaticActivation whether the leader activates the next layout version without an operator's command, once the stored
+ *     data exceeds what the active version can hold
  * @param activationDelayLeases how long every live controller must have been up before a layout version is activated, in worker
  *     leases
  * @param layouts the layout versions that this controller supports
- * @param closeConnectionsFrom the share of connections in use, from 0 to 1, from which on workers close their connections after
- *     each answer; {@link #NEVER} to keep them open
+ * @param closeConnectionsFrom the share of connections in use, from 0 to 1, at which workers start to close their connections
+ *     after each answer; {@link #NEVER} to keep them open
  * @param balance the settings of load balancing
  */
 public record Features(
--- a/src/main/java/garnetscale/core/SchedulerConfig.java
+++ b/src/main/java/garnetscale/core/SchedulerConfig.java
@@ -14,7 +14,7 @@
  * @param teams quotas by team name, in the order of the settings
  * @param objectives the operators' service-level objectives
  * @param heartbeatIntervalMs time between two heartbeats of a worker
- * @param workerLeaseMs a worker kills its tasks once its last answered heartbeat was sent longer ago than this
+ * @param workerLeaseMs time after sending its last answered heartbeat at which a worker kills its tasks
  * @param cancellationDeadlineMs time from a job's cancellation within which its tasks must be terminated
  * @param maxTransactionOperations the most operations in one transaction of the key-value store
  * @param stateRequestsPerS requests per second that the key-value store accepts from this controller
@@ -45,10 +45,10 @@
         long wallClockErrorMs,
         Features features) {
 
-    /** Seconds for which completed jobs are remembered when they complete as fast as the key-value store can record them. */
-    private static final double COMPLETED_JOB_RETENTION_S = 200;
+    /** Seconds for which terminal jobs are remembered when they end as fast as the key-value store can record them. */
+    private static final double TERMINAL_JOB_RETENTION_S = 200;
 
-    private static final int WRITES_PER_COMPLETED_JOB = 2;
+    private static final int WRITES_PER_TERMINAL_JOB = 2;
     /** The assumed clock drift is a time span divided by this: twenty times the 0.05% that PROTOCOL allows. */
     private static final int DRIFT_DIVISOR = 100;
 
@@ -110,10 +110,10 @@
     }
 
     /**
-     * Returns the grace period: how long a partition owner answers heartbeats after it sent the last request that confirmed its
-     * view. It is as long as possible, since the longer it is, the longer an outage may last without costing tasks. The grace
-     * period, a worker's lease and the margins together stay below {@link #cancellationDeadlineMs}, since an owner in its grace
-     * period may not know of a cancellation.
+     * Returns the grace period: how long a partition owner goes on answering heartbeats after it sent the last request that
+     * confirmed that its replica is complete. It is as long as possible, since a longer period lets tasks survive a longer outage
+     * of the key-value store. The grace period, a worker's lease and the margins together stay below {@link
+     * #cancellationDeadlineMs}, since an owner in its grace period may not know of a cancellation.
      */
     public long graceMs() {
         return Math.max(
@@ -124,7 +124,7 @@
                         - driftMs(cancellationDeadlineMs));
     }
 
-    /** Returns the time after which a machine that has sent no heartbeat under a new fencing token has lost its tasks. */
+    /** Returns the time after which a machine that has sent no heartbeat under a new fencing token no longer runs any task. */
     public long fencingDelayMs() {
         return graceMs() + workerLeaseMs + driftMs(graceMs() + workerLeaseMs);
     }
@@ -135,9 +135,9 @@
     }
 
     /**
-     * Returns the time to live of a controller's lease in the key-value store: an eighth of a worker's lease. No task is started
-     * on the machines of a failed owner until its lease expires. A renewal that is later than this costs a new lease and a new
-     * fencing token, but no task.
+     * Returns the time to live of a controller's lease in the key-value store: an eighth of a worker's lease, at least 1.5 s. No
+     * task is started on the machines of a failed owner until its lease expires. After a renewal that is later than this, the
+     * controller needs a new lease and a new fencing token, but no task is killed.
      */
     public long controllerLeaseMs() {
         return Math.max(MIN_CONTROLLER_LEASE_MS, workerLeaseMs / CONTROLLER_LEASE_DIVISOR);
@@ -175,7 +175,7 @@
 
     /** Returns how many terminal jobs a controller remembers, so that it needn't read them from the key-value store. */
     public int maxRememberedTerminalJobs() {
-        return (int) Math.ceil(stateWritesPerS * COMPLETED_JOB_RETENTION_S / WRITES_PER_COMPLETED_JOB);
+        return (int) Math.ceil(stateWritesPerS * TERMINAL_JOB_RETENTION_S / WRITES_PER_TERMINAL_JOB);
     }
 
     /** Returns the zone of the named controller, or an empty string if there is none of that name. */
--- a/src/main/java/garnetscale/core/autoscaling/Autoscaler.java
+++ b/src/main/java/garnetscale/core/autoscaling/Autoscaler.java
@@ -71,12 +71,12 @@
     /**
      * Returns the next call to make, or null if there is none.
      *
-     * @param heartbeating machines that have sent heartbeats
+     * @param heartbeating statuses of the machines that have sent a heartbeat, including those that are silent now
      * @param decommissioned ids of machines without tasks that are to be deleted
-     * @param suspects ids of jobs that fail on every machine
+     * @param suspectJobs ids of jobs that fail on every machine
      */
     public CloudCall next(
-            long now, Collection<MachineStatus> heartbeating, List<String> decommissioned, Set<String> suspects) {
+            long now, Collection<MachineStatus> heartbeating, List<String> decommissioned, Set<String> suspectJobs) {
         CloudCall listing = nextListing(now);
         if (listing != null || !instances.hasCompleteList()) {
             return listing;
@@ -88,13 +88,13 @@
         // Deletes and launches alternate: a wave of lost machines causes deletes for half a minute, and the launch of
         // replacements can't wait that long.
         if (wasLastCallDelete) {
-            call = nextScaleOut(now, statuses, capacity, suspects);
+            call = nextScaleOut(now, statuses, capacity, suspectJobs);
         }
         if (call == null) {
             call = decommissioned.isEmpty() ? stuckInstances.next(now, statuses) : scaleIn(decommissioned);
         }
         if (call == null && !wasLastCallDelete) {
-            call = nextScaleOut(now, statuses, capacity, suspects);
+            call = nextScaleOut(now, statuses, capacity, suspectJobs);
         }
         wasLastCallDelete = call instanceof CloudCall.ScaleIn;
         return call != null || capacity.isEmpty() ? call : idleInstances.next(now, capacity, statuses);
@@ -117,15 +117,15 @@
         return new CloudCall.ScaleIn(List.copyOf(machines.subList(0, count)));
     }
 
-    /** Returns the next launch, or null; fills {@code capacity} with the machines that exist or boot, and marks those in use. */
+    /** Returns the next launch, or null. Fills {@code capacity} with existing and booting machines, and marks those in use. */
     private CloudCall nextScaleOut(
-            long now, Map<String, MachineStatus> statuses, List<Capacity> capacity, Set<String> suspects) {
+            long now, Map<String, MachineStatus> statuses, List<Capacity> capacity, Set<String> suspectJobs) {
         stuckInstances.retainSilent(statuses);
         if (replica.types().isEmpty()) {
             return null;
         }
         capacity.addAll(demand.capacity(statuses));
-        return scaleOutPlanner.next(now, demand.missing(now, now + wallClockOffsetMs, capacity, suspects));
+        return scaleOutPlanner.next(now, demand.missing(now, now + wallClockOffsetMs, capacity, suspectJobs));
     }
 
     /** Receives the cloud's machine types with their current prices. */
@@ -163,8 +163,8 @@
     }
 
     /**
-     * Returns machines that left the instance list so long ago that their agents must have stopped all tasks. Each machine is
-     * returned only once.
+     * Returns machines that are silent and left the instance list so long ago that their agents must have stopped all tasks. Each
+     * machine is returned only once.
      */
     public List<String> takeVanishedInstances(long now, Collection<MachineStatus> heartbeating) {
         Set<String> reachable = new HashSet<>();
--- a/src/main/java/garnetscale/core/autoscaling/Capacity.java
+++ b/src/main/java/garnetscale/core/autoscaling/Capacity.java
@@ -13,7 +13,7 @@
     final String zone;
     final boolean spot;
     final FreeCapacity free;
-    /** Whether placements or the current demand use any of the machine's resources. */
+    /** Whether placements or the current demand use any of the machine's resources; true for a booting instance. */
     boolean used;
 
     Capacity(String id, MachineType type, String zone, boolean spot, FreeCapacity free) {
@@ -33,7 +33,7 @@
         return free.cpus() + MachineType.EPSILON < cpus;
     }
 
-    /** Reserves resources for up to {@code tasks} tasks of the job, and returns the number of tasks that fit. */
+    /** Reserves resources for as many of {@code tasks} tasks of the job as fit, and returns that number. */
     int fill(JobSpec job, int tasks) {
         if (!allows(job)) {
             return 0;
--- a/src/main/java/garnetscale/core/autoscaling/IdleInstances.java
+++ b/src/main/java/garnetscale/core/autoscaling/IdleInstances.java
@@ -8,13 +8,19 @@
 import java.util.Map;
 import java.util.function.Consumer;
 
-/** Scales in machines that the demand hasn't used for several boot times, so that bursts don't make machines come and go. */
+/**
+ * Scales in machines that the demand hasn't used for a minute plus several boot times. The delay keeps bursts of demand from
+ * causing repeated launches and deletes.
+ */
 final class IdleInstances {
 
     private static final double IDLE_BASE_S = 60;
-    /** Boot times of its type that a machine must have been idle, in addition to {@link #IDLE_BASE_S}. */
+    /** Idle time before a machine is deleted, in boot times of its type, in addition to {@link #IDLE_BASE_S}. */
     private static final double IDLE_BOOT_TIMES = 4;
-    /** A call deletes up to one machine plus the number of machines divided by this, since other calls wait meanwhile. */
+    /**
+     * A call deletes up to one machine plus the number of machines divided by this. Deletes are batched, since the cloud accepts
+     * few calls per second and a scale-out must not wait behind many deletes.
+     */
     private static final int DELETES_PER_CALL_DIVISOR = 64;
 
     private final Consumer<String> log;
--- a/src/main/java/garnetscale/core/autoscaling/InstanceList.java
+++ b/src/main/java/garnetscale/core/autoscaling/InstanceList.java
@@ -23,7 +23,10 @@
     private final SchedulerConfig config;
     private final Map<String, CloudInstance> listed = new TreeMap<>();
     private final Map<String, Long> firstListedAt = new HashMap<>();
-    /** Instances that this leader launched and that no list has shown yet. */
+    /**
+     * Instances that this leader launched and that no list has shown yet. One is dropped if no list shows it for a minute plus
+     * three times the usual lag of the list.
+     */
     private final Map<String, CloudInstance> launched = new LinkedHashMap<>();
 
     private final Map<String, Long> launchedAt = new HashMap<>();
@@ -138,10 +141,11 @@
     }
 
     /**
-     * Returns whether an instance has left the list for good. This distinguishes a wave of preempted spot instances from a
-     * network partition: deleting a terminated instance costs nothing and frees its placements at once, whereas a new partition
-     * owner would have to wait for the fencing delay. Lists are delayed, and a list may be older than the previous one, so an
-     * instance counts as gone only after it has been missing for some time.
+     * Returns whether an instance has left the list for good. This distinguishes a wave of evicted spot instances from a network
+     * partition: deleting a terminated instance costs nothing and frees its placements at once, whereas a new partition owner
+     * would have to wait for the fencing delay. Lists are delayed, and a list may be older than the previous one, so an instance
+     * counts as gone only after it has been missing for the usual lag of the list. An instance that this leader has never seen
+     * listed counts as gone once the leader's term has lasted four times the lag.
      */
     boolean isUnlisted(long now, String id) {
         if (listed.containsKey(id) || launched.containsKey(id)) {
@@ -153,11 +157,14 @@
                 : now - startedAt > 4 * config.instanceListLagMs();
     }
 
-    /** Removes and returns the instances that left the list so long ago that their agents must have stopped all tasks. */
-    List<String> takeVanished(long now, Set<String> heartbeating) {
+    /**
+     * Removes and returns the instances that aren't reachable and left the list so long ago that their agents must have stopped
+     * all tasks.
+     */
+    List<String> takeVanished(long now, Set<String> reachable) {
         List<String> ids = new ArrayList<>();
         unlistedSince.forEach((id, since) -> {
-            if (!heartbeating.contains(id)
+            if (!reachable.contains(id)
                     && now - since > 2 * config.fencingDelayMs() + 10 * config.instanceListLagMs()) {
                 ids.add(id);
             }
--- a/src/main/java/garnetscale/core/autoscaling/ScaleOutPlanner.java
+++ b/src/main/java/garnetscale/core/autoscaling/ScaleOutPlanner.java
@@ -10,6 +10,7 @@
 
     static final int MAX_INSTANCES_PER_CALL = 50;
 
+    /** Upper bound of the time between two launches, which is otherwise twice the time between two calls. */
     private static final long MAX_INTERVAL_MS = 1000;
 
     private final InstanceList instances;
--- a/src/main/java/garnetscale/core/autoscaling/StuckInstances.java
+++ b/src/main/java/garnetscale/core/autoscaling/StuckInstances.java
@@ -10,10 +10,15 @@
 import java.util.Map;
 import java.util.function.Consumer;
 
-/** Deletes instances that failed, never finish booting or stay silent; the answer proves that their tasks are terminated. */
+/**
+ * Deletes instances that failed, never finish booting or stay silent. The cloud's answer proves that their tasks have terminated.
+ */
 final class StuckInstances {
 
-    /** A boot that takes this many times its usual time is given up; a healthy boot may take several times as long. */
+    /**
+     * A boot is given up after this many times the type's usual boot time, since a healthy boot may take several times as long as
+     * usual.
+     */
     private static final double BOOT_RATIO = 4;
 
     private static final double BOOT_SLACK_S = 10;
@@ -120,9 +125,10 @@
 
     /**
      * Returns whether a silent machine is to be deleted. A machine with placements is deleted once it has been silent for a
-     * quarter of a worker lease: the answer to the delete proves its tasks terminated, which waiting would prove only later.
-     * This doesn't apply when many machines are silent at once: the cause is then more likely a network partition, after which
-     * they are reachable again.
+     * quarter of a worker lease: the answer to the delete proves that its tasks have terminated, which waiting would prove only
+     * later. This doesn't apply when many machines are silent at once: the cause is then more likely a network partition, after
+     * which they are reachable again. In all other cases, a machine is deleted once it has been silent for the fencing delay plus
+     * two worker leases.
      */
     private boolean isPermanentlySilent(long now, String id, int machines, long silentMachines) {
         if (now - startedAt <= config.workerLeaseMs()) {
--- a/src/main/java/garnetscale/core/balance/BalanceSettings.java
+++ b/src/main/java/garnetscale/core/balance/BalanceSettings.java
@@ -5,7 +5,7 @@
  *
  * @param enabled whether equal bids are ordered by load and running tasks are moved
  * @param margin share of a move's disruption by which the move's gain must exceed the disruption
- * @param moving share of the placed tasks that may be stopping at a time, for whatever reason
+ * @param moving share of the placed tasks that may be stopping at a time, for any reason
  */
 public record BalanceSettings(boolean enabled, double margin, double moving) {
 
--- a/src/main/java/garnetscale/core/balance/MoveBudget.java
+++ b/src/main/java/garnetscale/core/balance/MoveBudget.java
@@ -8,15 +8,20 @@
 import java.util.function.Predicate;
 
 /**
- * Limits moves: the tasks that stop at a time, and the moves within a window, of one team, to one group, and of one task until
- * its last move has paid back. A leader's moves aren't stored. Instead, a new leader moves nothing as long as moves of an earlier
- * leader could still count. So every limit holds over all leaders together, however often they change.
+ * Limits moves: the tasks that are stopping at a time, the moves within a window, one team's share of those moves, and the CPUs
+ * in transit to one group. A task isn't moved again until its last move has paid back.
+ *
+ * <p>A leader's moves aren't stored. Instead, a new leader moves nothing as long as moves of an earlier leader could still count.
+ * So every limit holds over all leaders together, however often they change.
  */
 public final class MoveBudget {
 
     /** Length of the window, and the longest time that a move may take to pay back, in worker leases. */
     private static final double WINDOW_LEASES = 4;
-    /** This many tasks may be stopping at a time in a cluster of any size: fewer could never empty a machine of small tasks. */
+    /**
+     * This many tasks may be stopping at a time in a cluster of any size. A lower limit could make it impossible to clear a
+     * machine of small tasks.
+     */
     private static final int MIN_CONCURRENT_LIMIT = 4;
     /** The most moves in a window, as a multiple of the tasks that may be stopping at a time. */
     private static final double WINDOW_MULTIPLE = 4;
@@ -63,7 +68,7 @@
         return now < quietUntil;
     }
 
-    /** Starts a planning pass; {@code stoppingNow} is the number of placed tasks that are being stopped, for whatever reason. */
+    /** Starts a planning pass; {@code stoppingNow} is the number of placed tasks that are being stopped, for any reason. */
     public void startPass(long now, int placedTasks, int stoppingNow) {
         placed = placedTasks;
         stopping = stoppingNow;
@@ -110,7 +115,7 @@
 
     /**
      * Returns whether a task of {@code cpus} CPUs may be moved to the group, in addition to the tasks in transit and to
-     * {@code plannedCpus} further CPUs. A single task may always be moved where it fits.
+     * {@code plannedCpus} further CPUs. If there are no such tasks or CPUs, it may be moved whatever its size.
      */
     boolean mayReceive(long now, MachineGroup group, double plannedCpus, double cpus, LoadSnapshot load) {
         double inTransitCpus = plannedCpus;
--- a/src/main/java/garnetscale/core/balance/MovePlanner.java
+++ b/src/main/java/garnetscale/core/balance/MovePlanner.java
@@ -18,16 +18,19 @@
  * <ul>
  *   <li>A waiting job of higher priority can't be placed on any machine that it may run on. The task runs on such a machine, and
  *       a machine that the job may not run on bids for the task.
- *   <li>The task runs on a slow machine, and a late bid is much better (the paper's DSP 4c, by i and i0).
+ *   <li>The task runs on a slow machine, and a late bid is much better ({@link LateBids}; paper, DSP step 4c).
  * </ul>
  *
  * Gain and disruption are CPU-seconds of waiting. The same input yields the same plan.
  */
 public final class MovePlanner {
 
-    /** The most jobs that machines are cleared for in a pass, from the head of the queue: if these don't fit, others won't. */
+    /**
+     * The most jobs that machines are cleared for in a pass, from the head of the queue: if none can be cleared for these, none
+     * can for the jobs behind.
+     */
     private static final int MAX_JOBS = 4;
-    /** Tasks aren't moved to a group with a higher smoothed utilization: its free resources are about to be needed. */
+    /** Tasks aren't moved to a group with a higher smoothed utilization: its free resources are likely to be needed soon. */
     private static final double MAX_UTILIZATION = 0.8;
 
     /** Clearances are tried cheapest first. After this many rejections in a row, the more expensive ones aren't tried. */
@@ -191,8 +194,8 @@
     }
 
     /**
-     * Moves the tasks if there is a bid for each of them, even when several tasks share the slots of one bid, and if the gain is
-     * sufficient. Returns whether the tasks are moved.
+     * Moves the tasks if the gain is sufficient and each task gets a slot of its own. Bids are chosen again, since the clearance
+     * may count one slot for several tasks. Returns whether the tasks are moved.
      */
     private boolean tryClearance(MachineClearance cheapest, JobSpec job, WaitForecast forecast) {
         List<PlannedStop> reserved = new ArrayList<>();
--- a/src/main/java/garnetscale/core/balance/PlannedStop.java
+++ b/src/main/java/garnetscale/core/balance/PlannedStop.java
@@ -3,7 +3,8 @@
 /**
  * A task to stop, with the bid of the machine that it is to move to.
  *
- * @param disruptionCpuS CPU-seconds by which the stop delays the task
+ * @param disruptionCpuS CPU-seconds that the stop costs: the delay of the task or, if it leaves a slow machine, the stop, image
+ *     fetch and run until it completes elsewhere
  */
 record PlannedStop(RunningTask task, DestinationBid destination, double disruptionCpuS) {
 
--- a/src/main/java/garnetscale/core/balance/SpreadOrder.java
+++ b/src/main/java/garnetscale/core/balance/SpreadOrder.java
@@ -11,9 +11,8 @@
 import java.util.function.ToLongFunction;
 
 /**
- * Orders equal bids so that the least utilized group comes first. The CPUs of a bid count as used as soon as the bid is placed in
- * the order, so that the tasks of one job are spread over groups instead of all going to the group that was the least utilized
- * at first.
+ * Orders equal bids so that the least utilized group comes first. The CPUs of a bid count as used for the bids after it, so that
+ * the tasks of one job are spread over groups instead of all going to the group that was the least utilized at first.
  */
 public final class SpreadOrder {
 
--- a/src/main/java/garnetscale/core/bidding/Auction.java
+++ b/src/main/java/garnetscale/core/bidding/Auction.java
@@ -11,9 +11,9 @@
 import java.util.function.Predicate;
 
 /**
- * Collects the bids that partition owners send to the leader, and decides when each job's bid window closes (paper, DSP
- * step 4). A window closes when its time is over. It closes early when every owned partition has sent bids that were made
- * from a replica with the current version of the job: no better bid can then come from a machine that has capacity now.
+ * Collects the bids that partition owners send to the leader, and decides when each job's bid window closes (paper, DSP step 4).
+ * A window closes when its time is over. It closes early when, for every owned partition, the owner has sent a batch that was
+ * made from a replica with the current version of the job: no better bid can then come from a machine that has capacity now.
  */
 public final class Auction {
 
@@ -25,7 +25,7 @@
     /** Whether a batch arrived since {@link #bidsByJob} was built. It is rebuilt on the next read, not for each batch. */
     private boolean isBidsByJobStale;
 
-    /** Creates an auction without bids; {@code windowMs} is how long a job's window stays open. */
+    /** Creates an auction without bids; {@code windowMs} is the longest time that a job's window stays open, in milliseconds. */
     public Auction(StateReplica replica, long windowMs) {
         this.replica = replica;
         this.windowMs = windowMs;
@@ -129,7 +129,7 @@
         return best;
     }
 
-    /** Returns the milliseconds until the next open window ends, or -1 if none is open. */
+    /** Returns the milliseconds until the next window closes by time, or -1 if no window has time left. */
     public long msUntilNextClose(long now) {
         bidsByJob();
         long next = -1;
--- a/src/main/java/garnetscale/core/bidding/Bidder.java
+++ b/src/main/java/garnetscale/core/bidding/Bidder.java
@@ -22,8 +22,8 @@
     BidderGroup group;
     /** Sizes of the images on the machine in GB, by image name. */
     Map<String, Double> images;
-    /** Ratio of actual to expected run times on the machine; 1 for normal speed, more for a slow machine. */
-    double slowdown;
+    /** Ratio of actual to expected run times on the machine; 1 unless the machine is clearly slow. */
+    double machineFactor;
     /** Number of jobs that the machine has bid for in this batch. */
     int jobsBidFor;
     /** The last job that the machine has bid for in this batch, or null. */
--- a/src/main/java/garnetscale/core/bidding/Bidding.java
+++ b/src/main/java/garnetscale/core/bidding/Bidding.java
@@ -15,10 +15,11 @@
 import java.util.Set;
 
 /**
- * Makes the bids of one partition owner's machines. Each machine bids for the jobs at the head of its queue (paper, DSP step
- * 3). The machines of one {@link BidderGroup} have the same queue, so it is evaluated once per group. For each job, only the
- * best bids are made, slightly more than could win: the leader has no use for more from one owner. Capacity that a machine
- * offers to a job counts as taken for the jobs behind, so that those get bids of machines that will still have capacity.
+ * Makes the bids of one partition owner's machines. Each machine bids for the jobs at the head of its queue (paper, DSP step 3).
+ * The machines of one {@link BidderGroup} have the same queue, so it is evaluated once per group. For each job, only the best
+ * bids are made, with slots for about one and a half times the tasks that could start: the leader may reject some of the bids,
+ * but has no use for more from one owner. Capacity that a machine offers to a job counts as taken for the jobs behind, so that
+ * those get bids from machines that will still have capacity.
  *
  * <p>An instance makes one batch. It evaluates thousands of machines for hundreds of jobs, so it allocates per batch and per
  * bid, not per candidate.
@@ -31,9 +32,9 @@
     /**
      * The most capacity that is overbooked, as a ratio to the free CPUs of all bidders. Overbooked capacity is offered to a job
      * although jobs ahead would take it: those may get capacity from other owners, or may not start for a reason that only the
-     * leader knows. Without a bound, capacity that is kept free would be offered to all waiting jobs, again and again. Capacity
-     * that no job ahead would take is offered without regard to the bound. Otherwise many jobs that fill the small machines
-     * would keep large machines from bidding for jobs that fit no others.
+     * leader knows. Without a bound, capacity that the leader keeps free, as headroom for urgent classes, would be offered to all
+     * waiting jobs. Capacity that no job ahead would take is offered without regard to the bound. Otherwise many jobs that fill
+     * the small machines would keep large machines from bidding for the jobs that fit only large machines.
      */
     private static final double MAX_OVERBOOKING = 1;
 
@@ -82,7 +83,10 @@
         this.suspectJobs = suspectJobs;
     }
 
-    /** Returns bids for the waiting jobs, which must be in queue order. May be called only once. */
+    /**
+     * Returns bids for the waiting jobs, which must be in queue order. A job without unstarted tasks gets late bids for its
+     * running tasks. May be called only once.
+     */
     public List<Bid> bids(List<JobView> waiting, List<Bidder> bidders) {
         prepareBidders(bidders);
         double minCpus =
@@ -110,7 +114,7 @@
                 return new BidderGroup();
             });
             bidder.images = replica.images(bidder.machine);
-            bidder.slowdown = estimator.machineFactor(bidder.machine);
+            bidder.machineFactor = estimator.machineFactor(bidder.machine);
         }
     }
 
@@ -124,7 +128,8 @@
 
     private void bidFor(JobView job) {
         int tasks = tasksToBidFor(job);
-        // More slots than can win, since the leader may reject a bid for a reason that only it knows about the machine.
+        // More slots than can win, since the leader may reject a bid because of facts about the machine that only the
+        // leader knows.
         int wantedSlots = tasks + tasks / 2 + 1;
         int missingSlots = bid(job, tasks, wantedSlots, false);
         if (missingSlots > 0 && isOverbookingAllowed()) {
@@ -187,8 +192,8 @@
 
     /**
      * Puts the bidders that could bid for the job into {@link #candidates} and returns their number. A candidate packs the
-     * estimated finish and the index of the bidder into one number, so that candidates are sorted without allocating an object
-     * for each. The finish is rounded to tenths of a second, so that a batch changes only when something else has changed.
+     * estimated finish and the index of the bidder into one number, so that sorting allocates no object for each candidate. The
+     * finish is rounded to tenths of a second, so that a batch changes only when something else has changed.
      */
     private int collectCandidates(JobView job, boolean isOverbooking) {
         JobSpec spec = job.spec();
@@ -207,7 +212,7 @@
     }
 
     private double finishS(JobSpec spec, Bidder bidder) {
-        double runS = estimator.runTimeS(spec, bidder.slowdown);
+        double runS = estimator.runTimeS(spec, bidder.machineFactor);
         return (bidder.images.containsKey(spec.image()) ? 0 : bidder.group.fetchS)
                 + runS
                 + (bidder.spot ? Estimator.spotRiskS(spec, runS) : 0);
--- a/src/main/java/garnetscale/core/bidding/Estimator.java
+++ b/src/main/java/garnetscale/core/bidding/Estimator.java
@@ -10,13 +10,13 @@
  * Estimates run times: corrects the job owner's estimate by the run times of completed tasks. There is one factor for each class of
  * jobs, since the estimates in a class err alike, and one for each machine, since a faulty machine can be much slower.
  *
- * <p>Run times of a job's tasks differ by half or more, and the first tasks to complete are the shortest. So a machine is not
- * evaluated by single tasks but by all of them: the time that its tasks have run, whether complete or not, is compared with the
- * time that was expected.
+ * <p>Run times of a job's tasks differ by half or more, and the first tasks to complete are the shortest. So a machine is
+ * evaluated by all of its tasks together: the time that they have run, whether complete or not, is compared with the time that
+ * was expected.
  */
 public final class Estimator {
 
-    /** Weight of a new sample, at which the last handful of tasks dominate. */
+    /** Weight of a new sample. At this weight, the last handful of tasks dominate. */
     private static final double SAMPLE_WEIGHT = 0.2;
     /** Upper bound of all factors; its inverse is the lower bound. */
     private static final double MAX_FACTOR = 8;
@@ -24,14 +24,20 @@
     private static final int MIN_COMPLETED_TASKS = 4;
     /** A smaller factor counts as 1: preferring slightly faster machines would send tasks away from cached images. */
     private static final double MIN_RELEVANT_FACTOR = 1.5;
-    /** Number of tasks from which a machine's factor may differ from 1; a running task counts by the part that it has run. */
+    /**
+     * Minimum number of tasks for a machine's factor to differ from 1. A running task counts as the share of its expected run
+     * time that has elapsed, at most 1.
+     */
     private static final double MIN_EVIDENCE_TASKS = 4;
     /** Number of jobs whose run times are remembered; the oldest is dropped first. */
     private static final int MAX_REMEMBERED_JOBS = 512;
     /** Expected lifetime of a spot instance in seconds. Pessimistic on quiet days, since evictions come in waves. */
     private static final double SPOT_LIFETIME_S = 1800;
 
-    /** A machine's completed tasks: sums of actual and expected seconds and the number, in which old tasks weigh less. */
+    /**
+     * A machine's completed tasks: the sums of their actual and expected run times in seconds, and their number. Older tasks have
+     * less weight in all three.
+     */
     private static final class MachineHistory {
         double actualSumS;
         double expectedSumS;
@@ -53,7 +59,9 @@
      */
     public record TaskProgress(JobSpec job, double elapsedS) {}
 
+    /** Seconds added to each expected run time, since run times are observed only at heartbeats. */
     private final double slackS;
+
     private final Map<String, Double> factorByClass = new HashMap<>();
     private final Map<String, MachineHistory> machines = new HashMap<>();
     private final Map<String, JobHistory> jobs = new LinkedHashMap<>() {
--- a/src/main/java/garnetscale/core/bidding/LateBids.java
+++ b/src/main/java/garnetscale/core/bidding/LateBids.java
@@ -8,8 +8,8 @@
 public final class LateBids {
 
     /**
-     * The threshold i0. The paper finds its optimum between 0.4 and 0.6. The lower end is used, since estimates are revised here
-     * while a task runs.
+     * The threshold i0. The paper finds the optimal i0 between 0.4 and 0.6. The lower end is used, since this scheduler revises
+     * estimates while a task runs.
      */
     public static final double MIN_IMPROVEMENT = 0.4;
 
--- a/src/main/java/garnetscale/core/job/JobRecord.java
+++ b/src/main/java/garnetscale/core/job/JobRecord.java
@@ -1,10 +1,10 @@
 package garnetscale.core.job;
 
 /**
- * A job as the state service stores it.
+ * A job as the key-value store holds it.
  *
  * @param submittedMs wall-clock time of the job's acceptance in milliseconds, used for aging across failovers. Controllers'
- *     clocks differ within the bound of the settings, so no safety rule depends on this time.
+ *     clocks may differ, within a bound from the settings, so no safety rule depends on this time.
  */
 public record JobRecord(JobSpec spec, JobState state, long submittedMs) {
 
--- a/src/main/java/garnetscale/core/job/JobSpec.java
+++ b/src/main/java/garnetscale/core/job/JobSpec.java
@@ -3,7 +3,7 @@
 import java.util.List;
 
 /**
- * A job as a user submitted it. Lists and texts that the protocol allows to be null are null here too, so that "any type" and
+ * A job as a user submitted it. Lists and strings that the protocol allows to be null are null here too, so that "any type" and
  * "no type" stay different.
  *
  * @param jobClass the class of the job; run times are estimated by class
--- a/src/main/java/garnetscale/core/job/TaskId.java
+++ b/src/main/java/garnetscale/core/job/TaskId.java
@@ -7,7 +7,7 @@
  */
 public record TaskId(String job, int index) {
 
-    /** The most characters of the slash and the index together: an index of seven digits can't overflow an int. */
+    /** Maximum length of the slash and the index together. An index of at most seven digits can't overflow an int. */
     private static final int MAX_SUFFIX_LENGTH = 8;
 
     /** Parses the form {@code wk-000412/3}; returns null for any other text, since heartbeats come from outside. */
--- a/src/main/java/garnetscale/core/queue/JobOrder.java
+++ b/src/main/java/garnetscale/core/queue/JobOrder.java
@@ -15,12 +15,16 @@
  * <p>Each deadline objective that a job can no longer meet puts the job behind others of its priority: when not all jobs can be
  * in time, those that still can go first.
  *
- * <p>Both rules are bounded to prevent starvation: a job of which no task has started moves to the head after a while. Otherwise
- * the largest job would wait as long as shorter ones keep arriving.
+ * <p>Both rules are bounded to prevent starvation: a job of which no task has started moves to the head of its priority after one
+ * and a half times the cancellation deadline, and to the head of all jobs after twice that time. Otherwise the largest job would
+ * wait as long as shorter ones keep arriving.
  */
 public final class JobOrder {
 
-    /** Lower bound of a job's work in CPU-seconds: tiny estimates must not put a guest team at the head of every queue. */
+    /**
+     * Lower bound of a job's work in CPU-seconds: tiny estimates must not put the jobs of a team without a guarantee first in
+     * every queue.
+     */
     private static final double MIN_WORK_CPU_S = 10;
 
     private static final double PRIORITY_WEIGHT = 1e9;
@@ -30,7 +34,10 @@
     private static final double MAX_AGED_WORK_CPU_S = 9e7;
     private static final int MAX_MISSED_DEADLINES = 8;
 
-    /** Waiting time after which a job without a started task moves to the head, as a ratio to the cancellation deadline. */
+    /**
+     * Waiting time after which a job without a started task moves to the head of its priority, as a ratio to the cancellation
+     * deadline.
+     */
     private static final double STARVATION_LIMIT_RATIO = 1.5;
 
     private final double starvationLimitS;
--- a/src/main/java/garnetscale/core/queue/ScarceTypeFilter.java
+++ b/src/main/java/garnetscale/core/queue/ScarceTypeFilter.java
@@ -12,14 +12,14 @@
 import java.util.Set;
 
 /**
- * Keeps scarce machine types for the jobs that can run nowhere else. In plain queue order, an urgent small job takes the
- * capacity of a large machine although a small machine would do, and a large job behind it, which fits no other type, waits
- * until the small job ends. So a machine doesn't bid for a job that fits further types while a job that fits fewer types waits
- * for the machine's type.
+ * Keeps scarce machine types for the jobs that can run nowhere else. In plain queue order, an urgent small job takes the capacity
+ * of a large machine although a small machine would do, and a large job behind it, which fits no other type, waits until the
+ * small job ends. So a machine doesn't bid for a job while another waiting job fits only some of the types that the first job
+ * fits, the machine's type among them.
  *
- * <p>A job yields in this way only until its start objective is in danger; then every machine may bid for it again. The
- * exception is a job that has started and is less urgent than the waiting one: it yields as long as the other waits. Otherwise
- * background work of hundreds of long tasks would fill all machines of the type.
+ * <p>A job yields in this way only until its start objective is in danger; then every machine may bid for it again. The exception
+ * is a job that has started and is less urgent than the waiting one: it yields as long as the other waits. Otherwise a job of the
+ * lowest priority with hundreds of long tasks would fill all machines of the type.
  */
 public final class ScarceTypeFilter {
 
@@ -30,7 +30,10 @@
 
     private final Map<String, Double> yieldSByClass = new HashMap<>();
     private final Map<String, Set<String>> fittingTypesByJob = new HashMap<>();
-    /** The distinct sets of types that waiting jobs fit, with the most urgent priority of each: few, however many jobs wait. */
+    /**
+     * The distinct sets of types that waiting jobs fit, with the most urgent priority of each. There are few sets, however many
+     * jobs wait.
+     */
     private final Map<Set<String>, Priority> mostUrgentByTypes = new HashMap<>();
 
     /** Creates a filter without waiting jobs for the start objectives of the configuration. */
@@ -60,7 +63,8 @@
 
     /**
      * Returns whether a machine of the type may bid for the job, that is, whether the job needn't yield the type to a waiting job
-     * that fits fewer types. Always true for a job that wasn't among the waiting jobs at the last {@link #refresh}.
+     * that fits only some of the job's types. Always true for a job that wasn't among the waiting jobs at the last {@link
+     * #refresh}.
      *
      * @param nowMs wall-clock time in milliseconds
      */
--- a/src/test/java/garnetscale/core/autoscaling/AutoscalerTest.java
+++ b/src/test/java/garnetscale/core/autoscaling/AutoscalerTest.java
@@ -29,7 +29,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Calls to the cloud when many machines are silent at once, or were preempted. */
+/** Calls to the cloud when many machines are silent at once or have been evicted. */
 class AutoscalerTest {
 
     private static final int MACHINES = 20;
@@ -118,8 +118,8 @@
     }
 
     /**
-     * Guards against slow recovery from a wave of preempted machines: after a failover of the partition owner, their tasks had to
-     * wait for the whole fencing delay.
+     * Guards against slow recovery from a wave of evictions: after a failover of the partition owner, the tasks of evicted
+     * machines had to wait for the whole fencing delay.
      */
     @Test
     void silentMachinesThatLeftTheListAreDeletedAtOnce() {
@@ -146,8 +146,8 @@
     }
 
     /**
-     * Guards against deletes that hold up launches: after a wave of preempted machines, every call for half a minute was a
-     * delete, and nothing was launched meanwhile.
+     * Guards against deletes that hold up launches: after a wave of evictions, every call for half a minute was a delete, and
+     * nothing was launched meanwhile.
      */
     @Test
     void launchesAlternateWithDeletes() {
@@ -162,7 +162,7 @@
 
     /**
      * Guards against a backoff that outlasts the shortage: an offering that was refused while its zone was full was not requested
-     * until long after a wave of preemptions had emptied the zone.
+     * until long after a wave of evictions had emptied the zone.
      */
     @Test
     void backoffEndsWhenAMachineOfTheOfferingLeavesTheList() {
--- a/src/test/java/garnetscale/core/bidding/BiddingTest.java
+++ b/src/test/java/garnetscale/core/bidding/BiddingTest.java
@@ -58,8 +58,8 @@
     }
 
     /**
-     * Guards against jobs that only large machines fit being left without bids: many jobs that filled the small machines ended
-     * the batch before the large machines had bid at all.
+     * Guards against a job that fits only large machines getting no bids: many jobs that filled the small machines ended the
+     * batch before the large machines had bid at all.
      */
     @Test
     void largeMachinesBidForJobBehindManySmallJobs() {
