--- a/src/main/java/garnetscale/core/machine/MachineType.java
+++ b/src/main/java/garnetscale/core/machine/MachineType.java
@@ -29,10 +29,10 @@
         double bootS,
         List<String> zones) {
 
-    /** Tolerance for comparing sums of amounts, because amounts are decimal numbers on the wire. */
+    /** Tolerance in comparisons of amounts: they are decimal numbers on the wire, so that their sums are inexact in binary. */
     public static final double EPSILON = 1e-6;
 
-    /** Whether an empty machine of this type could hold one task of the job. */
+    /** Whether the job allows this type and an empty machine of it could hold one task of the job. */
     public boolean fits(JobSpec job) {
         return job.allowsType(name)
                 && job.cpus() <= cpus + EPSILON
--- a/src/main/java/garnetscale/core/machine/Placement.java
+++ b/src/main/java/garnetscale/core/machine/Placement.java
@@ -7,7 +7,8 @@
  *
  * @param task the task
  * @param attempt unique among all attempts of all tasks
- * @param agentEpoch the worker's agent epoch in which the attempt was awarded; it can't be on the machine in a later one
+ * @param agentEpoch the worker's agent epoch in which the attempt was awarded; the attempt can't be on the machine in a later
+ *     epoch
  * @param stop whether and how the leader wants the attempt stopped
  */
 public record Placement(TaskId task, long attempt, long agentEpoch, Stop stop) {
--- a/src/main/java/garnetscale/core/machine/TaskStatus.java
+++ b/src/main/java/garnetscale/core/machine/TaskStatus.java
@@ -13,7 +13,7 @@
  */
 public record TaskStatus(TaskId task, long attempt, TaskState state, ExitCause cause, boolean checkpointed) {
 
-    /** Whether the task has ended, or its start was refused. */
+    /** Whether the task has ended, or its start was rejected. */
     public boolean exited() {
         return state == TaskState.EXITED;
     }
--- a/src/main/java/garnetscale/core/machine/WorkerCommand.java
+++ b/src/main/java/garnetscale/core/machine/WorkerCommand.java
@@ -17,8 +17,8 @@
     /**
      * Stops a task.
      *
-     * @param graceS seconds for a graceful stop: the task writes a checkpoint first if they cover the checkpoint write time
-     *     that its job declares; 0 stops the task at once
+     * @param graceS time for a graceful stop, in seconds: the task writes a checkpoint first if this time covers the
+     *     checkpoint write time that its job declares; 0 stops the task at once
      */
     record Stop(TaskId task, long attempt, double graceS) implements WorkerCommand {}
 
--- a/src/main/java/garnetscale/core/partition/BidSubmitter.java
+++ b/src/main/java/garnetscale/core/partition/BidSubmitter.java
@@ -26,14 +26,14 @@
 import java.util.Set;
 
 /**
- * Submits the bids of this owner's machines to the leader when data that the bids depend on has changed, and no more often
- * than the leader's bid windows can distinguish (paper, DSP step 3).
+ * Submits the bids of this owner's machines to the leader when data that the bids depend on has changed, at most a few times
+ * per bid window, since further batches would make no difference to the leader (paper, DSP step 3).
  */
 final class BidSubmitter {
 
     /**
-     * Maximum number of batches per bid window: enough to let the window close early, but not one for each change in a busy
-     * moment.
+     * Maximum number of batches per bid window: high enough that the window can close early, and low enough that a burst of
+     * changes doesn't cause a batch for each change.
      */
     private static final int BATCHES_PER_WINDOW = 6;
 
@@ -112,7 +112,10 @@
         capacities.retain(machines.keySet());
     }
 
-    /** Returns the milliseconds until delayed bids are due, or -1 if no bids are pending. */
+    /**
+     * Returns the milliseconds, at least 1, until pending bids may be submitted, or -1 if no bids are pending or no partition
+     * is owned.
+     */
     long msUntilDue(long now) {
         return isPending() && !leases.ownedNames().isEmpty() ? Math.max(1, submittedAt + minIntervalMs() - now) : -1;
     }
@@ -154,7 +157,7 @@
         for (String id : lateBidJobs) {
             JobView job = replica.job(id);
             if (job != null && job.isLive() && job.unstartedCount() == 0) {
-                // After all waiting jobs: a late bid is only for capacity that no other job has a use for.
+                // Added after all waiting jobs: late bids are only for capacity that no waiting job uses.
                 waiting.add(job);
             }
         }
@@ -194,11 +197,11 @@
             if (type == null || !mayBid(now, machine)) {
                 continue;
             }
-            FreeCapacity placedFree = capacities.of(machine.id, type);
-            if (placedFree.cpus() + MachineType.EPSILON < minCpus) {
+            FreeCapacity freeAfterPlacements = capacities.of(machine.id, type);
+            if (freeAfterPlacements.cpus() + MachineType.EPSILON < minCpus) {
                 continue;
             }
-            FreeCapacity free = placedFree.copy();
+            FreeCapacity free = freeAfterPlacements.copy();
             takeUnplaced(machine, free);
             bidders.add(new Bidder(machine.id, heartbeat.agentEpoch(), type, heartbeat.zone(), heartbeat.spot(), free));
         }
--- a/src/main/java/garnetscale/core/partition/CommandReconciler.java
+++ b/src/main/java/garnetscale/core/partition/CommandReconciler.java
@@ -21,7 +21,7 @@
 
     /** Minimum time between two direct stops of the same attempt, in heartbeat intervals. */
     private static final int STOP_REPEAT_HEARTBEATS = 2;
-    /** Factor on the checkpoint write time that the job's owner declares, for the grace of a stop with checkpoint. */
+    /** Factor that is applied to the job's declared checkpoint write time to get the grace of a stop with checkpoint. */
     private static final double CHECKPOINT_GRACE_FACTOR = 1.5;
     /** Seconds added to the grace of a stop with checkpoint, after the factor was applied. */
     private static final double CHECKPOINT_GRACE_EXTRA_S = 1;
@@ -129,8 +129,8 @@
         }
         List<WorkerCommand> commands = commandsFor(machine, owned, false);
         machine.hasPendingWork |= !commands.isEmpty();
-        commands.removeIf(
-                command -> command instanceof WorkerCommand.Stop && isStopRepeated(now, machine, command.attempt()));
+        commands.removeIf(command ->
+                command instanceof WorkerCommand.Stop && wasStopSentRecently(now, machine, command.attempt()));
         if (commands.isEmpty()) {
             return;
         }
@@ -141,7 +141,7 @@
         send(now, machine, commands);
     }
 
-    private boolean isStopRepeated(long now, MachineView machine, long attempt) {
+    private boolean wasStopSentRecently(long now, MachineView machine, long attempt) {
         return machine.stopsSentAt.getOrDefault(attempt, 0L)
                 > now - STOP_REPEAT_HEARTBEATS * config.heartbeatIntervalMs();
     }
@@ -167,7 +167,8 @@
      * Ends the machine's direct command in flight, which was answered or lost.
      *
      * @param machine the machine, or null if it is no longer known
-     * @return whether the command belongs to this term of the partition; if not, the machine is unaffected
+     * @return whether a direct command was in flight to the machine in this term of the partition; if not, the machine is
+     *     unaffected
      */
     boolean endCommand(MachineView machine) {
         requests.onCommandEnded();
--- a/src/main/java/garnetscale/core/partition/DesiredPlacements.java
+++ b/src/main/java/garnetscale/core/partition/DesiredPlacements.java
@@ -21,7 +21,7 @@
      */
     private final Set<String> cancelledByPeers = new LinkedHashSet<>();
 
-    /** {@code machines} is shared; this class marks the machines that run a cancelled job. */
+    /** {@code machines} is shared; this class marks machines for reconciliation if a cancelled job is placed on them. */
     DesiredPlacements(SchedulerConfig config, StateReplica replica, Map<String, MachineView> machines) {
         this.config = config;
         this.replica = replica;
--- a/src/main/java/garnetscale/core/partition/HeartbeatIntake.java
+++ b/src/main/java/garnetscale/core/partition/HeartbeatIntake.java
@@ -109,8 +109,8 @@
 
     /**
      * Records a failed task and cordons the machine if tasks of more than {@link #MAX_FAILED_JOBS} jobs failed on it. A
-     * machine that fails its tasks at once always has free capacity and the image, so that its bids would be the only ones.
-     * Failures of one job alone say nothing about the machine.
+     * machine whose tasks fail as soon as they start always has free capacity and the image. Without a cordon, its bids would
+     * be the only ones. Failures of one job alone say nothing about the machine.
      */
     private void recordFailure(long now, MachineView machine, TaskStatus task) {
         boolean isSuspect = suspectJobs.contains(task.task().job());
--- a/src/main/java/garnetscale/core/partition/HeartbeatReply.java
+++ b/src/main/java/garnetscale/core/partition/HeartbeatReply.java
@@ -15,15 +15,15 @@
     record Acknowledge(long fencingToken, List<WorkerCommand> commands) implements HeartbeatReply {}
 
     /**
-     * Another controller owns the worker's partition.
+     * This controller doesn't own the worker's partition.
      *
      * @param node the name of the owner, or null if no owner is known
      */
     record Redirect(String node) implements HeartbeatReply {}
 
     /**
-     * This controller may not act at the moment, the worker has seen a newer term, or a newer heartbeat has been handled
-     * already.
+     * The heartbeat doesn't renew the worker's lease: this controller may not act at the moment, the worker has seen a newer
+     * term, or the heartbeat isn't newer than the last one or is of an ended agent epoch.
      *
      * @param reason text for the worker's log
      */
--- a/src/main/java/garnetscale/core/partition/MachineFencing.java
+++ b/src/main/java/garnetscale/core/partition/MachineFencing.java
@@ -7,8 +7,8 @@
 
 /**
  * The fencing token of one machine within one term of its partition, and the starts that the token hasn't superseded yet. A
- * worker rejects a command whose token is lower than the highest that it has seen. Raising the token therefore disarms
- * commands that may arrive late or twice (docs/design.md, "Safety").
+ * worker rejects a command whose token is lower than the highest that it has seen. Once it has seen a raised token, commands
+ * under lower tokens that arrive late or twice have no effect (docs/design.md, "Safety").
  */
 final class MachineFencing {
 
@@ -17,8 +17,8 @@
     /** The highest token of a direct command that went unanswered, or -1 if there is none. */
     private long lostCommandToken = -1;
     /**
-     * Attempts whose start is in the acknowledgement of the newest heartbeat; the worker may have executed or dropped the
-     * start.
+     * Attempts whose start is in the newest acknowledgement. Until the worker's next heartbeat, it is unknown whether the
+     * worker executes or drops the start.
      */
     private final LongHashSet startsInReply = new LongHashSet();
     /** The token under which each attempt's start was last sent directly; such a command may arrive late or twice. */
@@ -107,10 +107,12 @@
      * Returns whether no start of the attempt can take effect any more, other than a start whose effect the newest heartbeat
      * already shows. A direct command may arrive late and twice, answered or not; only a worker that has seen a higher token
      * than the command's rejects it. Without this check, a copy of a start that arrives after the clear would run the task a
-     * second time. Starts in the acknowledgement of a heartbeat are dropped after four seconds, and so before the next
-     * heartbeat. Commands from earlier owners have tokens below this term's first token.
+     * second time. A start in an acknowledgement is settled by the worker's next heartbeat: a worker drops an answer that
+     * arrives more than four seconds after it sent the heartbeat, and sends the next heartbeat only after the answer or those
+     * four seconds (PROTOCOL). Commands from earlier owners have tokens below this term's first token.
      *
-     * <p>If a direct start isn't superseded yet, this method raises the token, so that a later heartbeat can show that it is.
+     * <p>If a direct start isn't superseded yet, this method raises the token, so that a later heartbeat can show a token that
+     * supersedes the start.
      *
      * @param seenToken the token in the machine's newest heartbeat
      * @param partitionTerm the term under which the partition is owned now
--- a/src/main/java/garnetscale/core/partition/MachineStatus.java
+++ b/src/main/java/garnetscale/core/partition/MachineStatus.java
@@ -19,8 +19,9 @@
  * @param agentEpoch the agent epoch of the newest heartbeat, or 0 before the first one
  * @param evictionNoticeS seconds from the newest heartbeat until the cloud takes the machine away; null without eviction
  *     notice
- * @param silent whether the machine is out of reach or its heartbeat overdue; it then neither bids nor counts as capacity
- * @param tasks tasks in the newest heartbeat
+ * @param silent whether the machine's heartbeat is overdue, its agent epoch has ended, or it may be out of this owner's reach;
+ *     a silent machine neither bids nor counts as capacity
+ * @param tasks tasks in the newest heartbeat; empty before the first one
  * @param terminated placed attempts that are proved not to be on the machine now or later
  */
 public record MachineStatus(
--- a/src/main/java/garnetscale/core/partition/MachineView.java
+++ b/src/main/java/garnetscale/core/partition/MachineView.java
@@ -9,7 +9,8 @@
 
 /**
  * What a partition's owner knows about one machine, and what it has sent to the machine, within one term of the partition.
- * Holds plain state for the modules of this package; {@link PartitionOwner} drops it when the term changes.
+ * Holds plain state for the modules of this package; {@link PartitionLeases} drops it when the term changes, and {@link
+ * MachineAdoption} when the machine no longer exists.
  */
 final class MachineView {
 
@@ -26,9 +27,12 @@
 
     /** The newest heartbeat, including answers to probes and direct commands; null before the first one. */
     WorkerHeartbeat lastHeartbeat;
-    /** When {@link #lastHeartbeat} arrived. */
+    /** When {@link #lastHeartbeat} arrived, or 0 before the first one. */
     long lastHeartbeatAt;
-    /** When a heartbeat of the current agent epoch was last acknowledged; the worker's lease runs from this time. */
+    /**
+     * The start of the worker's current lease, as far as this owner knows: when a heartbeat was last acknowledged, or when a
+     * new agent epoch was first seen if that was later. 0 before either.
+     */
     long acknowledgedAt;
     /**
      * When a heartbeat first showed a token of this term, or -1 if none has. No earlier owner can have renewed the worker's
@@ -37,14 +41,14 @@
     long tokenSeenAt = -1;
     /**
      * Whether the worker has answered a probe or a command in this term, or has shown a token of this term. Until then the
-     * machine is given no work: a heartbeat alone may be a late copy, or come from a machine that nothing reaches.
+     * machine is given no work: a heartbeat alone may be a late copy, or come from a machine that this owner can't reach.
      */
     boolean hasAnswered;
     /** When a probe of the worker was last requested. */
     long probedAt = Times.NEVER;
     /** Whether a direct command is in flight; there is at most one. */
     boolean commandInFlight;
-    /** The newest agent epoch that is known to have ended, as all earlier ones have; -1 if none is known. */
+    /** The newest agent epoch known to have ended, or -1 if none is known. All earlier epochs have ended too. */
     long expiredEpoch = -1;
     /** Placed attempts that will never run here again, published to the leader until it has freed their placements. */
     final Set<Long> terminatedAttempts = new TreeSet<>();
@@ -54,7 +58,7 @@
     final Map<Long, Long> stopsSentAt = new HashMap<>();
     /** Failed attempts in the newest heartbeat. */
     final Set<Long> failedAttempts = new TreeSet<>();
-    /** Jobs with an attempt that failed here since an attempt of any job last completed here. */
+    /** Jobs, other than suspect ones, of which a task failed here after a task of any job last completed here. */
     final Set<String> failedJobs = new TreeSet<>();
     /** The time until which the machine is cordoned, that is, doesn't bid. */
     long cordonedUntil = NOT_CORDONED;
--- a/src/main/java/garnetscale/core/partition/PartitionLeases.java
+++ b/src/main/java/garnetscale/core/partition/PartitionLeases.java
@@ -11,7 +11,8 @@
 
 /**
  * Tracks the leases of all partitions in the replica: which partitions this process owns, and whether it may still act for
- * them. With a new term of a partition, fencing tokens are new and nothing is known about what an earlier owner sent.
+ * them. When the term of a partition changes, the views of its machines are dropped: a new term has fencing tokens of its own,
+ * and nothing is known about what an earlier owner sent.
  */
 final class PartitionLeases {
 
@@ -50,7 +51,7 @@
         incarnation = stateLease;
     }
 
-    /** Records that the replica is complete as of a request that was sent at {@code sentAt}. */
+    /** Records that the replica contains everything that was stored when a request was sent at {@code sentAt}. */
     void onReplicaConfirmed(long sentAt) {
         confirmedAt = Math.max(confirmedAt, sentAt);
     }
--- a/src/main/java/garnetscale/core/partition/PartitionOwner.java
+++ b/src/main/java/garnetscale/core/partition/PartitionOwner.java
@@ -16,10 +16,10 @@
 import java.util.TreeMap;
 
 /**
- * Owns this controller's partitions and is the only component that commands the machines in them. Reconciles each machine
- * with its stored placements, publishes machine status to the leader and submits the machines' bids.
+ * Owns this controller's partitions and is the only component that commands the machines in them. Reconciles each machine with
+ * its stored placements, publishes machine status to the leader and submits the machines' bids.
  *
- * <p>Reconciliation is level-triggered: commands are derived from state, not from events. Whatever message was lost, late or
+ * <p>Reconciliation is level-triggered: commands are derived from state, not from events. Even if messages are lost, late or
  * repeated, the next heartbeat and the next revision of the replica lead to the same commands. An attempt without a placement
  * is stopped and cleared, and an attempt with a placement is started. An attempt that must not run any more is reported as
  * terminated only on proof (see {@link TerminationProof}).
@@ -28,9 +28,7 @@
  */
 public final class PartitionOwner {
 
-    /**
-     * Sweeps over all machines per heartbeat interval. A sweep handles the changes that the passing of time alone can cause.
-     */
+    /** Number of sweeps over all machines per heartbeat interval. A sweep handles changes that are caused by time alone. */
     private static final int SWEEPS_PER_HEARTBEAT = 4;
 
     private final SchedulerConfig config;
@@ -89,17 +87,17 @@
         leases.onLeaseGranted(lease);
     }
 
-    /** Records that the replica is complete as of a request that was sent at {@code sentAt}. */
+    /** Records that the replica contains everything that was stored when a request was sent at {@code sentAt}. */
     public void onReplicaConfirmed(long sentAt) {
         leases.onReplicaConfirmed(sentAt);
     }
 
     /**
-     * Sets whether this process lags behind its work. Probes are then sent one at a time: nearly every worker's next
-     * heartbeat shows what the probe would return, and heartbeats and user requests wait for the same processor.
+     * Sets whether this process lags behind its work. Probes are then sent one at a time: nearly every worker's next heartbeat
+     * shows what the probe would return, and probes delay heartbeats and user requests, which need the same processor.
      */
-    public void setLagging(boolean late) {
-        requests.setLagging(late);
+    public void setLagging(boolean lagging) {
+        requests.setLagging(lagging);
     }
 
     /** Sets the milliseconds to add to the steady clock to get the wall-clock time, which job records carry. */
@@ -172,7 +170,10 @@
         return reachability.isIsolatedFromWorkers();
     }
 
-    /** Returns the milliseconds until delayed bids are due, or -1 if no bids are pending. */
+    /**
+     * Returns the milliseconds, at least 1, until pending bids may be submitted, or -1 if no bids are pending or no partition
+     * is owned.
+     */
     public long msUntilNextBids(long now) {
         return bids.msUntilDue(now);
     }
@@ -183,9 +184,9 @@
     }
 
     /**
-     * Reconciles the machines about which something new is known. Each sweep also reconciles the machines whose state may
-     * change with time alone: silent machines and machines with pending work. Does nothing while this process may not act for
-     * its partitions.
+     * Reconciles the machines about which something new is known, sends queued probes and submits bids that are due. Each
+     * sweep also reconciles the machines whose state may change with time alone: silent machines and machines with pending
+     * work. While this process may not act for its partitions, only updates the set of owned partitions.
      */
     public void tick(long now) {
         refreshPartitions(now);
@@ -221,9 +222,9 @@
     }
 
     /**
-     * Publishes all status and bids again when the replica shows a new leader. Effects are sent to the replica's leader, and
-     * a peer's message about a new leader may arrive before the replica shows it. Reacting to that message instead sent the
-     * status to the old leader, and the new leader took idle machines for silent and scaled them in.
+     * Publishes all status and bids again when the replica shows a new leader. Effects are sent to the replica's leader, and a
+     * peer's message about a new leader may arrive before the replica shows it. When this owner reacted to the message, it
+     * sent the status to the old leader, and the new leader took idle machines for silent and scaled them in.
      */
     private void republishToNewLeader() {
         if (!Objects.equals(publishedTo, replica.leader())) {
@@ -243,7 +244,7 @@
 
     private void sweep(long now) {
         sweptAt = now;
-        // The passing of time alone opens scarce types, uncordons machines and changes the order of queues.
+        // Time alone lets machines of scarce types bid for more jobs, ends cordons and changes the order of queues.
         bids.markStale();
         adoption.adoptAll();
         bids.retainOwnedMachines();
--- a/src/main/java/garnetscale/core/partition/Reachability.java
+++ b/src/main/java/garnetscale/core/partition/Reachability.java
@@ -9,13 +9,13 @@
 
 /**
  * Detects that this controller is isolated from workers. The state service and the other controllers may still reach it then,
- * so that all others keep redirecting its machines to it until the machines' leases expire. When so many heartbeats are
- * overdue that chance can't explain the silence, this controller gives up its partitions on its own, and probes the machines
- * that it lost until one answers.
+ * so that all others keep redirecting its machines to it until the machines' leases expire. When more heartbeats are overdue
+ * than chance can explain, this controller gives up its partitions without being asked to, and probes machines of these
+ * partitions until one answers.
  */
 final class Reachability {
 
-    /** Number of heartbeats that must be overdue at the same time before silence means isolation rather than chance. */
+    /** A silence in which more than this number of heartbeats were due means isolation rather than chance. */
     private static final double MIN_OVERDUE_HEARTBEATS = 20;
     /** Number of machines to probe per round while this controller is isolated. */
     private static final int PROBES_PER_ROUND = 3;
--- a/src/main/java/garnetscale/core/partition/TerminationProof.java
+++ b/src/main/java/garnetscale/core/partition/TerminationProof.java
@@ -52,17 +52,18 @@
     }
 
     /**
-     * Expires the agent epoch of a machine once no heartbeat of it can have been acknowledged for a whole worker lease. Until
-     * the worker has shown a token of this term, an earlier owner may have acknowledged its heartbeats throughout the grace
-     * period, hence the longer wait in that case.
+     * Expires the agent epoch of a machine once its worker can't hold a lease any more: for at least the length of a worker
+     * lease, no controller can have acknowledged one of its heartbeats. Until the worker has shown a token of this term, an
+     * earlier owner may have acknowledged its heartbeats throughout that owner's grace period; the wait is longer by this
+     * period.
      */
     void expire(long now, MachineView machine, OwnedPartition owned) {
         if (now <= leaseEnd(machine, owned)) {
             return;
         }
         if (machine.lastHeartbeat == null) {
-            // No heartbeat since this term began. The stored placements are of the machine's current epoch, which is
-            // unknown, or of an older one.
+            // No heartbeat has arrived since this term began, so the machine's current epoch is unknown. Each stored
+            // placement is of that epoch or an older one, and all these epochs have ended.
             for (Placement placement : replica.placements(machine.id)) {
                 machine.terminatedAttempts.add(placement.attempt());
             }
--- a/src/main/java/garnetscale/core/partition/WorkerMessageHandler.java
+++ b/src/main/java/garnetscale/core/partition/WorkerMessageHandler.java
@@ -71,9 +71,9 @@
     }
 
     /**
-     * Acknowledges a heartbeat and does everything that a reconciliation would do, except for sending direct commands; these
-     * are due only if the acknowledgement is lost. Most heartbeats change nothing, and bids are computed again only after a
-     * change.
+     * Acknowledges a heartbeat and reconciles the machine. Unlike a reconciliation on a tick, this sends no direct commands,
+     * which are needed only if the acknowledgement is lost, and expires no agent epoch. Most heartbeats change nothing, and
+     * bids are computed again only after a change.
      */
     private HeartbeatReply acknowledge(long now, MachineView machine, OwnedPartition owned, WorkerHeartbeat heartbeat) {
         machine.fencing.onTokenSeen(heartbeat.fencingToken());
@@ -111,7 +111,10 @@
         }
     }
 
-    /** Handles the answer to a probe. It updates no machine if the partition has another owner by now. */
+    /**
+     * Handles the answer to a probe. It updates no machine if this controller doesn't own the partition any more or the worker
+     * has seen a newer term.
+     */
     void onProbeAnswer(long now, WorkerHeartbeat heartbeat) {
         reachability.onReachable(now);
         String partition = partitions.partitionOf(heartbeat.machine(), heartbeat.zone());
--- a/src/main/java/garnetscale/core/partition/WorkerProbes.java
+++ b/src/main/java/garnetscale/core/partition/WorkerProbes.java
@@ -8,13 +8,13 @@
 import java.util.TreeMap;
 
 /**
- * Probes workers for their status: workers that should send heartbeats to this controller and don't, for example after a
- * change of owner, and workers that haven't shown yet that this owner reaches them. While no worker reaches this process,
- * probes the machines that it lost.
+ * Probes workers, that is, requests their status. Two kinds of workers are probed: those whose heartbeats to this controller
+ * are missing, for example after a change of owner, and those for which it isn't known yet whether this owner reaches them.
+ * While this controller is isolated from workers, machines of its lost partitions are probed.
  */
 final class WorkerProbes {
 
-    /** How long the answer to a probe is awaited. */
+    /** How long an answer to a probe may take; the worker isn't probed again within this time. */
     private static final long PROBE_TIMEOUT_MS = 2000;
 
     private final SchedulerConfig config;
@@ -75,10 +75,7 @@
         }
     }
 
-    /**
-     * Queues a probe of a worker that sends heartbeats, unless it has answered in this term, to find out whether this owner
-     * reaches it.
-     */
+    /** Probes a worker that sends heartbeats but hasn't answered in this term, to find out whether this owner reaches it. */
     void probeUnlessAnswered(long now, MachineView machine) {
         if (!machine.hasAnswered && now - machine.probedAt > PROBE_TIMEOUT_MS) {
             machine.probedAt = now;
--- a/src/main/java/garnetscale/core/partition/WorkerRequestLimiter.java
+++ b/src/main/java/garnetscale/core/partition/WorkerRequestLimiter.java
@@ -8,10 +8,11 @@
 import java.util.function.Predicate;
 
 /**
- * Limits the direct requests to workers that are in flight, each of which takes a socket and a good part of a millisecond.
- * The limit matters after a change of owner, when every machine is to be probed at once, and when a hundred workers hang and
- * don't answer. Commands may use the whole limit, probes half of it. A probe above the limit is queued. A command isn't,
- * since the acknowledgement of the machine's next heartbeat carries the same commands.
+ * Limits the number of direct requests to workers that are in flight. Each takes a socket and a good part of a millisecond of
+ * this controller's processor time. The limit matters after a change of owner, when every machine is probed at once, and when
+ * a hundred workers hang and don't answer. Commands may use the whole limit, probes half of it. A probe above the limit is
+ * queued. A command above the limit isn't sent, since the acknowledgement of the machine's next heartbeat carries the same
+ * commands.
  */
 final class WorkerRequestLimiter {
 
--- a/src/test/java/garnetscale/core/partition/CancellationMemoryTest.java
+++ b/src/test/java/garnetscale/core/partition/CancellationMemoryTest.java
@@ -8,9 +8,10 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The memory for cancellations that peers report is bounded, and the oldest are dropped first. A cancellation that the
- * replica doesn't show yet must count even if several thousand others arrive with it. A dropped cancellation is still
- * enforced by the grace period, which expires the machine's agent epoch in time without any report of a peer.
+ * The memory for cancellations that peers report is bounded, and the oldest are dropped first. A cancellation that the replica
+ * doesn't show yet must count even if several thousand others arrive with it. A dropped cancellation is still enforced in
+ * time, without any report of a peer: after the grace period the owner acknowledges no heartbeats, and the machine's agent
+ * epoch expires.
  */
 class CancellationMemoryTest {
 
--- a/src/test/java/garnetscale/core/partition/MachineFencingTest.java
+++ b/src/test/java/garnetscale/core/partition/MachineFencingTest.java
@@ -39,7 +39,7 @@
     }
 
     @Test
-    void aLostCommandRaisesTheTokenUntilAHigherOneIsSeen() {
+    void aLostCommandRaisesTheTokenAndCountsUntilAHigherTokenIsSeen() {
         fencing.onCommandLost(FIRST);
         assertEquals(FIRST + 1, fencing.token());
         assertTrue(fencing.hasLostCommand(FIRST));
--- a/src/test/java/garnetscale/core/partition/OwnerFixture.java
+++ b/src/test/java/garnetscale/core/partition/OwnerFixture.java
@@ -44,7 +44,7 @@
     final StateReplica replica = new StateReplica();
     private long tick;
 
-    /** {@code settings} is completed by the job's team. */
+    /** Creates the owner with {@code settings}, to which the job's team is added. */
     OwnerFixture(TestConfig settings) {
         config = settings.teams(new SchedulerConfig.Team("red", 8, 64, 0, 0)).build();
         state.commit(new Transaction()
--- a/src/test/java/garnetscale/core/partition/ReachabilityTest.java
+++ b/src/test/java/garnetscale/core/partition/ReachabilityTest.java
@@ -9,7 +9,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Tests a controller that no worker reaches while the state service and its peers still do. */
+/** Tests a controller that is isolated from workers, while the state service and the other controllers still reach it. */
 class ReachabilityTest {
 
     private static final int MACHINES = 100;
@@ -28,7 +28,10 @@
         return -1;
     }
 
-    /** Guards against late detection: only once the last machine had been silent for 9.5 s, nearly half of a lease. */
+    /**
+     * Guards against late detection: isolation was detected only once the last machine had been silent for 9.5 s, nearly half
+     * of a worker's lease.
+     */
     @Test
     void aHundredOverdueHeartbeatsAreDetectedWithinTwoSeconds() {
         reachability.onReachable(0);
--- a/src/test/java/garnetscale/core/partition/TerminationProofTest.java
+++ b/src/test/java/garnetscale/core/partition/TerminationProofTest.java
@@ -10,8 +10,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A placed attempt is terminated only by proof. That a heartbeat lacks the attempt, or that no heartbeat arrives, is no
- * proof.
+ * A placed attempt is reported as terminated only on proof. Neither a heartbeat without the attempt nor the absence of
+ * heartbeats is a proof by itself.
  */
 class TerminationProofTest {
 
@@ -64,14 +64,14 @@
     }
 
     @Test
-    void aMachineWithoutHeartbeatIsTerminatedAfterTheFencingDelay() {
+    void attemptsOnAMachineWithoutHeartbeatAreTerminatedAfterTheFencingDelay() {
         long fencingEnd = OWNED_SINCE + fixture.config.fencingDelayMs();
         assertEquals(NONE, provedAt(fencingEnd));
         assertEquals(PROVED, provedAt(fencingEnd + 1));
     }
 
     @Test
-    void aMachineThatHasSeenTheTokenIsTerminatedOnceItsLeaseHasExpired() {
+    void attemptsOnAMachineThatHasSeenTheTokenAreTerminatedOnceItsLeaseHasExpired() {
         long acknowledgedAt = 5000;
         machine.lastHeartbeat = emptyHeartbeat(1, OwnerFixture.FIRST_TOKEN);
         machine.tokenSeenAt = OWNED_SINCE;
@@ -83,7 +83,7 @@
 
     /** Until the machine has seen the token, an earlier owner may have acknowledged its heartbeats for the grace period. */
     @Test
-    void aMachineThatHasNotSeenTheTokenIsTerminatedAfterTheFencingDelay() {
+    void attemptsOnAMachineThatHasNotSeenTheTokenAreTerminatedAfterTheFencingDelay() {
         machine.lastHeartbeat = emptyHeartbeat(1, OwnerFixture.FIRST_TOKEN - 1);
         long fencingEnd = OWNED_SINCE + fixture.config.fencingDelayMs();
         assertEquals(NONE, provedAt(fencingEnd));
--- a/src/test/java/garnetscale/core/partition/WorkerRequestLimiterTest.java
+++ b/src/test/java/garnetscale/core/partition/WorkerRequestLimiterTest.java
@@ -37,9 +37,9 @@
     }
 
     /**
-     * Guards against probes that delay heartbeats and user requests: after all controllers had ended, a new owner probed every
-     * machine of its partitions while these waited. One probe is always allowed, since a machine that sends no heartbeat has
-     * to be probed eventually, however long the lag lasts.
+     * Guards against probes that delay heartbeats and user requests: after all controllers had stopped, a new owner probed
+     * every machine of its partitions while heartbeats and user requests waited. One probe is always allowed, since a machine
+     * that sends no heartbeat has to be probed eventually, however long the lag lasts.
      */
     @Test
     void aLaggingProcessProbesOneAtATime() {
