--- a/src/test/java/garnetscale/core/trace/TraceCluster.java
+++ b/src/test/java/garnetscale/core/trace/TraceCluster.java
@@ -30,7 +30,7 @@
 import java.util.function.Consumer;
 import java.util.function.Predicate;
 
-/** The controllers, workers and key-value store of a trace; each action says what the core did. */
+/** The controllers, workers and state service of a trace; each action prints what the core did. */
 final class TraceCluster {
 
     private static final long LEASE_MS = 10_000;
@@ -41,14 +41,15 @@
     private final Map<String, TraceNode> nodes = new TreeMap<>();
     private final Map<String, WorkerModel> workers = new TreeMap<>();
     private final Map<String, JobSpec> jobs = new HashMap<>();
-    private final List<OwnerEffect.SendCommands> commands = new ArrayList<>();
-    /** Workers that receive nothing; what they send arrives. */
+    /** Direct commands that have not arrived, oldest first. */
+    private final List<OwnerEffect.SendCommands> commandsInFlight = new ArrayList<>();
+    /** Workers that receive no messages, while those that they send arrive. */
     private final Set<String> isolatedWorkers = new HashSet<>();
-    /** The newest heartbeat of each worker, of which copies may arrive late. */
+    /** The last heartbeat of each worker, for copies that arrive late. */
     private final Map<String, WorkerHeartbeat> lastHeartbeats = new HashMap<>();
 
-    /** Transactions that were sent and haven't arrived, by node. */
-    private final Map<String, Transaction> held = new HashMap<>();
+    /** Transactions that were sent but have not arrived, by controller. */
+    private final Map<String, Transaction> heldTransactions = new HashMap<>();
 
     private final Consumer<String> output;
     private long now;
@@ -73,7 +74,7 @@
                 .build();
     }
 
-    private void say(String line) {
+    private void print(String line) {
         output.accept(line);
     }
 
@@ -91,7 +92,7 @@
 
     /** Starts a controller with a lease of its own. */
     void start(String name) {
-        TraceNode node = new TraceNode(name, config(name), line -> say(name + " logs: " + line));
+        TraceNode node = new TraceNode(name, config(name), line -> print(name + " logs: " + line));
         node.lease = state.grant(now, 1_000_000_000);
         String zone = node.config.zoneOfController(name);
         state.commit(new Transaction()
@@ -105,7 +106,7 @@
         sync(node);
     }
 
-    /** The lease of a controller expires; a crashed one is gone. */
+    /** Ends the state lease of a controller, and removes the controller if it has crashed. */
     void expireLease(String name, boolean crashed) {
         state.end(nodes.get(name).lease);
         if (crashed) {
@@ -113,7 +114,7 @@
         }
     }
 
-    /** Brings the replicas of matching nodes up to date. */
+    /** Brings the replicas of matching controllers up to date. */
     void synchronize(Predicate<String> matches) {
         for (TraceNode node : nodes.values()) {
             if (matches.test(node.name)) {
@@ -136,17 +137,17 @@
                 id, new WorkerModel(id, id, TYPES.get(0), zone, LEASE_MS, now, jobs::get, new WorkerModel.Watcher() {
                     @Override
                     public void began(String machine, TaskId task, long attempt) {
-                        say(machine + " runs " + task);
+                        print(machine + " runs " + task);
                     }
 
                     @Override
                     public void ended(String machine, TaskId task, long attempt, boolean completed) {
-                        say(machine + (completed ? " completed " : " ended ") + task);
+                        print(machine + (completed ? " completed " : " ended ") + task);
                     }
                 }));
     }
 
-    /** What a node that starts now would read. */
+    /** Returns a replica as a controller that starts now would read it. */
     private StateReplica stored() {
         StateReplica replica = new StateReplica();
         replica.reset(state.list(Keys.REPLICATED, null, 1000), state.revision());
@@ -163,7 +164,7 @@
     void cancel(String id) {
         StateModel.Entry entry = state.get(Keys.job(id));
         if (entry == null) {
-            say("nothing to cancel: "
+            print("nothing to cancel: "
                     + TraceText.text(state.get(Keys.terminalJob(id)).value()));
             return;
         }
@@ -173,13 +174,15 @@
                 .put(Keys.job(id), Records.job(job.withState(JobState.CANCELLED))));
     }
 
-    /** The node publishes everything it owns again. */
+    /** Has an owner publish all its status and bids again, as for a new leader. */
     void resynchronize(String name) {
         nodes.get(name).owner.resynchronize(now);
-        effects(nodes.get(name), false);
+        performEffects(nodes.get(name), false);
     }
 
-    /** The node's own leader publishes late and suspect jobs to it. */
+    /**
+     * Delivers to a controller's owner the jobs that its own leader wants late bids for, and the suspect jobs, with no machines.
+     */
     void publishMachineDirectory(String name) {
         TraceNode node = nodes.get(name);
         node.owner.onMachineDirectory(
@@ -194,7 +197,7 @@
         isolatedWorkers.remove(worker);
     }
 
-    /** A worker sends a heartbeat; its answer may be lost. */
+    /** Delivers a heartbeat of a worker to a controller; the answer may be lost. */
     void heartbeat(String worker, String name, boolean lost) {
         WorkerModel model = workers.get(worker);
         TraceNode node = nodes.get(name);
@@ -203,55 +206,55 @@
         lastHeartbeats.put(model.id(), heartbeat);
         HeartbeatReply reply = node.owner.onHeartbeat(now, heartbeat);
         if (reply instanceof HeartbeatReply.Acknowledge acknowledged) {
-            say(node.name + " answers " + model.id() + " " + TraceText.fencingToken(acknowledged.fencingToken()) + " "
+            print(node.name + " answers " + model.id() + " " + TraceText.fencingToken(acknowledged.fencingToken()) + " "
                     + TraceText.commands(acknowledged.commands()) + (lost ? ", lost" : ""));
             if (!lost && !isolatedWorkers.contains(model.id())) {
                 model.answered(now, now, heartbeat.agentEpoch(), acknowledged.fencingToken(), acknowledged.commands());
             }
         } else if (reply instanceof HeartbeatReply.Redirect redirect) {
-            say(node.name + " sends " + model.id() + " to " + redirect.node());
+            print(node.name + " sends " + model.id() + " to " + redirect.node());
         } else {
-            say(node.name + " refuses " + model.id() + ": " + ((HeartbeatReply.Reject) reply).reason());
+            print(node.name + " refuses " + model.id() + ": " + ((HeartbeatReply.Reject) reply).reason());
         }
-        effects(node, false);
+        performEffects(node, false);
     }
 
-    /** A copy of a worker's newest heartbeat arrives; the answer is dropped. */
+    /** Delivers a copy of a worker's last heartbeat to a controller; the answer is dropped. */
     void copyHeartbeat(String worker, String name) {
         TraceNode node = nodes.get(name);
         HeartbeatReply reply = node.owner.onHeartbeat(now, lastHeartbeats.get(worker));
-        say(node.name
+        print(node.name
                 + (reply instanceof HeartbeatReply.Acknowledge acknowledged
                         ? " answers a copy " + TraceText.fencingToken(acknowledged.fencingToken()) + " "
                                 + TraceText.commands(acknowledged.commands())
                         : reply instanceof HeartbeatReply.Redirect ? " sends a copy elsewhere" : " refuses a copy"));
-        effects(node, false);
+        performEffects(node, false);
     }
 
     void tick(String name) {
-        effects(nodes.get(name), true);
+        performEffects(nodes.get(name), true);
     }
 
-    private void effects(TraceNode node, boolean tick) {
+    private void performEffects(TraceNode node, boolean tick) {
         if (tick) {
             node.owner.tick(now);
         }
         for (OwnerEffect effect : node.owner.drainEffects()) {
             if (effect instanceof OwnerEffect.SendCommands send) {
-                say(node.name + " commands " + send.machine() + " " + TraceText.fencingToken(send.fencingToken()) + " "
-                        + TraceText.commands(send.commands()));
-                commands.add(send);
+                print(node.name + " commands " + send.machine() + " " + TraceText.fencingToken(send.fencingToken())
+                        + " " + TraceText.commands(send.commands()));
+                commandsInFlight.add(send);
             } else if (effect instanceof OwnerEffect.ProbeWorker probe) {
                 WorkerModel worker = workers.get(probe.machine());
                 boolean answered = worker != null && !isolatedWorkers.contains(probe.machine());
-                say(node.name + " asks " + probe.machine() + (answered ? "" : ", no answer"));
+                print(node.name + " asks " + probe.machine() + (answered ? "" : ", no answer"));
                 node.owner.onProbeEnded();
                 if (answered) {
                     worker.advance(now);
                     node.owner.onProbeAnswer(now, worker.heartbeat());
                 }
             } else if (effect instanceof OwnerEffect.PublishStatus publish) {
-                say(node.name + " tells: " + publish.machineStatus().machine()
+                print(node.name + " tells: " + publish.machineStatus().machine()
                         + (publish.machineStatus().silent() ? " silent" : "") + " "
                         + TraceText.tasks(publish.machineStatus().tasks())
                         + (publish.machineStatus().terminated().isEmpty()
@@ -265,18 +268,23 @@
                     bids.add(
                             bid.machine() + " for " + bid.slots() + " of " + bid.job() + " in " + bid.finishS() + " s");
                 }
-                say(node.name + " bids " + bids);
+                print(node.name + " bids " + bids);
                 nodes.values().forEach(other -> other.leader.onBids(now, submit.batch()));
             }
         }
     }
 
-    /** Sends the leader's next transaction, or its candidacy. {@code end}: ok, applied or lost (both without an answer), held. */
-    void lead(String name, String end) {
+    /**
+     * Sends the next transaction of a leader, or the election transaction of a controller that doesn't lead.
+     *
+     * @param outcome what becomes of a leader's transaction: "ok", "applied" or "lost", both without an answer, or "held", which
+     *                arrives at {@link #commitHeld}
+     */
+    void lead(String name, String outcome) {
         TraceNode node = nodes.get(name);
         if (!node.leader.leads(now)) {
             Transaction election = node.leader.election(now);
-            say(node.name
+            print(node.name
                     + (election == null
                             ? " doesn't stand: there is a leader"
                             : " stands for leader: " + commit(election)));
@@ -286,7 +294,7 @@
         }
         Transaction transaction = node.pipeline.next(() -> node.leader.plan(now));
         if (transaction == null) {
-            say(node.name + " has nothing to write");
+            print(node.name + " has nothing to write");
             return;
         }
         StringBuilder ops = new StringBuilder();
@@ -295,14 +303,14 @@
                     .append(op.key())
                     .append(op.value() == null ? " removed" : " = " + TraceText.text(op.value()));
         }
-        String result = end.equals("lost") || end.equals("held")
+        String result = outcome.equals("lost") || outcome.equals("held")
                 ? "no answer"
-                : commit(transaction) + (end.equals("applied") ? ", no answer" : "");
-        if (end.equals("held")) {
-            held.put(node.name, transaction);
+                : commit(transaction) + (outcome.equals("applied") ? ", no answer" : "");
+        if (outcome.equals("held")) {
+            heldTransactions.put(node.name, transaction);
         }
-        say(node.name + " writes " + ops + " -> " + result);
-        boolean answered = end.equals("ok");
+        print(node.name + " writes " + ops + " -> " + result);
+        boolean answered = outcome.equals("ok");
         node.pipeline.ended(
                 !answered
                         ? TransactionOutcome.MAYBE
@@ -311,9 +319,9 @@
         node.pipeline.ready();
     }
 
-    /** The held transaction of a node arrives. */
+    /** Delivers the held transaction of a controller to the state service. */
     void commitHeld(String name) {
-        say(commit(held.remove(name)) + " for the held transaction");
+        print(commit(heldTransactions.remove(name)) + " for the held transaction");
     }
 
     private String commit(Transaction transaction) {
@@ -321,15 +329,17 @@
     }
 
     /**
-     * Lets the oldest direct command arrive: ok, or late, when nobody waits for its answer any more. Lost means that
-     * the owner gives it up; it may arrive yet. Carried out means that a copy of it may arrive again.
+     * Delivers the oldest direct command to its machine.
+     *
+     * @param how "ok"; "late" when the owner no longer waits for the answer; "lost" when the owner gives the command up, which
+     *            may still arrive; "carried-out" when a copy of the command may arrive again
      */
     void deliverCommand(String how) {
-        if (commands.isEmpty()) {
-            say("no command is under way");
+        if (commandsInFlight.isEmpty()) {
+            print("no command is under way");
             return;
         }
-        OwnerEffect.SendCommands send = commands.get(0);
+        OwnerEffect.SendCommands send = commandsInFlight.get(0);
         WorkerModel worker = workers.get(send.machine());
         TraceNode owner = nodes.values().stream()
                 .filter(node -> node.owner.machineNames().contains(send.machine()))
@@ -340,19 +350,19 @@
             return;
         }
         boolean accepted = worker.command(now, send.fencingToken(), send.agentEpoch(), send.commands());
-        say(worker.id() + (accepted ? " takes " : " refuses ") + "the command "
+        print(worker.id() + (accepted ? " takes " : " refuses ") + "the command "
                 + TraceText.fencingToken(send.fencingToken()));
         if (!how.equals("carried-out")) {
-            commands.remove(0);
+            commandsInFlight.remove(0);
         }
         if (!how.equals("late")) {
             owner.owner.onCommandAnswer(now, send.machine(), send.fencingToken(), worker.heartbeat());
-            effects(owner, false);
+            performEffects(owner, false);
         }
     }
 
     void showPlacements(String machine) {
-        say(machine + " has "
+        print(machine + " has "
                 + TraceText.text(stored().placements(machine).stream()
                         .map(placement -> List.of(
                                 placement.task().toString(),
@@ -362,11 +372,11 @@
     }
 
     void showFinished(String job) {
-        say(stored().job(job).finishedCount() + " tasks of " + job + " are finished");
+        print(stored().job(job).finishedCount() + " tasks of " + job + " are finished");
     }
 
     void showStored(String key) {
         StateModel.Entry entry = state.get(key);
-        say(key + " = " + (entry == null ? "nothing" : TraceText.text(entry.value())));
+        print(key + " = " + (entry == null ? "nothing" : TraceText.text(entry.value())));
     }
 }
--- a/src/test/java/garnetscale/core/trace/TraceNode.java
+++ b/src/test/java/garnetscale/core/trace/TraceNode.java
@@ -9,7 +9,7 @@
 import garnetscale.core.state.StateReplica;
 import java.util.function.Consumer;
 
-/** A controller in a trace: the roles of the core. */
+/** A controller in a trace: the roles of the core, without timers and links. */
 final class TraceNode {
 
     final String name;
@@ -20,7 +20,7 @@
     final TransactionPipeline pipeline;
     long lease;
 
-    /** {@code log}: told each line that the leader logs. */
+    /** Creates a controller; {@code log} receives each line that its leader role logs. */
     TraceNode(String name, SchedulerConfig config, Consumer<String> log) {
         this.name = name;
         this.config = config;
--- a/src/test/java/garnetscale/core/trace/TraceRunner.java
+++ b/src/test/java/garnetscale/core/trace/TraceRunner.java
@@ -6,8 +6,9 @@
 import java.util.List;
 
 /**
- * Plays a trace: lines that begin with {@code >} are inputs, the others are what the core did. Nothing happens by itself; nodes
- * learn of each other and of the key-value store only when the trace says so. CONTRIBUTING.md explains the words.
+ * Runs a trace: lines that begin with {@code >} are inputs, lines that begin with {@code #} comments, and the others what the
+ * core did. There are no timers: controllers receive the changes of the state service and messages of others only at an input
+ * line. CONTRIBUTING.md explains the input words.
  */
 final class TraceRunner {
 
@@ -15,7 +16,7 @@
     private final TraceCluster cluster =
             new TraceCluster(line -> out.append("    ").append(line).append('\n'));
 
-    /** Plays the inputs of a trace and returns it with what the core did now in place of what is recorded. */
+    /** Runs the inputs of a trace; returns the trace with what the core did in this run instead of what is recorded. */
     static String play(String trace) {
         TraceRunner runner = new TraceRunner();
         for (String line : trace.split("\n")) {
@@ -23,13 +24,13 @@
                 runner.out.append(line).append('\n');
             } else if (line.startsWith(">")) {
                 runner.out.append(line).append('\n');
-                runner.input(line.substring(1).trim().split("\\s+"));
+                runner.execute(line.substring(1).trim().split("\\s+"));
             }
         }
         return runner.out.toString();
     }
 
-    private void input(String[] words) {
+    private void execute(String[] words) {
         switch (words[0]) {
             case "at" -> cluster.advanceTo(Long.parseLong(words[1]));
             case "up" -> cluster.start(words[1]);
@@ -38,10 +39,10 @@
             case "worker" -> cluster.startWorker(words[1], option(words, "zone", "a"));
             case "job" -> cluster.submit(job(words));
             case "cancel" -> cluster.cancel(words[1]);
-            case "told" -> cluster.node(words[1]).owner.onCancelled(words[2]);
-            case "retell" -> cluster.resynchronize(words[1]);
+            case "cancellation-notice" -> cluster.node(words[1]).owner.onCancelled(words[2]);
+            case "resynchronize" -> cluster.resynchronize(words[1]);
             case "slow" -> cluster.worker(words[1]).slowDown(Double.parseDouble(words[2]));
-            case "book" -> cluster.publishMachineDirectory(words[1]);
+            case "directory" -> cluster.publishMachineDirectory(words[1]);
             case "deaf" -> cluster.isolate(words[1]);
             case "hears" -> cluster.reconnect(words[1]);
             case "copy" -> cluster.copyHeartbeat(words[1], words[2]);
@@ -53,7 +54,7 @@
             case "placed" -> cluster.showPlacements(words[1]);
             case "finished" -> cluster.showFinished(words[1]);
             case "store" -> cluster.showStored(words[1]);
-            default -> throw new IllegalArgumentException("not a word of traces: " + words[0]);
+            default -> throw new IllegalArgumentException("unknown input word: " + words[0]);
         }
     }
 
@@ -70,13 +71,13 @@
                 .build();
     }
 
-    private static String option(String[] words, String name, String otherwise) {
+    private static String option(String[] words, String name, String defaultValue) {
         for (String word : words) {
             if (word.startsWith(name + "=")) {
                 return word.substring(name.length() + 1);
             }
         }
-        return otherwise;
+        return defaultValue;
     }
 
     private static boolean flag(String[] words, String name) {
--- a/src/test/java/garnetscale/core/trace/TraceTest.java
+++ b/src/test/java/garnetscale/core/trace/TraceTest.java
@@ -10,7 +10,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** The kept traces. {@code -Dtraces=renew} rewrites them; CONTRIBUTING.md says when that is allowed. */
+/**
+ * Compares what the core does now with the recorded traces. {@code -Dtraces=renew} rewrites them; CONTRIBUTING.md says when that
+ * is allowed.
+ */
 class TraceTest {
 
     private static final Path DIR = Path.of("src/test/resources/traces");
@@ -25,12 +28,12 @@
 
     @ParameterizedTest
     @MethodSource("traces")
-    void playsAsKept(Path trace) throws IOException {
-        String kept = Files.readString(trace);
-        String played = TraceRunner.play(kept);
+    void playsAsRecorded(Path trace) throws IOException {
+        String recorded = Files.readString(trace);
+        String played = TraceRunner.play(recorded);
         if ("renew".equals(System.getProperty("traces"))) {
             Files.writeString(trace, played);
         }
-        assertEquals(kept, played);
+        assertEquals(recorded, played);
     }
 }
--- a/src/test/java/garnetscale/core/trace/TraceText.java
+++ b/src/test/java/garnetscale/core/trace/TraceText.java
@@ -8,41 +8,43 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** How messages and stored values are written in traces. */
+/** Formats messages and stored values for traces. */
 final class TraceText {
 
-    /** An attempt's number in the leader's term; the term stands above it. */
-    private static final long MAX_ATTEMPT_NUMBER = 0xffffff;
+    /** Bit mask of an attempt's number within the leader's term; the higher bits are the term. */
+    private static final long ATTEMPT_NUMBER_MASK = 0xffffff;
 
     private TraceText() {}
 
-    /** A fencing token as the leader's term, the partition's term in it, and the machine's own number. */
+    /**
+     * Formats a fencing token as the leader's term, the number of the partition's term within it, and the machine's own number.
+     */
     static String fencingToken(long fencingToken) {
         long term = fencingToken >> 20;
         return "(term " + (term >> 20) + "." + (term & 0xfffff) + " token " + (fencingToken & 0xfffff) + ")";
     }
 
-    /** Commands with their tasks, and attempts cut to their number in the term. */
+    /** Formats commands with their tasks, and attempts by their number within the term. */
     static String commands(List<WorkerCommand> commands) {
         List<String> list = new ArrayList<>();
         for (WorkerCommand command : commands) {
             list.add(command.getClass().getSimpleName().toLowerCase(Locale.ROOT) + " " + command.task() + "#"
-                    + (command.attempt() & MAX_ATTEMPT_NUMBER));
+                    + (command.attempt() & ATTEMPT_NUMBER_MASK));
         }
         return list.toString();
     }
 
-    /** Tasks with their states, or the causes of their exits. */
+    /** Formats tasks with their states, or with the causes of their exits. */
     static String tasks(List<TaskStatus> tasks) {
         List<String> list = new ArrayList<>();
         for (TaskStatus status : tasks) {
-            list.add(status.task() + "#" + (status.attempt() & MAX_ATTEMPT_NUMBER) + " "
+            list.add(status.task() + "#" + (status.attempt() & ATTEMPT_NUMBER_MASK) + " "
                     + (status.exited() ? status.cause() : status.state()));
         }
         return list.toString();
     }
 
-    /** Stored values, with attempts cut to their number in the term. */
+    /** Formats a stored value, and attempts in it by their number within the term. */
     static String text(Object value) {
         if (value instanceof Map<?, ?> map) {
             List<String> list = new ArrayList<>();
@@ -52,8 +54,8 @@
         if (value instanceof List<?> elements) {
             return elements.stream().map(TraceText::text).toList().toString();
         }
-        return value instanceof Long number && number > MAX_ATTEMPT_NUMBER
-                ? "#" + (number & MAX_ATTEMPT_NUMBER)
+        return value instanceof Long number && number > ATTEMPT_NUMBER_MASK
+                ? "#" + (number & ATTEMPT_NUMBER_MASK)
                 : String.valueOf(value);
     }
 }
