--- a/src/test/java/garnetscale/core/sim/BalanceMeasurement.java
+++ b/src/test/java/garnetscale/core/sim/BalanceMeasurement.java
@@ -15,27 +15,28 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Measures load balancing on and off, with the same seeds: {@code mvn test -Dtest=BalanceMeasurement}. Four times two teams swell
- * at once; with failures, a controller ends in each swell. Not part of a build. All in simulated time.
+ * Measures load balancing on and off in simulated time, with the same seeds: {@code mvn test -Dtest=BalanceMeasurement}. The load
+ * of two teams peaks four times at once; in the runs with failures a controller crashes in each peak. Its name keeps it out of
+ * builds.
  */
 class BalanceMeasurement {
 
     private static final int SEEDS = Integer.getInteger("seeds", 5);
-    private static final int SWELLS = 4;
-    private static final long APART = 150_000;
-    private static final long FIRST = 50_000;
-    private static final long END = FIRST + SWELLS * APART;
+    private static final int PEAKS = 4;
+    private static final long PEAK_INTERVAL_MS = 150_000;
+    private static final long FIRST_PEAK_MS = 50_000;
+    private static final long END_MS = FIRST_PEAK_MS + PEAKS * PEAK_INTERVAL_MS;
     private static final int SAMPLE_MS = 500;
-    /** Utilization below this isn't worth comparing. */
-    private static final double LEAST_MEAN = 0.1;
+    /** Least mean utilization of a sample that counts; the ratio of peak to mean says little below it. */
+    private static final double MIN_MEAN_UTILIZATION = 0.1;
 
     private final Map<String, Double> figures = new TreeMap<>();
 
     @Test
-    void withAndWithout() {
+    void balancingOffAndOn() {
         for (boolean failures : List.of(false, true)) {
-            Map<String, double[]> off = all(false, failures);
-            Map<String, double[]> on = all(true, failures);
+            Map<String, double[]> off = measureAll(false, failures);
+            Map<String, double[]> on = measureAll(true, failures);
             System.out.println("failures " + failures);
             on.forEach((name, values) ->
                     System.out.printf(Locale.ROOT, "  %-28s off %s  on %s%n", name, show(off.get(name)), show(values)));
@@ -56,29 +57,29 @@
                         .toArray()));
     }
 
-    private Map<String, double[]> all(boolean balanced, boolean failures) {
+    private Map<String, double[]> measureAll(boolean balanced, boolean failures) {
         Map<String, double[]> all = new TreeMap<>();
         for (int seed = 1; seed <= SEEDS; seed++) {
             figures.clear();
-            play(seed, balanced, failures);
-            int place = seed - 1;
-            figures.forEach((name, value) -> all.computeIfAbsent(name, n -> new double[SEEDS])[place] = value);
+            measure(seed, balanced, failures);
+            int index = seed - 1;
+            figures.forEach((name, value) -> all.computeIfAbsent(name, n -> new double[SEEDS])[index] = value);
         }
         return all;
     }
 
-    private void play(int seed, boolean balanced, boolean failures) {
+    private void measure(int seed, boolean balanced, boolean failures) {
         ClusterShape shape =
                 balanced ? BalanceSimulationTest.SHAPE : BalanceSimulationTest.SHAPE.withBalance(BalanceSettings.OFF);
-        BalanceSimulationTest.Day day = BalanceSimulationTest.day(seed, shape);
-        SimulatedCluster cluster = day.cluster();
+        BalanceSimulationTest.Scenario scenario = BalanceSimulationTest.create(seed, shape);
+        SimulatedCluster cluster = scenario.cluster();
         Map<String, Long> submitted = new HashMap<>();
         Map<String, Long> ended = new HashMap<>();
         List<Double> boundWaits = new ArrayList<>();
         List<Double> flexibleWaits = new ArrayList<>();
         Set<TaskId> started = new HashSet<>();
-        var began = cluster.rules.onBegan;
-        cluster.rules.onBegan = (machine, task) -> {
+        var began = cluster.rules.onStarted;
+        cluster.rules.onStarted = (machine, task) -> {
             began.accept(machine, task);
             if (!started.add(task)) {
                 return;
@@ -86,36 +87,36 @@
             double wait = (cluster.now - submitted.get(task.job())) / 1000.0;
             (task.job().contains("bound") ? boundWaits : flexibleWaits).add(wait);
         };
-        cluster.rules.onDone = task -> ended.put(task.job(), cluster.now);
-        for (int index = 0; index < SWELLS; index++) {
-            swell(cluster, submitted, index, failures);
+        cluster.rules.onCompleted = task -> ended.put(task.job(), cluster.now);
+        for (int index = 0; index < PEAKS; index++) {
+            submitPeak(cluster, submitted, index, failures);
         }
         List<Double> ratios = new ArrayList<>();
-        for (long t = SAMPLE_MS; t < END; t += SAMPLE_MS) {
+        for (long t = SAMPLE_MS; t < END_MS; t += SAMPLE_MS) {
             cluster.run(t);
             sample(cluster, ratios);
         }
-        figures.put("bound wait 90% s", percentile(boundWaits, 0.9));
-        figures.put("bound wait most s", percentile(boundWaits, 1));
-        figures.put("flexible first start 90% s", percentile(flexibleWaits, 0.9));
-        figures.put("bound job ended after s", meanLasting("wk-bound", submitted, ended));
-        figures.put("flexible job ended after s", meanLasting("wk-flex", submitted, ended));
+        figures.put("bound wait 90% s", quantile(boundWaits, 0.9));
+        figures.put("bound wait max s", quantile(boundWaits, 1));
+        figures.put("flexible first start 90% s", quantile(flexibleWaits, 0.9));
+        figures.put("bound job ended after s", meanDurationS("wk-bound", submitted, ended));
+        figures.put("flexible job ended after s", meanDurationS("wk-flex", submitted, ended));
         figures.put(
                 "peak to mean", ratios.stream().mapToDouble(r -> r).average().orElse(0));
-        figures.put("moves", (double) day.history().moves.size());
-        figures.put("needless moves", (double) day.history().needless());
-        figures.put("work lost to moves CPU-s", day.history().lostCpuS());
-        figures.put("rules broken", (double) cluster.rules.violations.size());
+        figures.put("moves", (double) scenario.history().moves.size());
+        figures.put("needless moves", (double) scenario.history().countNeedless());
+        figures.put("work lost to moves CPU-s", scenario.history().lostCpuS());
+        figures.put("rule violations", (double) cluster.rules.violations.size());
         figures.put(
-                "jobs not over",
+                "jobs not completed",
                 (double) submitted.size()
                         - submitted.keySet().stream()
                                 .filter(cluster.rules::isComplete)
                                 .count());
     }
 
-    private static void swell(SimulatedCluster cluster, Map<String, Long> submitted, int index, boolean failures) {
-        long at = FIRST + index * APART;
+    private static void submitPeak(SimulatedCluster cluster, Map<String, Long> submitted, int index, boolean failures) {
+        long at = FIRST_PEAK_MS + index * PEAK_INTERVAL_MS;
         cluster.at(at, () -> {
             submitted.put("wk-flex" + index, cluster.now);
             cluster.users.submit("wk-flex" + index, "blue", 36 + cluster.random.nextInt(9), 4, 120);
@@ -148,7 +149,7 @@
         }
         double mean = used.values().stream().mapToDouble(u -> u).sum()
                 / capacity.values().stream().mapToDouble(c -> c).sum();
-        if (mean >= LEAST_MEAN) {
+        if (mean >= MIN_MEAN_UTILIZATION) {
             double peak = capacity.keySet().stream()
                     .mapToDouble(group -> used.getOrDefault(group, 0.0) / capacity.get(group))
                     .max()
@@ -165,7 +166,7 @@
         return cluster.zoneOf(machine) + "/" + cluster.typeOf(machine);
     }
 
-    private static double meanLasting(String prefix, Map<String, Long> submitted, Map<String, Long> ended) {
+    private static double meanDurationS(String prefix, Map<String, Long> submitted, Map<String, Long> ended) {
         return submitted.keySet().stream()
                 .filter(job -> job.startsWith(prefix) && ended.containsKey(job))
                 .mapToDouble(job -> (ended.get(job) - submitted.get(job)) / 1000.0)
@@ -173,7 +174,7 @@
                 .orElse(0);
     }
 
-    private static double percentile(List<Double> values, double share) {
+    private static double quantile(List<Double> values, double share) {
         double[] sorted = values.stream().mapToDouble(v -> v).sorted().toArray();
         return sorted.length == 0 ? 0 : sorted[(int) Math.min(sorted.length - 1, share * sorted.length)];
     }
--- a/src/test/java/garnetscale/core/sim/ClusterShape.java
+++ b/src/test/java/garnetscale/core/sim/ClusterShape.java
@@ -10,7 +10,15 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The size of a simulated cluster: nodes and workers are spread over the zones in turn; {@code red} and {@code blue} are the teams' limits in CPUs. */
+/**
+ * The size and settings of a simulated cluster, whose controllers and workers are spread over the zones in turn.
+ *
+ * @param nodes      number of controllers
+ * @param valueBytes largest value that the state service takes
+ * @param types      machine types, which the machines of each zone have in turn
+ * @param red        CPU limit of team red
+ * @param blue       CPU limit of team blue
+ */
 record ClusterShape(
         int nodes,
         List<String> zones,
@@ -28,7 +36,7 @@
     static final ClusterShape THREE_ZONES = new ClusterShape(3, List.of("a", "b", "c"), 300, VALUE_BYTES);
     static final ClusterShape FIVE_NODES = new ClusterShape(5, List.of("a", "b"), 300, VALUE_BYTES);
     static final ClusterShape FOUR_THOUSAND = new ClusterShape(5, List.of("a", "b"), 4000, VALUE_BYTES);
-    /** Values so small that a few dozen machines outgrow a shard. */
+    /** Values are so small that the placements of a few dozen machines exceed a shard. */
     static final ClusterShape SMALL_VALUES = new ClusterShape(3, List.of("a", "b"), 160, 4 * 1024);
 
     ClusterShape(int nodes, List<String> zones, int workers, int valueBytes) {
@@ -44,7 +52,7 @@
                 BalanceSettings.OFF);
     }
 
-    /** The same with these machine types in turn in each zone, limits that are never reached, and no objectives. */
+    /** Returns this shape with these machine types, team limits that are never reached, and no objectives. */
     ClusterShape withTypes(List<MachineType> machineTypes) {
         double limit = machineTypes.stream().mapToDouble(MachineType::cpus).sum() * workers;
         return new ClusterShape(nodes, zones, workers, valueBytes, machineTypes, List.of(), limit, limit, balance);
@@ -58,7 +66,7 @@
         return types.get(machine / zones.size() % types.size());
     }
 
-    /** The zone of a machine or a node, by its number. */
+    /** Returns the zone of the machine or controller with this number. */
     String zone(int number) {
         return zones.get(number % zones.size());
     }
@@ -67,7 +75,7 @@
         return config(self, Layouts.SUPPORTED);
     }
 
-    /** The settings of a node that supports these layouts. */
+    /** Returns the settings of a controller that supports these layout versions. */
     SchedulerConfig config(String self, VersionRange layouts) {
         List<SchedulerConfig.ControllerAddress> controllers = new ArrayList<>();
         for (int i = 0; i < nodes; i++) {
@@ -81,7 +89,7 @@
                         new SchedulerConfig.Team("red", 8, red(), 0, Double.POSITIVE_INFINITY),
                         new SchedulerConfig.Team("blue", 8, blue(), 0, Double.POSITIVE_INFINITY))
                 .objectives(objectives.toArray(new SchedulerConfig.ServiceLevelObjective[0]))
-                .workers(SimulatedCluster.HEARTBEAT, SimulatedCluster.LEASE, SimulatedCluster.CANCEL)
+                .workers(SimulatedCluster.HEARTBEAT_MS, SimulatedCluster.LEASE_MS, SimulatedCluster.CANCEL_MS)
                 .valueBytes(valueBytes)
                 .features(new Features(true, 0.5, layouts, Features.NEVER, balance))
                 .build();
--- a/src/test/java/garnetscale/core/sim/ConcurrentFailures.java
+++ b/src/test/java/garnetscale/core/sim/ConcurrentFailures.java
@@ -13,37 +13,37 @@
 import java.util.function.Predicate;
 
 /**
- * Fixture of the {@code Concurrent…Test}s: scenarios in which two failures coincide. A scenario counts how often what it is
- * steered into occurred, and its test fails if that was too seldom. docs/meetings.md lists the scenarios, with the guard in the
- * code without which each was seen to fail.
+ * Fixture of the {@code Concurrent…Test}s: scenarios in which two failures coincide. Each scenario counts the events that it is
+ * meant to produce, and its test fails if they occurred too seldom. docs/meetings.md lists the scenarios, each with the guard in
+ * the code without which it was seen to fail.
  */
 final class ConcurrentFailures {
 
-    /** Seeds that most scenarios are played with: {@code -Dmeetings=60} plays more. */
+    /** Number of seeds for most scenarios; {@code -Dmeetings=60} runs more. */
     static final int SEEDS = Integer.getInteger("meetings", 6);
 
     private static final int LONG_TASK_S = 70;
-    /** Scenarios inject their last failure before this time. */
+    /** Time by which scenarios have injected their last failure. */
     private static final long FAILURES_END_MS = 130_000;
-    /** Every job has to be terminal by then. */
+    /** Time by which every job must be terminal. */
     private static final long END_MS = 700_000;
 
     private static final long POLL_MS = 5000;
-    /** For so long after the last job's end no state may change. */
-    private static final long AFTERWARDS_MS = 30_000;
+    /** How long the scenario goes on after the last job became terminal; no terminal state may change in that time. */
+    private static final long QUIET_MS = 30_000;
 
-    /** Plays a scenario with {@link #SEEDS} seeds; returns how often each event occurred, summed over all of them. */
+    /** Runs a scenario with {@link #SEEDS} seeds; returns how often each event occurred, summed over all seeds. */
     static Map<String, Integer> play(Consumer<SimulatedCluster> script) {
         return play(SEEDS, script);
     }
 
-    /** Plays a scenario with seeds from 1; PROTOCOL's rules must hold in each, and all jobs must become terminal. */
+    /** Runs a scenario with seeds from 1; PROTOCOL's rules must hold for each seed, and all jobs must become terminal. */
     static Map<String, Integer> play(int seeds, Consumer<SimulatedCluster> script) {
         Map<String, Integer> occurred = new TreeMap<>();
         for (long seed = 1; seed <= seeds; seed++) {
             SimulatedCluster cluster = new SimulatedCluster(seed, SimulatedCluster.Fault.NONE, ClusterShape.SMALL);
             cluster.watches = true;
-            cluster.users.lostCancellationNotices = 0.5;
+            cluster.users.lostNoticeShare = 0.5;
             script.accept(cluster);
             cluster.run(FAILURES_END_MS);
             settle(cluster);
@@ -55,30 +55,32 @@
         return occurred;
     }
 
-    /** After the last failure every accepted job becomes terminal, and stays so. */
+    /** Runs until every accepted job is terminal, and then checks that all stay so; adds a violation for each that is not. */
     private static void settle(SimulatedCluster cluster) {
         for (long time = cluster.now; time < END_MS; time += POLL_MS) {
             cluster.run(time);
             if (cluster.rules.jobs.keySet().stream().allMatch(cluster.users::poll)) {
-                cluster.run(time + AFTERWARDS_MS);
+                cluster.run(time + QUIET_MS);
                 cluster.rules.jobs.keySet().forEach(cluster.users::poll);
                 return;
             }
         }
         cluster.rules.jobs.keySet().stream()
                 .filter(job -> !cluster.users.poll(job))
-                .forEach(job -> cluster.rules.violations.add("never over: " + job));
+                .forEach(job -> cluster.rules.violations.add("not terminal: " + job));
     }
 
-    /** Each event occurred so many times at least, or the scenario misses its aim. */
+    /**
+     * Asserts that each event occurred at least {@code times} times; otherwise the scenario does not test what it is meant to.
+     */
     static void assertOccurred(Map<String, Integer> occurred, int times, String... events) {
         for (String event : events) {
             assertTrue(occurred.getOrDefault(event, 0) >= times, event + ": " + occurred);
         }
     }
 
-    /** Long tasks on all machines from the first seconds on. */
-    static void longWork(SimulatedCluster cluster, int jobs) {
+    /** Submits jobs with two long tasks each, so that all machines run long tasks from the first seconds on. */
+    static void submitLongJobs(SimulatedCluster cluster, int jobs) {
         for (int i = 0; i < jobs; i++) {
             String id = "wk-1" + i;
             cluster.at(
@@ -87,19 +89,19 @@
         }
     }
 
-    /** Short jobs all the time, so that placements keep changing. */
-    static void shortWork(SimulatedCluster cluster, int jobs, int overMs) {
+    /** Submits short jobs at random times within a period, so that placements keep changing. */
+    static void submitShortJobs(SimulatedCluster cluster, int jobs, int periodMs) {
         for (int i = 0; i < jobs; i++) {
             String id = "wk-2" + i;
             int tasks = 1 + cluster.random.nextInt(5);
             int seconds = 1 + cluster.random.nextInt(8);
             cluster.at(
-                    1000 + cluster.random.nextInt(overMs),
+                    1000 + cluster.random.nextInt(periodMs),
                     () -> cluster.users.submit(id, cluster.random.nextBoolean() ? "red" : "blue", tasks, 1, seconds));
         }
     }
 
-    /** Users cancel all jobs that run on matching machines, at another controller than {@code notAt}; counts each as {@code event}. */
+    /** Cancels all jobs that run on matching machines, at a controller other than {@code notAt}; counts each as {@code event}. */
     static void cancelRunning(SimulatedCluster cluster, String notAt, Predicate<String> machines, String event) {
         Set<String> jobs = new HashSet<>();
         cluster.rules.running().forEach((task, machine) -> {
@@ -116,8 +118,10 @@
         }
     }
 
-    /** Both teams ask for more than their limits all the time, so that what is freed too early is used by others at once. */
-    static void fullTeams(SimulatedCluster cluster) {
+    /**
+     * Keeps the demand of both teams above their limits, so that capacity that is freed too early is used by other jobs at once.
+     */
+    static void submitBeyondTeamLimits(SimulatedCluster cluster) {
         for (int i = 0; i < 70; i++) {
             String id = "wk-3" + i;
             int seconds = 5 + cluster.random.nextInt(25);
--- a/src/test/java/garnetscale/core/sim/ConcurrentLateHeartbeatTest.java
+++ b/src/test/java/garnetscale/core/sim/ConcurrentLateHeartbeatTest.java
@@ -3,10 +3,10 @@
 import static garnetscale.core.sim.ConcurrentFailures.SEEDS;
 import static garnetscale.core.sim.ConcurrentFailures.assertOccurred;
 import static garnetscale.core.sim.ConcurrentFailures.cancelRunning;
-import static garnetscale.core.sim.ConcurrentFailures.fullTeams;
-import static garnetscale.core.sim.ConcurrentFailures.longWork;
 import static garnetscale.core.sim.ConcurrentFailures.play;
-import static garnetscale.core.sim.ConcurrentFailures.shortWork;
+import static garnetscale.core.sim.ConcurrentFailures.submitBeyondTeamLimits;
+import static garnetscale.core.sim.ConcurrentFailures.submitLongJobs;
+import static garnetscale.core.sim.ConcurrentFailures.submitShortJobs;
 
 import java.util.Map;
 import org.junit.jupiter.api.Test;
@@ -14,31 +14,35 @@
 /** Heartbeats that arrive late, twice or out of order, while the leader fails over. See {@link ConcurrentFailures}. */
 class ConcurrentLateHeartbeatTest {
 
-    /** Old heartbeats reach every controller just as a new leader begins: they prove nothing. */
+    /** Old heartbeats reach every controller at the election of a new leader; they must not count as proof of anything. */
     @Test
-    void oldReportsReachEveryControllerAsALeaderBegins() {
+    void oldHeartbeatsReachEveryControllerAtAnElection() {
         Map<String, Integer> occurred = play(cluster -> {
-            oldReports(cluster, 0);
+            deliverOldHeartbeats(cluster, 0);
         });
         assertOccurred(occurred, 100 * SEEDS, "old heartbeat at a new leader");
     }
 
-    /** Heartbeats are held back until a new leader has acted. */
+    /** Old heartbeats reach every controller 2.5 s after the election, when the new leader has already made decisions. */
     @Test
-    void reportsAreHeldBackUntilANewLeaderHasActed() {
+    void oldHeartbeatsArriveAfterANewLeaderHasActed() {
         Map<String, Integer> occurred = play(cluster -> {
-            oldReports(cluster, 2500);
+            deliverOldHeartbeats(cluster, 2500);
         });
         assertOccurred(occurred, 100 * SEEDS, "old heartbeat at a new leader");
     }
 
-    private static void oldReports(SimulatedCluster cluster, long delay) {
-        longWork(cluster, 6);
-        shortWork(cluster, 25, 90_000);
-        cluster.keptDelay = delay;
+    /**
+     * Holds heartbeats before each crash of a leader, and delivers them to every controller {@code delayMs} after the next
+     * election.
+     */
+    private static void deliverOldHeartbeats(SimulatedCluster cluster, long delayMs) {
+        submitLongJobs(cluster, 6);
+        submitShortJobs(cluster, 25, 90_000);
+        cluster.heldHeartbeatsDelayMs = delayMs;
         for (long time = 12_000; time < 100_000; time += 22_000) {
             cluster.at(time, () -> {
-                cluster.keepUntil = cluster.now + 8000;
+                cluster.holdHeartbeatsUntil = cluster.now + 8000;
                 cluster.at(9000, () -> cluster.crash(cluster.leader(), 300 + cluster.random.nextInt(6000)));
                 cluster.at(
                         9100 + cluster.random.nextInt(3000),
@@ -52,12 +56,12 @@
         }
     }
 
-    /** Copies of heartbeats arrive late, by seconds to well over a lease, also from earlier agent epochs. */
+    /** Copies of heartbeats arrive 1 s to 41 s late, longer than a worker lease and also from earlier agent epochs. */
     @Test
-    void oldReportsArriveAfterNewerOnes() {
+    void oldHeartbeatsArriveAfterNewerOnes() {
         Map<String, Integer> occurred = play(2 * SEEDS, cluster -> {
-            fullTeams(cluster);
-            cluster.copiesUntil = 100_000;
+            submitBeyondTeamLimits(cluster);
+            cluster.lateCopiesUntil = 100_000;
             for (long time = 8000; time < 100_000; time += 2000) {
                 cluster.at(
                         time,
@@ -68,8 +72,8 @@
                 cluster.at(time, () -> {
                     String machine = cluster.workers.get(cluster.random.nextInt(cluster.workers.size())).id;
                     long agentEpoch = cluster.worker(machine).model.agentEpoch();
-                    cluster.network.cutMessagesTo(machine, SimulatedCluster.LEASE + 3000);
-                    cluster.at(SimulatedCluster.LEASE + 4000, () -> {
+                    cluster.network.cutMessagesTo(machine, SimulatedCluster.LEASE_MS + 3000);
+                    cluster.at(SimulatedCluster.LEASE_MS + 4000, () -> {
                         if (cluster.worker(machine).model.agentEpoch() > agentEpoch) {
                             cluster.countOccurrence("copies of an earlier agent epoch");
                         }
--- a/src/test/java/garnetscale/core/sim/ConcurrentLeaderFailureTest.java
+++ b/src/test/java/garnetscale/core/sim/ConcurrentLeaderFailureTest.java
@@ -3,9 +3,9 @@
 import static garnetscale.core.sim.ConcurrentFailures.SEEDS;
 import static garnetscale.core.sim.ConcurrentFailures.assertOccurred;
 import static garnetscale.core.sim.ConcurrentFailures.cancelRunning;
-import static garnetscale.core.sim.ConcurrentFailures.longWork;
 import static garnetscale.core.sim.ConcurrentFailures.play;
-import static garnetscale.core.sim.ConcurrentFailures.shortWork;
+import static garnetscale.core.sim.ConcurrentFailures.submitLongJobs;
+import static garnetscale.core.sim.ConcurrentFailures.submitShortJobs;
 
 import java.util.HashMap;
 import java.util.HashSet;
@@ -13,19 +13,21 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Failovers of leaders and partition owners in quick succession, or of all controllers at once. See {@link ConcurrentFailures}. */
+/**
+ * Failovers of leaders and partition owners in quick succession, or of all controllers at once. See {@link ConcurrentFailures}.
+ */
 class ConcurrentLeaderFailureTest {
 
-    /** Tasks of one small job end far apart, with a change of leader between. */
+    /** The tasks of a small job complete far apart, with a change of leader between them. */
     @Test
-    void smallJobsEndFarApartAcrossAChangeOfLeader() {
+    void tasksOfSmallJobsCompleteUnderDifferentLeaders() {
         Map<String, Integer> occurred = play(cluster -> {
             cluster.workers.forEach(worker -> worker.model.slowDown(1 + cluster.random.nextInt(6)));
             Map<String, Set<String>> leaders = new HashMap<>();
-            cluster.rules.onDone = task -> {
+            cluster.rules.onCompleted = task -> {
                 if (leaders.computeIfAbsent(task.job(), key -> new HashSet<>()).add(cluster.leaderTerm() + "")
                         && leaders.get(task.job()).size() == 2) {
-                    cluster.countOccurrence("a job's tasks ended under different leaders");
+                    cluster.countOccurrence("tasks of a job completed under different leaders");
                 }
             };
             for (int i = 0; i < 24; i++) {
@@ -37,15 +39,15 @@
                 cluster.at(i * 12_000L, () -> cluster.crash(cluster.leader(), 100 + cluster.random.nextInt(5000)));
             }
         });
-        assertOccurred(occurred, 2 * SEEDS, "a job's tasks ended under different leaders");
+        assertOccurred(occurred, 2 * SEEDS, "tasks of a job completed under different leaders");
     }
 
-    /** Ten changes of leader in two minutes, some of them inside an outage, with nodes that are back within a second. */
+    /** The leader changes ten times in two minutes, also during an outage; some controllers are back within a second. */
     @Test
     void leadersChangeTenTimesInTwoMinutes() {
         Map<String, Integer> occurred = play(cluster -> {
-            longWork(cluster, 6);
-            shortWork(cluster, 25, 100_000);
+            submitLongJobs(cluster, 6);
+            submitShortJobs(cluster, 25, 100_000);
             for (int i = 1; i <= 10; i++) {
                 cluster.at(i * 11_000L, () -> {
                     if (cluster.random.nextInt(3) == 0) {
@@ -65,19 +67,19 @@
         assertOccurred(occurred, SEEDS, "cancelled meanwhile");
     }
 
-    /** All controllers crash, one is back within a second, and partitions move to it and back. */
+    /** All controllers crash and one is back within a second: partitions move to it, and away again when it crashes. */
     @Test
-    void allEndAndOneReturnsWithinASecond() {
+    void allControllersCrashAndOneRestartsWithinASecond() {
         Map<String, Integer> occurred = play(cluster -> {
-            longWork(cluster, 10);
-            shortWork(cluster, 15, 80_000);
+            submitLongJobs(cluster, 10);
+            submitShortJobs(cluster, 15, 80_000);
             for (long time = 15_000; time < 100_000; time += 25_000) {
                 cluster.at(time, () -> {
                     int first = cluster.random.nextInt(cluster.nodes.size());
                     for (int i = 0; i < cluster.nodes.size(); i++) {
                         cluster.crash("n" + i, i == first ? 300 : 6000 + cluster.random.nextInt(3000));
                     }
-                    cluster.countOccurrence("all ended");
+                    cluster.countOccurrence("all controllers crashed");
                     cluster.at(7000 + cluster.random.nextInt(2000), () -> cluster.crash("n" + first, 400));
                     cluster.at(
                             2500,
@@ -85,23 +87,23 @@
                                     cluster,
                                     "",
                                     machine -> cluster.random.nextInt(4) == 0,
-                                    "cancelled while one is back"));
+                                    "cancelled while one controller is back"));
                 });
             }
         });
-        assertOccurred(occurred, 3 * SEEDS, "all ended");
-        assertOccurred(occurred, SEEDS, "leader changed", "cancelled while one is back");
+        assertOccurred(occurred, 3 * SEEDS, "all controllers crashed");
+        assertOccurred(occurred, SEEDS, "leader changed", "cancelled while one controller is back");
     }
 
     /** All controllers are down for longer than a worker's lease: agent epochs end, and no task runs twice or is lost. */
     @Test
-    void allAreAwayForLongerThanALease() {
+    void allControllersAreDownForLongerThanALease() {
         Map<String, Integer> occurred = play(cluster -> {
-            longWork(cluster, 12);
+            submitLongJobs(cluster, 12);
             cluster.at(20_000, () -> {
-                cluster.nodes.forEach(node ->
-                        cluster.crash(node.name, (int) SimulatedCluster.LEASE + 4000 + cluster.random.nextInt(4000)));
-                cluster.at(SimulatedCluster.LEASE + 3500, () -> {
+                cluster.nodes.forEach(node -> cluster.crash(
+                        node.name, (int) SimulatedCluster.LEASE_MS + 4000 + cluster.random.nextInt(4000)));
+                cluster.at(SimulatedCluster.LEASE_MS + 3500, () -> {
                     if (cluster.rules.running().isEmpty()) {
                         cluster.countOccurrence("every agent epoch ended");
                     }
@@ -111,12 +113,12 @@
         assertOccurred(occurred, SEEDS, "every agent epoch ended");
     }
 
-    /** While an owner's partitions move, cancellations reach the task through the old owner or the new one. */
+    /** Jobs are cancelled while an owner's partitions move; the stop may reach the worker through the old or the new owner. */
     @Test
-    void cancelledWhileABlockChangesHands() {
+    void cancelledWhileAPartitionMoves() {
         Map<String, Integer> occurred = play(cluster -> {
-            longWork(cluster, 14);
-            shortWork(cluster, 10, 90_000);
+            submitLongJobs(cluster, 14);
+            submitShortJobs(cluster, 10, 90_000);
             for (long time = 20_000; time < 100_000; time += 20_000) {
                 cluster.at(time, () -> {
                     String node = "n" + cluster.random.nextInt(cluster.nodes.size());
@@ -131,8 +133,8 @@
                                 () -> cancelRunning(
                                         cluster,
                                         node,
-                                        machine ->
-                                                cluster.random.nextInt(25) == 0 && cluster.sinceMoved(machine) < 3000,
+                                        machine -> cluster.random.nextInt(25) == 0
+                                                && cluster.msSincePartitionMoved(machine) < 3000,
                                         "cancelled while its partition moves"));
                     }
                 });
--- a/src/test/java/garnetscale/core/sim/ConcurrentMachineFailureTest.java
+++ b/src/test/java/garnetscale/core/sim/ConcurrentMachineFailureTest.java
@@ -3,9 +3,9 @@
 import static garnetscale.core.sim.ConcurrentFailures.SEEDS;
 import static garnetscale.core.sim.ConcurrentFailures.assertOccurred;
 import static garnetscale.core.sim.ConcurrentFailures.cancelRunning;
-import static garnetscale.core.sim.ConcurrentFailures.longWork;
 import static garnetscale.core.sim.ConcurrentFailures.play;
-import static garnetscale.core.sim.ConcurrentFailures.shortWork;
+import static garnetscale.core.sim.ConcurrentFailures.submitLongJobs;
+import static garnetscale.core.sim.ConcurrentFailures.submitShortJobs;
 
 import garnetscale.core.job.Priority;
 import java.util.ArrayList;
@@ -13,12 +13,14 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** Machines or whole zones that hang or are isolated, while the leader fails or users cancel jobs. See {@link ConcurrentFailures}. */
+/**
+ * Machines or whole zones that hang or are isolated, while the leader fails or users cancel jobs. See {@link ConcurrentFailures}.
+ */
 class ConcurrentMachineFailureTest {
 
     /**
-     * Both teams are at their limits, users cancel jobs on machines that hang or are isolated, and the leader fails over: tasks that
-     * may run there count until their termination is proven, and nothing starts in their place.
+     * Both teams are at their limits, users cancel jobs on machines that hang or are isolated, and the leader fails over. Tasks
+     * that may still run there count against the limit until their termination is proven, so nothing may start in their place.
      */
     @Test
     void teamsAtTheirLimitsWhileMachinesHangAndTheLeaderChanges() {
@@ -31,10 +33,10 @@
             }
             for (long time = 20_000; time <= 80_000; time += 30_000) {
                 cluster.at(time, () -> {
-                    List<String> hit = new ArrayList<>();
+                    List<String> failedMachines = new ArrayList<>();
                     for (int i = 0; i < 3; i++) {
                         String machine = cluster.workers.get(cluster.random.nextInt(cluster.workers.size())).id;
-                        hit.add(machine);
+                        failedMachines.add(machine);
                         switch (cluster.random.nextInt(3)) {
                             case 0 -> cluster.hang(machine, 3000 + cluster.random.nextInt(5500));
                             case 1 -> cluster.network.cut(machine, 4000 + cluster.random.nextInt(25_000));
@@ -43,21 +45,21 @@
                     }
                     if (cluster.rules.used("red") + 2 > cluster.shape.red()
                             || cluster.rules.used("blue") + 2 > cluster.shape.blue()) {
-                        cluster.countOccurrence("at a limit");
+                        cluster.countOccurrence("team at its limit");
                     }
-                    cancelRunning(cluster, "", hit::contains, "cancelled on a machine that can't be asked");
+                    cancelRunning(cluster, "", failedMachines::contains, "cancelled on an unreachable machine");
                     cluster.at(
                             cluster.random.nextInt(1500),
                             () -> cluster.crash(cluster.leader(), 300 + cluster.random.nextInt(4000)));
                 });
             }
         });
-        assertOccurred(occurred, SEEDS, "at a limit", "cancelled on a machine that can't be asked", "leader changed");
+        assertOccurred(occurred, SEEDS, "team at its limit", "cancelled on an unreachable machine", "leader changed");
     }
 
-    /** Jobs with zone affinity, also job arrays, lose machines and a whole zone. */
+    /** Jobs with zone affinity, some of them arrays of 12 tasks, lose machines and a whole zone. */
     @Test
-    void jobsBoundToOneZoneLoseMachines() {
+    void jobsWithZoneAffinityLoseMachines() {
         Map<String, Integer> occurred = play(cluster -> {
             for (int i = 0; i < 16; i++) {
                 String id = "wk-1" + i;
@@ -75,44 +77,47 @@
             }
             cluster.at(40_000, () -> {
                 if (!cluster.rules.running().isEmpty()) {
-                    cluster.countOccurrence("a zone is cut off with work in it");
+                    cluster.countOccurrence("zone isolated while it runs tasks");
                 }
-                cluster.network.cutZone("b", SimulatedCluster.LEASE + 8000);
+                cluster.network.cutZone("b", SimulatedCluster.LEASE_MS + 8000);
             });
         });
-        assertOccurred(occurred, SEEDS, "a zone is cut off with work in it");
+        assertOccurred(occurred, SEEDS, "zone isolated while it runs tasks");
     }
 
-    /** A zone with its workers and a controller is cut off for longer than a lease, while its jobs are cancelled. */
+    /**
+     * A zone with its workers and controllers is isolated for longer than a worker lease, while jobs that run in it are
+     * cancelled.
+     */
     @Test
-    void aZoneIsCutOffForLongerThanALease() {
+    void aZoneIsIsolatedForLongerThanALease() {
         Map<String, Integer> occurred = play(cluster -> {
-            longWork(cluster, 14);
+            submitLongJobs(cluster, 14);
             cluster.at(20_000, () -> {
                 String zone = cluster.random.nextBoolean() ? "a" : "b";
-                cluster.network.cutZone(zone, SimulatedCluster.LEASE + 15_000);
+                cluster.network.cutZone(zone, SimulatedCluster.LEASE_MS + 15_000);
                 cluster.at(
                         500 + cluster.random.nextInt(4000),
                         () -> cancelRunning(
                                 cluster,
                                 "",
                                 machine -> cluster.zoneOf(machine).equals(zone),
-                                "cancelled in a zone that is cut off"));
+                                "cancelled in an isolated zone"));
             });
         });
-        assertOccurred(occurred, SEEDS, "cancelled in a zone that is cut off");
+        assertOccurred(occurred, SEEDS, "cancelled in an isolated zone");
     }
 
-    /** Machines can't reach any controller, while direct commands reach them. */
+    /** Heartbeats of some machines reach no controller, while direct commands reach the machines. */
     @Test
-    void machinesThatReachNobody() {
+    void machinesReachNoController() {
         Map<String, Integer> occurred = play(cluster -> {
-            longWork(cluster, 8);
-            shortWork(cluster, 20, 90_000);
+            submitLongJobs(cluster, 8);
+            submitShortJobs(cluster, 20, 90_000);
             for (long time = 10_000; time < 90_000; time += 16_000) {
                 cluster.at(time, () -> {
                     for (int i = 0; i < 3; i++) {
-                        cluster.network.mute(
+                        cluster.network.blockHeartbeats(
                                 cluster.workers.get(cluster.random.nextInt(cluster.workers.size())).id,
                                 4000 + cluster.random.nextInt(20_000));
                     }
@@ -123,15 +128,15 @@
                 });
             }
         });
-        assertOccurred(occurred, 10 * SEEDS, "a machine that reaches no controller");
+        assertOccurred(occurred, 10 * SEEDS, "machine reaches no controller");
         assertOccurred(occurred, SEEDS, "cancelled meanwhile");
     }
 
-    /** A leader crashes while machines with long tasks are isolated, or don't receive the new one's answer. */
+    /** The leader crashes while machines with long tasks are isolated, or send heartbeats but receive no answers. */
     @Test
-    void aLeaderEndsWhileMachinesDontHear() {
+    void theLeaderCrashesWhileMachinesAreUnreachable() {
         Map<String, Integer> occurred = play(cluster -> {
-            longWork(cluster, 14);
+            submitLongJobs(cluster, 14);
             for (long time = 20_000; time < 90_000; time += 30_000) {
                 cluster.at(time, () -> {
                     for (int i = 0; i < 3; i++) {
@@ -143,31 +148,31 @@
                             cluster.network.cut(machine, ms);
                         }
                         if (cluster.rules.running().containsValue(machine)) {
-                            cluster.countOccurrence("a machine with tasks is unreachable");
+                            cluster.countOccurrence("machine with tasks unreachable");
                         }
                     }
                     cluster.at(cluster.random.nextInt(1000), () -> cluster.crash(cluster.leader(), 2000));
                 });
             }
         });
-        assertOccurred(occurred, 3 * SEEDS, "a machine with tasks is unreachable");
+        assertOccurred(occurred, 3 * SEEDS, "machine with tasks unreachable");
         assertOccurred(occurred, SEEDS, "leader changed");
     }
 
-    /** Commands and their answers are held up for seconds by machines that then go on. */
+    /** Machines hang for seconds and then resume, so that commands and their answers are late. */
     @Test
-    void commandsAreHeldUpAndTheMachineGoesOn() {
+    void commandsAreDelayedByHangingMachines() {
         Map<String, Integer> occurred = play(2 * SEEDS, cluster -> {
-            shortWork(cluster, 40, 100_000);
+            submitShortJobs(cluster, 40, 100_000);
             for (long time = 5000; time < 100_000; time += 2500) {
                 cluster.at(time, () -> {
                     String machine = cluster.workers.get(cluster.random.nextInt(cluster.workers.size())).id;
                     cluster.hang(machine, 1000 + cluster.random.nextInt(8000));
-                    cluster.countOccurrence("a machine hangs");
+                    cluster.countOccurrence("machine hangs");
                     cancelRunning(
                             cluster,
                             "",
-                            on -> on.equals(machine) && cluster.random.nextInt(4) == 0,
+                            other -> other.equals(machine) && cluster.random.nextInt(4) == 0,
                             "cancelled on a hanging machine");
                 });
             }
--- a/src/test/java/garnetscale/core/sim/ConcurrentOutageTest.java
+++ b/src/test/java/garnetscale/core/sim/ConcurrentOutageTest.java
@@ -3,26 +3,26 @@
 import static garnetscale.core.sim.ConcurrentFailures.SEEDS;
 import static garnetscale.core.sim.ConcurrentFailures.assertOccurred;
 import static garnetscale.core.sim.ConcurrentFailures.cancelRunning;
-import static garnetscale.core.sim.ConcurrentFailures.longWork;
 import static garnetscale.core.sim.ConcurrentFailures.play;
-import static garnetscale.core.sim.ConcurrentFailures.shortWork;
+import static garnetscale.core.sim.ConcurrentFailures.submitLongJobs;
+import static garnetscale.core.sim.ConcurrentFailures.submitShortJobs;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** Outages of the key-value store together with another failure, while users cancel jobs. See {@link ConcurrentFailures}. */
+/** Outages of the state service together with another failure, while users cancel jobs. See {@link ConcurrentFailures}. */
 class ConcurrentOutageTest {
 
     /**
-     * The key-value store refuses the leader alone, another controller confirms cancellations, and then it is down for all for
-     * longer than the cancellation deadline, while workers go on sending heartbeats to the old leader, which its peers can't tell
-     * about it either.
+     * The state service refuses only the leader, and another controller confirms cancellations. Then the service is down for all
+     * controllers for longer than the cancellation deadline. Workers go on sending heartbeats to the old leader, which can learn
+     * of the cancellations neither from the service nor from its peers.
      */
     @Test
-    void theGap() {
+    void anOutageFollowsARefusalOfTheLeader() {
         Map<String, Integer> occurred = play(2 * SEEDS, cluster -> {
-            longWork(cluster, 14);
+            submitLongJobs(cluster, 14);
             cluster.at(20_000 + cluster.random.nextInt(3000), () -> {
                 String leader = cluster.leader();
                 cluster.network.cutFromPeers(leader, 60_000);
@@ -32,8 +32,8 @@
                             cluster,
                             leader,
                             machine -> cluster.ownerOf(machine).equals(leader),
-                            "cancelled while the owner is refused");
-                    cluster.state.outage(SimulatedCluster.CANCEL + 12_000);
+                            "cancelled while the state service refused the owner");
+                    cluster.state.outage(SimulatedCluster.CANCEL_MS + 12_000);
                 });
                 cluster.at(8000, () -> cluster.rules.running().keySet().forEach(task -> {
                     if (cluster.rules.isCancelled(task.job())) {
@@ -45,16 +45,19 @@
         assertOccurred(
                 occurred,
                 3 * SEEDS,
-                "cancelled while the owner is refused",
+                "cancelled while the state service refused the owner",
                 "a cancelled task is kept alive by the old leader",
-                "a watch hung open through a refusal");
+                "watch stayed open while requests were refused");
     }
 
-    /** {@link #theGap} with a second outage right after the first, which renews every lease in full. */
+    /**
+     * As {@link #anOutageFollowsARefusalOfTheLeader}, with a second outage right after the first one; the end of each renews
+     * every lease in full.
+     */
     @Test
-    void theGapTwice() {
+    void twoOutagesFollowARefusalOfTheLeader() {
         Map<String, Integer> occurred = play(cluster -> {
-            longWork(cluster, 14);
+            submitLongJobs(cluster, 14);
             cluster.at(20_000, () -> {
                 String leader = cluster.leader();
                 cluster.network.cutFromPeers(leader, 80_000);
@@ -64,25 +67,28 @@
                             cluster,
                             leader,
                             machine -> cluster.ownerOf(machine).equals(leader),
-                            "cancelled while the owner is refused");
+                            "cancelled while the state service refused the owner");
                     cluster.state.outage(12_000);
                 });
                 cluster.at(14_500, () -> {
                     cancelRunning(cluster, leader, machine -> true, "cancelled between two outages");
-                    cluster.state.outage(SimulatedCluster.CANCEL + 5000);
+                    cluster.state.outage(SimulatedCluster.CANCEL_MS + 5000);
                 });
             });
         });
-        assertOccurred(occurred, SEEDS, "cancelled while the owner is refused");
+        assertOccurred(occurred, SEEDS, "cancelled while the state service refused the owner");
         assertOccurred(occurred, 1, "cancelled between two outages");
     }
 
-    /** Cancelled just when the leader is refused, a second before the outage; the message to its peers arrives. */
+    /**
+     * Jobs are cancelled as the state service starts to refuse the leader, a second before the outage; the notice to the peers
+     * arrives.
+     */
     @Test
-    void peersWordOfACancellationStopsItsTasksInAnOutage() {
+    void aCancellationNoticeFromAPeerStopsTasksInAnOutage() {
         Map<String, Integer> occurred = play(cluster -> {
-            cluster.users.lostCancellationNotices = 0;
-            longWork(cluster, 14);
+            cluster.users.lostNoticeShare = 0;
+            submitLongJobs(cluster, 14);
             cluster.at(20_000, () -> {
                 String leader = cluster.leader();
                 cluster.state.refuse(leader, 14_000);
@@ -90,8 +96,8 @@
                         cluster,
                         leader,
                         machine -> cluster.ownerOf(machine).equals(leader),
-                        "cancelled at the refusal");
-                cluster.at(1000, () -> cluster.state.outage(SimulatedCluster.CANCEL + 12_000));
+                        "cancelled when the state service refused the leader");
+                cluster.at(1000, () -> cluster.state.outage(SimulatedCluster.CANCEL_MS + 12_000));
                 cluster.at(7000, () -> cluster.rules.running().keySet().forEach(task -> {
                     if (cluster.rules.isCancelled(task.job())) {
                         cluster.countOccurrence("still running 7 s after its cancellation");
@@ -99,17 +105,22 @@
                 }));
             });
         });
-        assertOccurred(occurred, SEEDS, "cancelled at the refusal");
+        assertOccurred(occurred, SEEDS, "cancelled when the state service refused the leader");
         assertEquals(
-                0, occurred.getOrDefault("still running 7 s after its cancellation", 0), "a peer's message is enough");
+                0,
+                occurred.getOrDefault("still running 7 s after its cancellation", 0),
+                "the notice from a peer must stop the tasks");
     }
 
-    /** A leader is isolated from the key-value store and its peers, not from its workers; users cancel jobs through the new leader. */
+    /**
+     * The leader is isolated from the state service and its peers but not from its workers; users cancel jobs at other
+     * controllers.
+     */
     @Test
-    void jobsOfACutLeaderAreCancelledThroughTheNextOne() {
+    void jobsOfAnIsolatedLeaderAreCancelledAtOtherControllers() {
         Map<String, Integer> occurred = play(cluster -> {
-            longWork(cluster, 14);
-            shortWork(cluster, 10, 60_000);
+            submitLongJobs(cluster, 14);
+            submitShortJobs(cluster, 10, 60_000);
             cluster.at(20_000, () -> {
                 String old = cluster.leader();
                 cluster.network.cutFromAllButWorkers(old, 30_000);
@@ -119,25 +130,25 @@
                                 cluster,
                                 old,
                                 machine -> cluster.heartbeatTarget(machine).equals(old),
-                                "cancelled where the isolated owner is reachable"));
+                                "cancelled on a machine that reaches the isolated leader"));
             });
         });
-        assertOccurred(occurred, SEEDS, "cancelled where the isolated owner is reachable", "leader changed");
+        assertOccurred(occurred, SEEDS, "cancelled on a machine that reaches the isolated leader", "leader changed");
     }
 
-    /** The key-value store answers slowly, lease renewals too; then it refuses the leader. */
+    /** The state service answers slowly, also to lease renewals, and then refuses the leader. */
     @Test
     void theStateServiceAnswersSlowly() {
         Map<String, Integer> occurred = play(cluster -> {
-            longWork(cluster, 8);
-            shortWork(cluster, 20, 90_000);
+            submitLongJobs(cluster, 8);
+            submitShortJobs(cluster, 20, 90_000);
             cluster.at(10_000, () -> {
-                cluster.state.slowMs = 1400;
+                cluster.state.maxSlowdownMs = 1400;
                 cluster.state.slowUntil = cluster.now + 70_000;
             });
             cluster.at(40_000, () -> {
                 cluster.state.refuse(cluster.leader(), 6000);
-                cluster.countOccurrence("refused amid slow answers");
+                cluster.countOccurrence("refused during slow answers");
             });
             cluster.at(
                     42_000,
@@ -147,7 +158,7 @@
                             machine -> cluster.random.nextInt(3) == 0,
                             "cancelled meanwhile"));
         });
-        assertOccurred(occurred, SEEDS, "refused amid slow answers");
+        assertOccurred(occurred, SEEDS, "refused during slow answers");
         assertOccurred(occurred, 20 * SEEDS, "starts");
     }
 }
--- a/src/test/java/garnetscale/core/sim/DecisionObserver.java
+++ b/src/test/java/garnetscale/core/sim/DecisionObserver.java
@@ -4,10 +4,10 @@
 import garnetscale.core.partition.OwnerEffect;
 import garnetscale.core.state.Transaction;
 
-/** Is told of every decision of the simulated controllers, in the order in which they are made. It must not change anything. */
+/** Receives every decision of the simulated controllers, in the order in which they are made. It must not change any state. */
 interface DecisionObserver {
 
-    /** An observer that ignores everything. */
+    /** An observer that ignores all decisions. */
     DecisionObserver NONE = new DecisionObserver() {};
 
     /** A controller sends a transaction to the state service, which may store it, refuse it or never receive it. */
--- a/src/test/java/garnetscale/core/sim/DecisionRecorder.java
+++ b/src/test/java/garnetscale/core/sim/DecisionRecorder.java
@@ -23,7 +23,8 @@
  *
  * <p>The text doesn't depend on Java names: every line consists of fixed tags and of the values of the fields, one by one. Enums
  * are written by ordinal, maps with their keys sorted, and strings with their length, so that two different decisions never have
- * the same text. Renaming types, methods or fields leaves the digest as it is.
+ * the same text. Renaming types, methods or fields leaves the digest as it is. The tags must never change, because a new digest
+ * would no longer match that of an earlier version.
  */
 final class DecisionRecorder implements DecisionObserver {
 
@@ -51,7 +52,7 @@
         return replyCount;
     }
 
-    /** Returns the digest of all decisions so far in hexadecimal, and starts anew. */
+    /** Returns the digest of all decisions so far in hexadecimal, and resets it. */
     String finish() {
         return HexFormat.of().formatHex(digest.digest());
     }
@@ -74,15 +75,15 @@
     public void onEffect(long now, String node, OwnerEffect effect) {
         effectCount++;
         begin("effect", now, node);
-        if (effect instanceof OwnerEffect.SendCommands command) {
-            tag("command").value(command.machine()).value(command.address());
-            value(command.fencingToken()).value(command.agentEpoch()).commands(command.commands());
+        if (effect instanceof OwnerEffect.SendCommands send) {
+            tag("command").value(send.machine()).value(send.address());
+            value(send.fencingToken()).value(send.agentEpoch()).commands(send.commands());
         } else if (effect instanceof OwnerEffect.ProbeWorker probe) {
             tag("probe").value(probe.machine()).value(probe.address());
-        } else if (effect instanceof OwnerEffect.PublishStatus tell) {
-            tag("tell").machineStatus(tell.machineStatus());
-        } else if (effect instanceof OwnerEffect.SubmitBids offer) {
-            tag("offer").batch(offer.batch());
+        } else if (effect instanceof OwnerEffect.PublishStatus publish) {
+            tag("tell").machineStatus(publish.machineStatus());
+        } else if (effect instanceof OwnerEffect.SubmitBids submit) {
+            tag("offer").batch(submit.batch());
         } else {
             throw new IllegalArgumentException("unknown effect: " + effect);
         }
@@ -94,12 +95,12 @@
         replyCount++;
         begin("reply", now, node);
         value(machine);
-        if (reply instanceof HeartbeatReply.Acknowledge answer) {
-            tag("answer").value(answer.fencingToken()).commands(answer.commands());
+        if (reply instanceof HeartbeatReply.Acknowledge acknowledged) {
+            tag("answer").value(acknowledged.fencingToken()).commands(acknowledged.commands());
         } else if (reply instanceof HeartbeatReply.Redirect redirect) {
             tag("redirect").value(redirect.node());
-        } else if (reply instanceof HeartbeatReply.Reject refusal) {
-            tag("refuse").value(refusal.reason());
+        } else if (reply instanceof HeartbeatReply.Reject rejected) {
+            tag("refuse").value(rejected.reason());
         } else {
             throw new IllegalArgumentException("unknown reply: " + reply);
         }
@@ -107,15 +108,15 @@
     }
 
     private void commands(List<WorkerCommand> commands) {
-        for (WorkerCommand order : commands) {
-            if (order instanceof WorkerCommand.Start start) {
+        for (WorkerCommand command : commands) {
+            if (command instanceof WorkerCommand.Start start) {
                 tag("start").task(start.task()).value(start.attempt());
-            } else if (order instanceof WorkerCommand.Stop stop) {
+            } else if (command instanceof WorkerCommand.Stop stop) {
                 tag("stop").task(stop.task()).value(stop.attempt()).value(stop.graceS());
-            } else if (order instanceof WorkerCommand.Clear clear) {
+            } else if (command instanceof WorkerCommand.Clear clear) {
                 tag("clear").task(clear.task()).value(clear.attempt());
             } else {
-                throw new IllegalArgumentException("unknown order: " + order);
+                throw new IllegalArgumentException("unknown command: " + command);
             }
         }
     }
@@ -126,9 +127,9 @@
         value(machineStatus.machine()).value(machineStatus.address());
         value(machineStatus.type()).value(machineStatus.zone()).value(machineStatus.spot());
         value(machineStatus.agentEpoch()).value(machineStatus.evictionNoticeS()).value(machineStatus.silent());
-        for (TaskStatus reported : machineStatus.tasks()) {
-            tag("task").task(reported.task()).value(reported.attempt());
-            ordinal(reported.state()).ordinal(reported.cause()).value(reported.checkpointed());
+        for (TaskStatus status : machineStatus.tasks()) {
+            tag("task").task(status.task()).value(status.attempt());
+            ordinal(status.state()).ordinal(status.cause()).value(status.checkpointed());
         }
         tag("gone").value(machineStatus.terminated());
     }
@@ -172,7 +173,7 @@
         } else if (value instanceof Map<?, ?> map) {
             map(map);
         } else {
-            throw new IllegalArgumentException("no neutral text for a value: " + value);
+            throw new IllegalArgumentException("value of an unsupported type: " + value);
         }
         return this;
     }
--- a/src/test/java/garnetscale/core/sim/FourThousandMachinesTest.java
+++ b/src/test/java/garnetscale/core/sim/FourThousandMachinesTest.java
@@ -9,14 +9,14 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Five controllers and 4,000 machines in simulated time: a start from nothing, steady work, the leader's end, a cancellation of
- * several thousand tasks, one controller with all machines. The state service refuses what is larger or more frequent than it
- * allows, and nothing may be refused.
+ * Five controllers and 4,000 machines in simulated time: a start of the whole cluster, steady load, a crash of the leader, the
+ * cancellation of a job with several thousand tasks, and one controller that owns all machines. The state service refuses values
+ * and transactions that exceed its limits of size and rate; the controllers must send none that it refuses.
  */
 class FourThousandMachinesTest {
 
     private static final int MACHINES = ClusterShape.FOUR_THOUSAND.workers();
-    private static final long END = 150_000;
+    private static final long END_MS = 150_000;
 
     private final SimulatedCluster cluster =
             new SimulatedCluster(41, SimulatedCluster.Fault.NONE, ClusterShape.FOUR_THOUSAND);
@@ -37,18 +37,18 @@
         cluster.at(30_000, () -> cluster.crash(cluster.leader(), 5000));
         cluster.at(45_000, () -> cluster.users.cancel("wk-large"));
         cluster.at(60_000, () -> cluster.nodes.subList(1, 5).forEach(node -> node.crash(15_000)));
-        long over = 0;
-        for (long t = 5000; t <= END && over == 0; t += 5000) {
+        long completedAt = 0;
+        for (long t = 5000; t <= END_MS && completedAt == 0; t += 5000) {
             cluster.run(t);
             long now = t;
             List<String> submitted =
                     jobs.stream().filter(cluster.rules.jobs::containsKey).toList();
             if (submitted.size() == jobs.size() && submitted.stream().allMatch(cluster.users::poll)) {
-                over = now;
+                completedAt = now;
             }
         }
         assertEquals(List.of(), cluster.rules.violations);
-        assertTrue(over > 0, "not all jobs are over at the end");
+        assertTrue(completedAt > 0, "not all jobs are terminal after " + END_MS + " ms");
         assertEquals(List.of(), cluster.state.model.oversized());
         assertEquals(0, cluster.state.refusedWrites);
         assertTrue(cluster.rules.starts > 3 * MACHINES, "only " + cluster.rules.starts + " starts");
--- a/src/test/java/garnetscale/core/sim/MoveHistory.java
+++ b/src/test/java/garnetscale/core/sim/MoveHistory.java
@@ -12,29 +12,39 @@
 import java.util.regex.Pattern;
 
 /**
- * What became of each moved task, told from what truly ran where and from the leaders' log lines alone. A move is needless if no
- * task of a more urgent job began on the machine that it left, before the moved task would have ended there by itself.
+ * What became of each moved task, derived only from what the workers really ran and from the log lines of the leaders. A move is
+ * needless if no task of a job with a higher priority started on the machine that the moved task left before the time at which
+ * the moved task would have completed there.
  */
 final class MoveHistory {
 
-    /** The log line of a stored move; the job that gets the room, or none where the task itself ends earlier. */
+    /**
+     * The log line of a stored move; {@code for_job} is the job that gets the room, or none if the moved task itself completes
+     * earlier.
+     */
     private static final Pattern MOVED = Pattern.compile(
             "moving task, task=(\\S+)/(\\d+) machine=(\\S+) from=.* for_job=(?:none|(\\S+)) gain_cpu_s=.*");
 
-    /** A stop of a task on a machine; {@code endsAt}: when it would have ended there, by what truly ran. */
-    record Moved(TaskId task, String machine, String beneficiary, long at, long endsAt) {}
+    /**
+     * A stop of a task on a machine.
+     *
+     * @param beneficiary the job that gets the room; null if the moved task itself completes earlier elsewhere
+     * @param at          time of the stop
+     * @param endsAt      time at which the task would have completed on the machine, by its real start and its estimate
+     */
+    record Move(TaskId task, String machine, String beneficiary, long at, long endsAt) {}
 
     private record Start(TaskId task, String machine, long at) {}
 
     private final SimulatedCluster cluster;
-    final List<Moved> moves = new ArrayList<>();
+    final List<Move> moves = new ArrayList<>();
     private final List<Start> starts = new ArrayList<>();
     private final Map<TaskId, Start> running = new HashMap<>();
 
     MoveHistory(SimulatedCluster cluster) {
         this.cluster = cluster;
         cluster.onLog = (node, line) -> onLog(line);
-        cluster.rules.onBegan = (machine, task) -> {
+        cluster.rules.onStarted = (machine, task) -> {
             Start start = new Start(task, machine, cluster.now);
             starts.add(start);
             running.put(task, start);
@@ -50,26 +60,29 @@
         String machine = matcher.group(3);
         Start start = running.get(task);
         long runMs = Math.round(1000 * cluster.rules.jobs.get(task.job()).estimateS());
-        boolean isThere = start != null && start.machine().equals(machine);
+        boolean runsThere = start != null && start.machine().equals(machine);
         moves.add(
-                new Moved(task, machine, matcher.group(4), cluster.now, (isThere ? start.at() : cluster.now) + runMs));
+                new Move(task, machine, matcher.group(4), cluster.now, (runsThere ? start.at() : cluster.now) + runMs));
     }
 
-    /** Moved tasks that neither started again nor belong to a job that was cancelled; empty once all is over. */
-    Set<TaskId> lost() {
+    /**
+     * Returns moved tasks that neither started again nor completed and whose job wasn't cancelled; empty once all jobs are
+     * terminal.
+     */
+    Set<TaskId> lostTasks() {
         Set<TaskId> lost = new LinkedHashSet<>();
-        for (Moved move : moves) {
-            boolean again =
+        for (Move move : moves) {
+            boolean restarted =
                     starts.stream().anyMatch(start -> start.task().equals(move.task()) && start.at() > move.at());
-            if (!again && !cluster.rules.isCancelled(move.task().job()) && !cluster.rules.isDone(move.task())) {
+            if (!restarted && !cluster.rules.isCancelled(move.task().job()) && !cluster.rules.isDone(move.task())) {
                 lost.add(move.task());
             }
         }
         return lost;
     }
 
-    /** Whether a moved task started again on a machine of another type than the one that it left. */
-    long startedElsewhere() {
+    /** Returns the number of moves after which the task started on a machine of another type than the one that it left. */
+    long countStartedOnOtherType() {
         return moves.stream()
                 .filter(move -> starts.stream()
                         .anyMatch(start -> start.task().equals(move.task())
@@ -78,11 +91,12 @@
                 .count();
     }
 
-    long needless() {
-        return moves.stream().filter(move -> !isOfUse(move)).count();
+    /** Returns the number of needless moves. */
+    long countNeedless() {
+        return moves.stream().filter(move -> !isUseful(move)).count();
     }
 
-    private boolean isOfUse(Moved move) {
+    private boolean isUseful(Move move) {
         JobSpec moved = cluster.rules.jobs.get(move.task().job());
         return starts.stream()
                 .anyMatch(start -> start.machine().equals(move.machine())
@@ -91,22 +105,24 @@
                         && cluster.rules.jobs.get(start.task().job()).priority().compareTo(moved.priority()) < 0);
     }
 
-    /** CPU-seconds that moved tasks had run and didn't save. */
+    /** Returns the CPU-seconds of work that moves lost: what moved tasks had run without a checkpoint. */
     double lostCpuS() {
         double lost = 0;
-        for (Moved move : moves) {
+        for (Move move : moves) {
             JobSpec job = cluster.rules.jobs.get(move.task().job());
-            double leftS = (move.endsAt() - move.at()) / 1000.0;
-            lost += Math.max(0, job.estimateS() - leftS) * job.cpus();
+            double remainingS = (move.endsAt() - move.at()) / 1000.0;
+            lost += Math.max(0, job.estimateS() - remainingS) * job.cpus();
         }
         return lost;
     }
 
-    /** The shortest time between two moves of one task, in milliseconds; the largest number if none was moved twice. */
-    long shortestBetweenMoves() {
+    /**
+     * Returns the shortest time between two moves of one task, in milliseconds; {@code Long.MAX_VALUE} if none was moved twice.
+     */
+    long minIntervalBetweenMovesMs() {
         long shortest = Long.MAX_VALUE;
-        for (Moved first : moves) {
-            for (Moved second : moves) {
+        for (Move first : moves) {
+            for (Move second : moves) {
                 if (second.task().equals(first.task()) && second.at() > first.at()) {
                     shortest = Math.min(shortest, second.at() - first.at());
                 }
@@ -115,15 +131,15 @@
         return shortest;
     }
 
-    /** The most moves within any time of this length. */
-    int mostWithin(long ms) {
-        int most = 0;
-        for (Moved first : moves) {
+    /** Returns the largest number of moves within any period of {@code ms}. */
+    int maxMovesWithin(long ms) {
+        int max = 0;
+        for (Move first : moves) {
             int within = (int) moves.stream()
                     .filter(move -> move.at() >= first.at() && move.at() < first.at() + ms)
                     .count();
-            most = Math.max(most, within);
+            max = Math.max(max, within);
         }
-        return most;
+        return max;
     }
 }
--- a/src/test/java/garnetscale/core/sim/ProtocolRules.java
+++ b/src/test/java/garnetscale/core/sim/ProtocolRules.java
@@ -16,30 +16,31 @@
 import java.util.function.LongSupplier;
 import java.util.stream.IntStream;
 
-/** Checks PROTOCOL's rules from outside, by what truly runs where, whatever the controllers believe. */
+/** Checks PROTOCOL's rules by what the workers really run, independently of the state that the controllers hold. */
 final class ProtocolRules implements WorkerModel.Watcher {
 
     final List<String> violations = new ArrayList<>();
     final Map<String, JobSpec> jobs = new HashMap<>();
     private final Map<TaskId, String> running = new HashMap<>();
     private final Map<String, Long> cancelledAt = new HashMap<>();
-    private final Map<String, String> told = new HashMap<>();
+    private final Map<String, String> reportedStates = new HashMap<>();
     private final Set<TaskId> completed = new HashSet<>();
     private final Map<String, Double> limits;
     private final long cancelMs;
     private final LongSupplier clock;
     private final Map<String, String> zones;
-    /** Whether a stored placement names an attempt on a machine: no task may run without one. */
-    BiPredicate<String, Long> placed = (machine, attempt) -> true;
-    /** Told of each task that truly began, with its machine. */
-    BiConsumer<String, TaskId> onBegan = (machine, task) -> {};
-    /** Told of each task that completed. */
-    Consumer<TaskId> onDone = task -> {};
+    /** Tests whether a stored placement names an attempt on a machine; no task may run without one. */
+    BiPredicate<String, Long> hasPlacement = (machine, attempt) -> true;
+    /** Receives each task that started to run, with its machine. */
+    BiConsumer<String, TaskId> onStarted = (machine, task) -> {};
+    /** Receives each task that completed. */
+    Consumer<TaskId> onCompleted = task -> {};
 
     int starts;
+    /** Starts of tasks of jobs that were already cancelled, within the cancellation deadline or after it. */
     int startsAfterCancel;
-    /** Starts by job. */
-    final Map<String, Integer> startsOf = new HashMap<>();
+    /** Number of starts by job. */
+    final Map<String, Integer> startsByJob = new HashMap<>();
 
     ProtocolRules(Map<String, Double> limits, Map<String, String> zones, long cancelMs, LongSupplier clock) {
         this.limits = limits;
@@ -55,13 +56,13 @@
     @Override
     public void began(String machine, TaskId task, long attempt) {
         starts++;
-        startsOf.merge(task.job(), 1, Integer::sum);
-        onBegan.accept(machine, task);
+        startsByJob.merge(task.job(), 1, Integer::sum);
+        onStarted.accept(machine, task);
         String before = running.put(task, machine);
         if (before != null) {
             violated("ran_twice", task + " starts on " + machine + " while on " + before);
         }
-        if (!placed.test(machine, attempt)) {
+        if (!hasPlacement.test(machine, attempt)) {
             violated("unplaced", task + " starts on " + machine + " as attempt " + attempt);
         }
         JobSpec job = jobs.get(task.job());
@@ -92,11 +93,11 @@
         running.remove(task, machine);
         if (done) {
             completed.add(task);
-            onDone.accept(task);
+            onCompleted.accept(task);
         }
     }
 
-    /** Tasks that run now, and where. */
+    /** Returns a copy of the tasks that run now, with their machines. */
     Map<TaskId, String> running() {
         return Collections.unmodifiableMap(new HashMap<>(running));
     }
@@ -105,17 +106,17 @@
         return cancelledAt.containsKey(job);
     }
 
-    /** Whether the task has completed somewhere. */
+    /** Returns whether the task has completed on any machine. */
     boolean isDone(TaskId task) {
         return completed.contains(task);
     }
 
-    /** Whether every task of the job has completed somewhere. */
+    /** Returns whether every task of the job has completed on any machine. */
     boolean isComplete(String job) {
         return IntStream.range(0, jobs.get(job).tasks()).allMatch(i -> completed.contains(new TaskId(job, i)));
     }
 
-    /** CPUs that a team's tasks use now. */
+    /** Returns the CPUs that the running tasks of a team use. */
     double used(String team) {
         return running.keySet().stream()
                 .map(task -> jobs.get(task.job()))
@@ -124,9 +125,9 @@
                 .sum();
     }
 
-    /** A user was told of a state; a terminal one may not change any more. */
-    void told(String job, String state) {
-        String before = told.put(job, state);
+    /** Records a job state that was reported to a user; a terminal state must not change afterwards. */
+    void onStateReported(String job, String state) {
+        String before = reportedStates.put(job, state);
         if (before != null && !before.equals(state) && !before.equals("LIVE")) {
             violated("went_back", job + " from " + before + " to " + state);
         }
@@ -143,7 +144,7 @@
         }
     }
 
-    /** Checks what must hold at any time. */
+    /** Checks that no task still runs later than the cancellation deadline after its job was cancelled. */
     void check() {
         for (TaskId other : running.keySet()) {
             Long cancelled = cancelledAt.get(other.job());
--- a/src/test/java/garnetscale/core/sim/SimulatedCluster.java
+++ b/src/test/java/garnetscale/core/sim/SimulatedCluster.java
@@ -23,24 +23,29 @@
 import java.util.function.BiConsumer;
 
 /**
- * Controllers' cores, workers, users and a key-value store in one simulated time. Messages are delayed, lost, repeated and held
- * for minutes; nodes crash and come back; anything can be isolated. Everything follows from the seed.
+ * A cluster in simulated time: the cores of the controllers, workers, users and a state service. Messages are delayed, lost,
+ * repeated and held for minutes, controllers crash and restart, and any process can be isolated. The seed determines the whole
+ * run.
  */
 final class SimulatedCluster extends Timeline {
 
     static final MachineType TYPE = new MachineType("t", 8, 0, 32, 20, 1, 1, 0.5, 20, List.of("a", "b", "c"));
-    static final long HEARTBEAT = 1000;
-    static final long LEASE = 10_000;
-    static final long CANCEL = 35_000;
-    /** Entries on a page: few, so that a listing takes many requests. */
-    static final int PAGE = 15;
-    /** The part of the rate that a leader uses. */
+    /** Interval between the heartbeats of a worker. */
+    static final long HEARTBEAT_MS = 1000;
+    /** Duration of a worker lease. */
+    static final long LEASE_MS = 10_000;
+    /** Cancellation deadline: time after which no task of a cancelled job may run. */
+    static final long CANCEL_MS = 35_000;
+    /** Entries on a page of a listing; few, so that a listing takes many requests. */
+    static final int PAGE_ENTRIES = 15;
+    /** Share of the write rate of the state service that a leader uses. */
     static final double LEADER_SHARE = 0.675;
 
-    /** A deliberate fault, to show that violations are found. */
+    /** A deliberate fault in a controller, which shows that the rules detect violations. */
     enum Fault {
         NONE,
-        FREE_UNSEEN
+        /** The leader receives status messages that declare running tasks terminated. */
+        FALSE_TERMINATION
     }
 
     final ProtocolRules rules;
@@ -49,70 +54,79 @@
     final SimulatedUsers users = new SimulatedUsers(this);
     final List<SimulatedNode> nodes = new ArrayList<>();
     final List<SimulatedWorker> workers = new ArrayList<>();
-    /** Jobs whose tasks fail wherever they run. */
+    /** Jobs whose tasks fail on every machine. */
     final Set<String> failingJobs = new HashSet<>();
 
-    final Map<String, VersionRange> installed = new HashMap<>();
+    /** Layout versions that the program installed on a controller supports, by controller. */
+    final Map<String, VersionRange> installedLayouts = new HashMap<>();
+
     private final Map<String, SimulatedWorker> byId = new HashMap<>();
     private final Map<String, String> zones = new HashMap<>();
-    private final StateReplica observer = new StateReplica();
-    final List<WorkerHeartbeat> kept = new ArrayList<>();
+    /** A replica that always has what the state service has stored. */
+    private final StateReplica storedReplica = new StateReplica();
+    /** Copies of heartbeats for {@link #deliverHeldHeartbeats}. */
+    final List<WorkerHeartbeat> heldHeartbeats = new ArrayList<>();
+
     private final Map<String, Long> partitionTerms = new HashMap<>();
     private final Map<String, Long> partitionMovedAt = new HashMap<>();
     final Fault fault;
     final ClusterShape shape;
-    long copiesUntil;
-    /** Whether nodes also follow the key-value store by watches, which stay open through a refusal. */
+    /** Time until which late copies of heartbeats are sent to random controllers. */
+    long lateCopiesUntil;
+    /** Whether controllers also watch the state service for changes; a watch stays open while requests are refused. */
     boolean watches;
-    /** Told of each decision of a controller. */
-    DecisionObserver decisions = DecisionObserver.NONE;
-    /** Controllers on which load balancing is off from their next start on. */
-    final Set<String> unbalanced = new HashSet<>();
-    /** Told what a controller's leader logs. */
+    /** Receives each decision of a controller. */
+    DecisionObserver decisionObserver = DecisionObserver.NONE;
+    /** Controllers that have load balancing disabled from their next start on. */
+    final Set<String> withoutBalancing = new HashSet<>();
+    /** Receives each line that the leader role of a controller logs, with the controller's name. */
     BiConsumer<String, String> onLog = (node, line) -> {};
-    /** Told of each start command that a partition owner sends, with its machine. */
+    /** Receives the task of each start command that a partition owner sends, with its machine. */
     BiConsumer<String, TaskId> onStartSent = (machine, task) -> {};
-    /** Until then heartbeats are kept; copies of them reach every controller {@link #keptDelay} after a new leader's election. */
-    long keepUntil;
+    /**
+     * Time until which copies of heartbeats are held; they reach every controller {@link #heldHeartbeatsDelayMs} after the next
+     * election.
+     */
+    long holdHeartbeatsUntil;
 
-    long keptDelay;
-    private long ledTerm;
+    long heldHeartbeatsDelayMs;
+    private long lastLeaderTerm;
 
     SimulatedCluster(long seed, Fault fault, ClusterShape shape) {
         super(seed);
         this.fault = fault;
         this.shape = shape;
         this.state = new SimulatedStateService(this, shape.valueBytes());
-        this.rules = new ProtocolRules(Map.of("red", shape.red(), "blue", shape.blue()), zones, CANCEL, () -> now);
+        this.rules = new ProtocolRules(Map.of("red", shape.red(), "blue", shape.blue()), zones, CANCEL_MS, () -> now);
         state.model.commit(new Transaction().put(Keys.TYPES, Records.types(shape.types())));
-        observer.reset(state.model.list(Keys.REPLICATED, null, 10), state.model.revision());
-        rules.placed = (machine, attempt) ->
+        storedReplica.reset(state.model.list(Keys.REPLICATED, null, 10), state.model.revision());
+        rules.hasPlacement = (machine, attempt) ->
                 stored().placements(machine).stream().anyMatch(placement -> placement.attempt() == attempt);
         for (int i = 0; i < shape.nodes(); i++) {
             nodes.add(new SimulatedNode(this, "n" + i));
         }
         for (int i = 0; i < shape.workers(); i++) {
-            bring(i);
+            startWorker(i);
         }
-        every(250, this::sweep);
+        every(250, this::update);
     }
 
-    /** What a node's process supports from its next start on. */
+    /** Installs a program that supports these layout versions; it runs from the controller's next start on. */
     void install(String node, VersionRange layouts) {
-        installed.put(node, layouts);
+        installedLayouts.put(node, layouts);
     }
 
-    /** Has an operator ask whichever node believes that it leads. */
+    /** Requests an upgrade step from the controller that {@link #leader} returns. */
     UpgradeDecision upgrade(UpgradeStep step) {
         SimulatedNode node = nodes.stream()
                 .filter(controller -> controller.name.equals(leader()))
                 .findFirst()
                 .orElseThrow();
-        return node.up ? node.leader.upgrade(now, step) : new UpgradeDecision.Refused("it is down");
+        return node.up ? node.leader.upgrade(now, step) : new UpgradeDecision.Refused("controller is down");
     }
 
-    /** Starts a machine. */
-    SimulatedWorker bring(int number) {
+    /** Starts the machine with this number, in the zone and of the type that follow from the number. */
+    SimulatedWorker startWorker(int number) {
         String id = String.format(Locale.ROOT, "m-%06d", number);
         zones.put(id, shape.zone(number));
         SimulatedWorker worker = new SimulatedWorker(this, id, shape.type(number), shape.zone(number));
@@ -121,19 +135,21 @@
         return worker;
     }
 
-    /** What is stored at this moment. */
+    /** Returns a replica of what the state service has stored at this moment. */
     StateReplica stored() {
-        observer.advance(state.model.changes(Keys.REPLICATED, observer.revision()), state.model.revision());
-        return observer;
+        storedReplica.advance(state.model.changes(Keys.REPLICATED, storedReplica.revision()), state.model.revision());
+        return storedReplica;
     }
 
-    private void sweep() {
+    /** Expires leases, advances the workers, checks the rules and detects new leaders and moved partitions. */
+    private void update() {
         if (now >= state.outageUntil) {
             state.model.expire(now);
         }
         for (SimulatedWorker worker : workers) {
             if (network.isFrozen(worker.id)) {
-                // PROTOCOL: a machine that hangs may go on within its lease, and not after it.
+                // PROTOCOL: a machine that hangs may resume its tasks within its lease, but not after the lease has
+                // expired.
                 worker.model.expire(now);
             } else {
                 worker.model.advance(now);
@@ -141,10 +157,10 @@
         }
         rules.check();
         StateReplica stored = stored();
-        if (stored.leader() != null && stored.leader().term() != ledTerm) {
-            ledTerm = stored.leader().term();
+        if (stored.leader() != null && stored.leader().term() != lastLeaderTerm) {
+            lastLeaderTerm = stored.leader().term();
             countOccurrence("leader changed");
-            deliverKept();
+            deliverHeldHeartbeats();
         }
         for (String partition : new PartitionMap(shape.config("n0")).all()) {
             long term = stored.partition(partition) == null
@@ -157,19 +173,20 @@
         }
     }
 
-    /** Delivers old heartbeats to every controller; nobody reads the answers. */
-    private void deliverKept() {
-        for (WorkerHeartbeat heartbeat : kept) {
+    /** Delivers the held heartbeats to every controller and drops the answers. */
+    private void deliverHeldHeartbeats() {
+        for (WorkerHeartbeat heartbeat : heldHeartbeats) {
             for (SimulatedNode node : nodes) {
-                at(keptDelay + random.nextInt(400), () -> {
+                at(heldHeartbeatsDelayMs + random.nextInt(400), () -> {
                     countOccurrence("old heartbeat at a new leader");
                     node.onHeartbeat(heartbeat, reply -> {});
                 });
             }
         }
-        kept.clear();
+        heldHeartbeats.clear();
     }
 
+    /** Crashes a controller unless it is down; it restarts after {@code downMs}. */
     void crash(String node, int downMs) {
         nodes.stream()
                 .filter(controller -> controller.name.equals(node) && controller.up)
@@ -181,26 +198,27 @@
         return zones.get(worker);
     }
 
-    /** The type of a machine. */
+    /** Returns the name of a machine's type. */
     String typeOf(String worker) {
         return shape.type(PartitionMap.number(worker)).name();
     }
 
+    /** Returns the term of the stored leader; -1 when there is none. */
     long leaderTerm() {
         return stored().leader() == null ? -1 : stored().leader().term();
     }
 
-    /** The node that a machine sends its heartbeats to. */
+    /** Returns the controller that a machine sends its heartbeats to. */
     String heartbeatTarget(String worker) {
         return nodes.get(byId.get(worker).target() % nodes.size()).name;
     }
 
-    /** The cloud is about to preempt the machine, whose heartbeats say so from now on. */
-    void drain(String worker, double evictionNoticeS) {
-        byId.get(worker).model.evictionNotice(evictionNoticeS);
+    /** Gives a machine notice that the cloud will reclaim it, which its heartbeats report from now on. */
+    void giveEvictionNotice(String worker, double noticeS) {
+        byId.get(worker).model.evictionNotice(noticeS);
     }
 
-    /** The machine hangs, and goes on where it was. */
+    /** Freezes a machine unless it is frozen already; its tasks resume afterwards where they stopped. */
     void hang(String worker, long ms) {
         if (!network.isFrozen(worker)) {
             byId.get(worker).model.advance(now);
@@ -209,21 +227,21 @@
         }
     }
 
-    /** The owner of a machine's partition by what is stored; empty when there is none. */
+    /** Returns the stored owner of a machine's partition; empty when it has none. */
     String ownerOf(String worker) {
         PartitionMap partitions = new PartitionMap(shape.config("n0"));
         var lease = stored().partition(partitions.partitionOf(worker, zones.get(worker)));
         return lease == null ? "" : lease.owner();
     }
 
-    /** How long ago a machine's partition last got a new term. */
-    long sinceMoved(String worker) {
+    /** Returns the milliseconds since a machine's partition last got a new term; very large if it never did. */
+    long msSincePartitionMoved(String worker) {
         return now
                 - partitionMovedAt.getOrDefault(
                         new PartitionMap(shape.config("n0")).partitionOf(worker, zones.get(worker)), Times.NEVER);
     }
 
-    /** A node that believes that it is the leader, or any when none does. */
+    /** Returns the first running controller that acts as leader, or the first of all controllers when none does. */
     String leader() {
         return nodes.stream()
                 .filter(node -> node.up && node.leader.leadingTerm() >= 0)
--- a/src/test/java/garnetscale/core/sim/SimulatedNetwork.java
+++ b/src/test/java/garnetscale/core/sim/SimulatedNetwork.java
@@ -5,27 +5,29 @@
 import java.util.List;
 import java.util.Map;
 
-/** The links between nodes, workers and the key-value store: delays, losses, repeats, partitions and frozen processes. */
+/** The links between controllers, workers and the state service: delays, losses, duplicates, cut links and frozen processes. */
 final class SimulatedNetwork {
 
     private final SimulatedCluster cluster;
+    /** Ends of cuts, by process or by link direction ({@code from>to}). */
     private final Map<String, Long> cutUntil = new HashMap<>();
+
     final Map<String, Long> frozenUntil = new HashMap<>();
-    /** Until then these machines reach no controller, while direct requests reach them. */
-    final Map<String, Long> muteUntil = new HashMap<>();
-    /** The share of messages that are lost. */
+    /** Time until which a machine's heartbeats reach no controller, while direct requests reach the machine; by machine. */
+    final Map<String, Long> heartbeatsBlockedUntil = new HashMap<>();
+    /** Share of the messages that are lost on links that are not cut. */
     double loss = 0.002;
 
     SimulatedNetwork(SimulatedCluster cluster) {
         this.cluster = cluster;
     }
 
-    /** Cuts a node, a worker, or one direction of a link ({@code from>to}). */
-    void cut(String who, long ms) {
-        cutUntil.put(who, cluster.now + ms);
+    /** Cuts all links of a controller or worker, or one direction of a link ({@code from>to}). */
+    void cut(String what, long ms) {
+        cutUntil.put(what, cluster.now + ms);
     }
 
-    /** The node is isolated from the key-value store and its peers, both ways, but not from workers. */
+    /** Isolates a controller from the state service and its peers, in both directions, but not from workers. */
     void cutFromAllButWorkers(String node, long ms) {
         cut(node + ">state", ms);
         cut("state>" + node, ms);
@@ -35,7 +37,7 @@
         }
     }
 
-    /** A zone with its workers and controllers is isolated from everything else. */
+    /** Isolates a zone with its workers and controllers from everything else. */
     void cutZone(String zone, long ms) {
         List<String> inside = new ArrayList<>();
         List<String> outside = new ArrayList<>(List.of("state"));
@@ -55,12 +57,12 @@
         }
     }
 
-    /** Heartbeats of the machine arrive; answers and direct requests to it are lost. */
+    /** Cuts the links from all controllers to a machine: its heartbeats arrive, but answers and direct requests to it don't. */
     void cutMessagesTo(String worker, long ms) {
         cluster.nodes.forEach(node -> cut(node.name + ">" + worker, ms));
     }
 
-    /** The node is isolated from its peers, both ways, and from nothing else. */
+    /** Isolates a controller from its peers, in both directions, and from nothing else. */
     void cutFromPeers(String node, long ms) {
         for (SimulatedNode other : cluster.nodes) {
             if (!other.name.equals(node)) {
@@ -70,19 +72,19 @@
         }
     }
 
-    /** The node freezes while time goes on: messages wait for it, and its timers fire afterwards. */
-    void freeze(String node, long ms) {
-        frozenUntil.put(node, cluster.now + ms);
+    /** Freezes a controller or worker while time goes on: messages to it wait, and its timers fire afterwards. */
+    void freeze(String process, long ms) {
+        frozenUntil.put(process, cluster.now + ms);
     }
 
-    /** Whether a node or a worker is frozen. */
-    boolean isFrozen(String who) {
-        return cluster.now < frozenUntil.getOrDefault(who, 0L);
+    /** Returns whether a controller or worker is frozen. */
+    boolean isFrozen(String process) {
+        return cluster.now < frozenUntil.getOrDefault(process, 0L);
     }
 
-    /** Runs an action of a node or worker, once it isn't frozen. */
-    void thawed(String who, Runnable run) {
-        long left = frozenUntil.getOrDefault(who, 0L) - cluster.now;
+    /** Runs an action of a controller or worker now, or up to 20 ms after it thaws. */
+    void runWhenThawed(String process, Runnable run) {
+        long left = frozenUntil.getOrDefault(process, 0L) - cluster.now;
         if (left > 0) {
             cluster.at(left + cluster.random.nextInt(20), run);
         } else {
@@ -97,11 +99,11 @@
     }
 
     /**
-     * Sends a message one way. During a cut it is lost, or held and delivered afterwards; now and then one is lost, or arrives
-     * twice, the second time much later.
+     * Sends a message in one direction. During a cut, half of the messages are lost and the others are held and delivered
+     * afterwards. Otherwise few are lost, and one in 200 arrives twice, the second time up to a minute later.
      */
     void send(String from, String to, Runnable receive) {
-        Runnable deliver = () -> thawed(to, receive);
+        Runnable deliver = () -> runWhenThawed(to, receive);
         long delay = 1 + cluster.random.nextInt(cluster.random.nextInt(20) == 0 ? 300 : 6);
         if (isCut(from, to)) {
             if (cluster.random.nextBoolean()) {
@@ -121,8 +123,8 @@
         }
     }
 
-    /** The machine reaches no controller, while direct requests reach it. */
-    void mute(String worker, long ms) {
-        muteUntil.put(worker, cluster.now + ms);
+    /** Stops a machine's heartbeats from reaching any controller, while direct requests reach the machine. */
+    void blockHeartbeats(String worker, long ms) {
+        heartbeatsBlockedUntil.put(worker, cluster.now + ms);
     }
 }
--- a/src/test/java/garnetscale/core/sim/SimulatedNode.java
+++ b/src/test/java/garnetscale/core/sim/SimulatedNode.java
@@ -24,7 +24,7 @@
 import java.util.List;
 import java.util.function.Consumer;
 
-/** A controller in simulated time: the roles of the core, and its links to workers and peers, process after process. */
+/** A controller in simulated time: the roles of the core, its links to workers and peers, and its restarts. */
 final class SimulatedNode {
 
     final String name;
@@ -34,15 +34,15 @@
     Leader leader;
     private TransactionPipeline pipeline;
     private SimulatedStateLink stateLink;
-    private long leadTerm;
-    /** The number of this process; messages to an earlier one are dropped. */
-    int life;
+    private long lastLeadingTerm;
+    /** The number of the current process; it grows at each crash and start, and messages to an earlier process are dropped. */
+    int processNumber;
 
     boolean up;
     /** The layout versions that this process supports. */
     VersionRange layouts;
-    /** Limits the leader's changes a second. */
-    private TokenBucket pace;
+    /** Limits the changes per second that the leader writes. */
+    private TokenBucket writeRate;
 
     SimulatedNode(SimulatedCluster cluster, String name) {
         this.cluster = cluster;
@@ -51,65 +51,68 @@
     }
 
     private void start() {
-        life++;
+        processNumber++;
         up = true;
-        layouts = cluster.installed.getOrDefault(name, Layouts.SUPPORTED);
+        layouts = cluster.installedLayouts.getOrDefault(name, Layouts.SUPPORTED);
         replica = new StateReplica(layouts);
-        ClusterShape shape =
-                cluster.unbalanced.contains(name) ? cluster.shape.withBalance(BalanceSettings.OFF) : cluster.shape;
+        ClusterShape shape = cluster.withoutBalancing.contains(name)
+                ? cluster.shape.withBalance(BalanceSettings.OFF)
+                : cluster.shape;
         SchedulerConfig config = shape.config(name, layouts);
         PartitionMap partitions = new PartitionMap(config);
-        owner = new PartitionOwner(config, replica, partitions, new Estimator(SimulatedCluster.HEARTBEAT));
+        owner = new PartitionOwner(config, replica, partitions, new Estimator(SimulatedCluster.HEARTBEAT_MS));
         leader = new Leader(config, replica, partitions, line -> cluster.onLog.accept(name, line));
         pipeline = new TransactionPipeline(replica, leader);
-        double leaderWrites = SimulatedCluster.LEADER_SHARE * config.stateWritesPerS();
-        pace = new TokenBucket(leaderWrites, leaderWrites, cluster.now);
-        leadTerm = -1;
+        double leaderWritesPerS = SimulatedCluster.LEADER_SHARE * config.stateWritesPerS();
+        writeRate = new TokenBucket(leaderWritesPerS, leaderWritesPerS, cluster.now);
+        lastLeadingTerm = -1;
         stateLink = new SimulatedStateLink(cluster, this);
-        int process = life;
-        loop(process, 20 + cluster.random.nextInt(30), this::work);
-        loop(process, 400, stateLink::renew);
-        loop(process, 60, stateLink::follow);
-        loop(process, 3100, stateLink::watch);
-        loop(
+        int process = processNumber;
+        repeat(process, 20 + cluster.random.nextInt(30), this::runRoles);
+        repeat(process, 400, stateLink::renewLease);
+        repeat(process, 60, stateLink::readChanges);
+        repeat(process, 3100, stateLink::watch);
+        repeat(
                 process,
                 1000,
-                () -> peers(
+                () -> sendToAll(
                         node -> node.leader.onWorkerReachability(cluster.now, name, owner.isIsolatedFromWorkers())));
-        loop(process, 1000, () -> {
+        repeat(process, 1000, () -> {
             if (leader.leadingTerm() >= 0) {
                 List<MachineAddress> machineDirectory = cluster.workers.stream()
                         .map(worker -> new MachineAddress(
                                 worker.id, worker.id, worker.model.heartbeat().zone()))
                         .toList();
-                peers(node -> node.owner.onMachineDirectory(
+                sendToAll(node -> node.owner.onMachineDirectory(
                         machineDirectory, leader.jobsWantingLateBids(), List.copyOf(leader.quarantinedJobs())));
             }
         });
     }
 
-    private void loop(int process, long period, Runnable run) {
-        after(period, () -> {
-            if (life == process && up) {
+    /** Runs an action periodically for as long as this process is up. */
+    private void repeat(int process, long periodMs, Runnable run) {
+        after(periodMs, () -> {
+            if (processNumber == process && up) {
                 run.run();
-                loop(process, period, run);
+                repeat(process, periodMs, run);
             }
         });
     }
 
-    /** One of the node's own timers. */
+    /** Schedules a timer of this controller, which fires late if the controller is frozen. */
     void after(long ms, Runnable run) {
-        cluster.at(ms, () -> cluster.network.thawed(name, run));
+        cluster.at(ms, () -> cluster.network.runWhenThawed(name, run));
     }
 
     void crash(long downMs) {
         cluster.network.frozenUntil.remove(name);
         up = false;
-        life++;
+        processNumber++;
         cluster.at(downMs, this::start);
     }
 
-    void peers(Consumer<SimulatedNode> message) {
+    /** Delivers a message to this controller itself at once, and sends it to all others. */
+    void sendToAll(Consumer<SimulatedNode> message) {
         for (SimulatedNode node : cluster.nodes) {
             if (node == this) {
                 message.accept(node);
@@ -123,38 +126,38 @@
         }
     }
 
-    private void work() {
+    private void runRoles() {
         if (!replica.isLoaded()) {
             return;
         }
         stateLink.register();
         owner.tick(cluster.now);
-        owner.drainEffects().forEach(this::carryOut);
+        owner.drainEffects().forEach(this::perform);
         if (!stateLink.hasLease()) {
             return;
         }
         if (!leader.leads(cluster.now)) {
-            leadTerm = -1;
+            lastLeadingTerm = -1;
             Transaction election = leader.election(cluster.now);
             if (election != null && cluster.random.nextInt(4) == 0) {
                 stateLink.commit(election, (outcome, revision) -> {});
             }
             return;
         }
-        if (leader.leadingTerm() != leadTerm) {
-            leadTerm = leader.leadingTerm();
+        if (leader.leadingTerm() != lastLeadingTerm) {
+            lastLeadingTerm = leader.leadingTerm();
             pipeline.restart();
-            peers(node -> node.owner.resynchronize(cluster.now));
+            sendToAll(node -> node.owner.resynchronize(cluster.now));
         }
-        if (cluster.fault == SimulatedCluster.Fault.FREE_UNSEEN && cluster.random.nextInt(50) == 0) {
+        if (cluster.fault == SimulatedCluster.Fault.FALSE_TERMINATION && cluster.random.nextInt(50) == 0) {
             reportFalseTermination(List.copyOf(leader.machines()));
         }
-        if (cluster.state.limitsWrites && pace.waitMs(cluster.now, 1) > 0) {
+        if (cluster.state.limitsWrites && writeRate.waitMs(cluster.now, 1) > 0) {
             return;
         }
         Transaction transaction = pipeline.next(() -> leader.plan(cluster.now));
         if (transaction != null) {
-            pace.force(cluster.now, transaction.ops().size());
+            writeRate.force(cluster.now, transaction.ops().size());
             stateLink.commit(transaction, (result, revision) -> {
                 pipeline.ended(result, revision);
                 pipeline.ready();
@@ -162,11 +165,11 @@
         }
     }
 
-    /** Tells the leader without any proof that the tasks of some machines are terminated. */
-    private void reportFalseTermination(List<MachineStatus> seen) {
-        for (int i = 0; i < seen.size(); i += 20) {
-            MachineStatus status = seen.get(cluster.random.nextInt(seen.size()));
-            List<Long> all = replica.placements(status.machine()).stream()
+    /** Passes status messages to the leader that declare all tasks of some machines terminated, without any proof. */
+    private void reportFalseTermination(List<MachineStatus> statuses) {
+        for (int i = 0; i < statuses.size(); i += 20) {
+            MachineStatus status = statuses.get(cluster.random.nextInt(statuses.size()));
+            List<Long> attempts = replica.placements(status.machine()).stream()
                     .map(Placement::attempt)
                     .toList();
             leader.onMachineStatus(
@@ -185,40 +188,41 @@
                             status.evictionNoticeS(),
                             status.silent(),
                             status.tasks(),
-                            all));
+                            attempts));
         }
     }
 
-    void onHeartbeat(WorkerHeartbeat heartbeat, Consumer<HeartbeatReply> answer) {
+    void onHeartbeat(WorkerHeartbeat heartbeat, Consumer<HeartbeatReply> replyTo) {
         if (up && replica.isLoaded()) {
             HeartbeatReply reply = owner.onHeartbeat(cluster.now, heartbeat);
-            cluster.decisions.onReply(cluster.now, name, heartbeat.machine(), reply);
-            answer.accept(reply);
+            cluster.decisionObserver.onReply(cluster.now, name, heartbeat.machine(), reply);
+            replyTo.accept(reply);
             if (reply instanceof HeartbeatReply.Acknowledge acknowledged) {
-                startsSent(heartbeat.machine(), acknowledged.commands());
+                notifyStartsSent(heartbeat.machine(), acknowledged.commands());
             }
-            owner.drainEffects().forEach(this::carryOut);
+            owner.drainEffects().forEach(this::perform);
         }
     }
 
-    private void carryOut(OwnerEffect effect) {
-        cluster.decisions.onEffect(cluster.now, name, effect);
-        LeaderInfo elected = replica.leader();
+    private void perform(OwnerEffect effect) {
+        cluster.decisionObserver.onEffect(cluster.now, name, effect);
+        LeaderInfo storedLeader = replica.leader();
         if (effect instanceof OwnerEffect.SendCommands send) {
-            command(send);
+            sendCommands(send);
         } else if (effect instanceof OwnerEffect.ProbeWorker probe) {
             probe(probe.machine());
-        } else if (elected != null) {
-            SimulatedNode to = cluster.nodes.get(Integer.parseInt(elected.node().substring(1)));
+        } else if (storedLeader != null) {
+            SimulatedNode target =
+                    cluster.nodes.get(Integer.parseInt(storedLeader.node().substring(1)));
             Consumer<SimulatedNode> message = effect instanceof OwnerEffect.PublishStatus publish
                     ? node -> node.leader.onMachineStatus(cluster.now, publish.machineStatus())
                     : node -> node.leader.onBids(cluster.now, ((OwnerEffect.SubmitBids) effect).batch());
-            if (to == this) {
+            if (target == this) {
                 message.accept(this);
             } else {
-                cluster.network.send(name, to.name, () -> {
-                    if (to.up) {
-                        message.accept(to);
+                cluster.network.send(name, target.name, () -> {
+                    if (target.up) {
+                        message.accept(target);
                     }
                 });
             }
@@ -227,13 +231,13 @@
 
     private void probe(String machine) {
         WorkerModel worker = cluster.worker(machine).model;
-        int process = life;
+        int process = processNumber;
         boolean[] ended = new boolean[1];
         cluster.network.send(name, machine, () -> {
             worker.advance(cluster.now);
             WorkerHeartbeat heartbeat = worker.heartbeat();
             cluster.network.send(machine, name, () -> {
-                if (life == process && !ended[0]) {
+                if (processNumber == process && !ended[0]) {
                     ended[0] = true;
                     owner.onProbeEnded();
                     owner.onProbeAnswer(cluster.now, heartbeat);
@@ -241,36 +245,36 @@
             });
         });
         after(2000, () -> {
-            if (life == process && !ended[0]) {
+            if (processNumber == process && !ended[0]) {
                 ended[0] = true;
                 owner.onProbeEnded();
             }
         });
     }
 
-    private void startsSent(String machine, List<WorkerCommand> commands) {
+    private void notifyStartsSent(String machine, List<WorkerCommand> commands) {
         commands.stream()
                 .filter(WorkerCommand.Start.class::isInstance)
                 .forEach(start -> cluster.onStartSent.accept(machine, start.task()));
     }
 
-    private void command(OwnerEffect.SendCommands send) {
-        startsSent(send.machine(), send.commands());
+    private void sendCommands(OwnerEffect.SendCommands send) {
+        notifyStartsSent(send.machine(), send.commands());
         WorkerModel worker = cluster.worker(send.machine()).model;
-        int process = life;
+        int process = processNumber;
         boolean[] ended = new boolean[1];
         cluster.network.send(name, send.machine(), () -> {
             worker.command(cluster.now, send.fencingToken(), send.agentEpoch(), send.commands());
             WorkerHeartbeat heartbeat = worker.heartbeat();
             cluster.network.send(send.machine(), name, () -> {
-                if (life == process && !ended[0]) {
+                if (processNumber == process && !ended[0]) {
                     ended[0] = true;
                     owner.onCommandAnswer(cluster.now, send.machine(), send.fencingToken(), heartbeat);
                 }
             });
         });
         after(4000, () -> {
-            if (life == process && !ended[0]) {
+            if (processNumber == process && !ended[0]) {
                 ended[0] = true;
                 owner.onCommandLost(cluster.now, send.machine(), send.fencingToken());
             }
--- a/src/test/java/garnetscale/core/sim/SimulatedStateLink.java
+++ b/src/test/java/garnetscale/core/sim/SimulatedStateLink.java
@@ -12,7 +12,7 @@
 import java.util.function.Consumer;
 import java.util.function.Supplier;
 
-/** A controller process's link to the key-value store: its lease, the replica's listing and changes, transactions. */
+/** The link of a controller process to the state service: its lease, the contents of its replica, and its transactions. */
 final class SimulatedStateLink {
 
     private final SimulatedCluster cluster;
@@ -29,48 +29,48 @@
         return lease >= 0;
     }
 
-    /** Sends a request; the answer is dropped if the process has crashed or the time is over. */
-    private <T> void ask(Supplier<T> request, T refused, Consumer<T> receiver, Runnable lost) {
-        int process = node.life;
+    /** Sends a request; the answer is dropped if the process has crashed meanwhile or 2 s have passed. */
+    private <T> void send(Supplier<T> request, T refused, Consumer<T> receiver, Runnable lost) {
+        int process = node.processNumber;
         boolean[] ended = new boolean[1];
         cluster.network.send(node.name, "state", () -> {
             T result = cluster.state.refuses(node.name) ? refused : request.get();
-            Runnable back = () -> cluster.network.send("state", node.name, () -> {
-                if (node.life == process && !ended[0]) {
+            Runnable answer = () -> cluster.network.send("state", node.name, () -> {
+                if (node.processNumber == process && !ended[0]) {
                     ended[0] = true;
                     receiver.accept(result);
                 }
             });
             if (cluster.now < cluster.state.slowUntil) {
-                cluster.at(cluster.random.nextInt(cluster.state.slowMs), back);
+                cluster.at(cluster.random.nextInt(cluster.state.maxSlowdownMs), answer);
             } else {
-                back.run();
+                answer.run();
             }
         });
         node.after(2000, () -> {
-            if (node.life == process && !ended[0]) {
+            if (node.processNumber == process && !ended[0]) {
                 ended[0] = true;
                 lost.run();
             }
         });
     }
 
-    /** Watches for changes: answered when something has changed or its time is over; stays open while requests are refused. */
+    /** Watches for changes. The watch is answered after a change or after 3 s, and stays open while requests are refused. */
     void watch() {
         if (!cluster.watches || !node.replica.isLoaded() || listing) {
             return;
         }
-        int process = node.life;
+        int process = node.processNumber;
         long sentAt = cluster.now;
         long since = node.replica.revision();
         cluster.network.send(
                 node.name,
                 "state",
-                () -> hangOpen(
+                () -> awaitChanges(
                         since,
                         cluster.now + 3000,
                         answer -> cluster.network.send("state", node.name, () -> {
-                            if (node.life == process && !listing) {
+                            if (node.processNumber == process && !listing) {
                                 node.replica.advance(answer.changes(), answer.revision());
                                 if (!node.replica.isInconsistent()) {
                                     node.owner.onReplicaConfirmed(sentAt);
@@ -79,27 +79,27 @@
                         })));
     }
 
-    private void hangOpen(long since, long until, Consumer<Answer> receiver) {
+    private void awaitChanges(long since, long deadline, Consumer<ChangesAnswer> receiver) {
         List<KeyChange> changes =
                 cluster.state.refuses(node.name) ? List.of() : cluster.state.model.changes(Keys.REPLICATED, since);
-        if (cluster.state.refuses(node.name) || changes.isEmpty() && cluster.now < until) {
+        if (cluster.state.refuses(node.name) || changes.isEmpty() && cluster.now < deadline) {
             if (cluster.state.refuses(node.name)) {
-                cluster.countOccurrence("a watch hung open through a refusal");
+                cluster.countOccurrence("watch stayed open while requests were refused");
             }
-            cluster.at(40, () -> hangOpen(since, until, receiver));
+            cluster.at(40, () -> awaitChanges(since, deadline, receiver));
         } else {
-            receiver.accept(new Answer(changes, cluster.state.model.revision()));
+            receiver.accept(new ChangesAnswer(changes, cluster.state.model.revision()));
         }
     }
 
-    /** Asks for a lease, or renews it; forgets it when it has expired. */
-    void renew() {
+    /** Requests a lease, or renews the one that is held; drops it when it has expired. */
+    void renewLease() {
         if (node.replica.unreadable() != null) {
-            cluster.countOccurrence("stood aside");
+            cluster.countOccurrence("stored layout not supported");
             return;
         }
         if (lease < 0) {
-            ask(
+            send(
                     () -> cluster.state.model.grant(cluster.now, 1500),
                     -1L,
                     id -> {
@@ -111,7 +111,7 @@
             return;
         }
         long renewed = lease;
-        ask(
+        send(
                 () -> cluster.state.model.touch(cluster.now, renewed) ? 1 : 0,
                 -1,
                 ok -> {
@@ -126,23 +126,24 @@
 
     private record CommitAnswer(TransactionOutcome outcome, long revision) {}
 
-    private record Answer(List<KeyChange> changes, long revision) {}
+    private record ChangesAnswer(List<KeyChange> changes, long revision) {}
 
-    /** Reads the changes since the replica's revision, or lists all keys. */
-    void follow() {
+    /** Reads the changes since the replica's revision; lists all keys if the replica isn't loaded or is inconsistent. */
+    void readChanges() {
         if (listing) {
             return;
         }
         if (!node.replica.isLoaded() || node.replica.isInconsistent()) {
             listing = true;
-            page(cluster.now, null, new ArrayList<>(), -1);
+            readPage(cluster.now, null, new ArrayList<>(), -1);
             return;
         }
         long sentAt = cluster.now;
         long since = node.replica.revision();
-        ask(
-                () -> new Answer(cluster.state.model.changes(Keys.REPLICATED, since), cluster.state.model.revision()),
-                new Answer(null, 0),
+        send(
+                () -> new ChangesAnswer(
+                        cluster.state.model.changes(Keys.REPLICATED, since), cluster.state.model.revision()),
+                new ChangesAnswer(null, 0),
                 answer -> {
                     if (answer.changes() != null && !listing) {
                         node.replica.advance(answer.changes(), answer.revision());
@@ -154,26 +155,32 @@
                 () -> {});
     }
 
-    /** Reads a page of a listing; the keys go on changing between pages. */
-    private void page(long sentAt, String since, List<KeyChange> sofar, long first) {
-        ask(
-                () -> new Answer(
-                        cluster.state.model.list(Keys.REPLICATED, since, SimulatedCluster.PAGE),
+    /**
+     * Reads a page of a listing; keys may change between two pages.
+     *
+     * @param after         the last key of the page before, or null for the first page
+     * @param entries       the entries of all pages so far
+     * @param firstRevision the revision of the first page, or -1 before it was read
+     */
+    private void readPage(long sentAt, String after, List<KeyChange> entries, long firstRevision) {
+        send(
+                () -> new ChangesAnswer(
+                        cluster.state.model.list(Keys.REPLICATED, after, SimulatedCluster.PAGE_ENTRIES),
                         cluster.state.model.revision()),
-                new Answer(null, 0),
+                new ChangesAnswer(null, 0),
                 answer -> {
                     if (answer.changes() == null) {
                         listing = false;
                         return;
                     }
-                    sofar.addAll(answer.changes());
-                    long revision = first < 0 ? answer.revision() : first;
-                    if (answer.changes().size() == SimulatedCluster.PAGE) {
-                        page(sentAt, sofar.get(sofar.size() - 1).key(), sofar, revision);
+                    entries.addAll(answer.changes());
+                    long revision = firstRevision < 0 ? answer.revision() : firstRevision;
+                    if (answer.changes().size() == SimulatedCluster.PAGE_ENTRIES) {
+                        readPage(sentAt, entries.get(entries.size() - 1).key(), entries, revision);
                         return;
                     }
                     listing = false;
-                    node.replica.reset(sofar, revision);
+                    node.replica.reset(entries, revision);
                     if (node.replica.isLoaded()) {
                         node.owner.onReplicaConfirmed(sentAt);
                     }
@@ -181,7 +188,7 @@
                 () -> listing = false);
     }
 
-    /** Publishes this process under its lease, which makes it an owner and a candidate. */
+    /** Registers this process under its lease, so that it can own partitions and stand for election. */
     void register() {
         ControllerInfo registered = node.replica.controller(node.name);
         if (lease >= 0 && (registered == null || registered.incarnation() != lease)) {
@@ -203,37 +210,40 @@
         }
     }
 
-    /** Commits a transaction; {@code done} is told the outcome and the revision, -1 when it isn't known. */
+    /** Commits a transaction; {@code done} receives the outcome, and the revision or -1 if that isn't known. */
     void commit(Transaction transaction, BiConsumer<TransactionOutcome, Long> done) {
         if (!node.replica.isLoaded()) {
             done.accept(TransactionOutcome.REFUSED, -1L);
             return;
         }
         node.replica.guardVersion(transaction);
-        cluster.decisions.onTransaction(cluster.now, node.name, transaction);
-        if (cluster.now < cluster.state.lateUntil && cluster.random.nextDouble() < cluster.state.lateShare) {
-            int process = node.life;
+        cluster.decisionObserver.onTransaction(cluster.now, node.name, transaction);
+        if (cluster.now < cluster.state.unansweredUntil
+                && cluster.random.nextDouble() < cluster.state.unansweredShare) {
+            int process = node.processNumber;
             cluster.at(
-                    cluster.state.lateAtOnce ? 1 + cluster.random.nextInt(5) : 2000 + cluster.random.nextInt(10_000),
+                    cluster.state.unansweredAppliedAtOnce
+                            ? 1 + cluster.random.nextInt(5)
+                            : 2000 + cluster.random.nextInt(10_000),
                     () -> cluster.countOccurrence(
                             cluster.now >= cluster.state.outageUntil && cluster.state.commit(node, transaction) == 200
-                                    ? "carried out without an answer"
-                                    : "late and overtaken"));
+                                    ? "applied without an answer"
+                                    : "late transaction not applied"));
             node.after(2000, () -> {
-                if (node.life == process) {
+                if (node.processNumber == process) {
                     done.accept(TransactionOutcome.MAYBE, -1L);
                 }
             });
             return;
         }
-        ask(
+        send(
                 () -> {
                     int status = cluster.state.commit(node, transaction);
                     TransactionOutcome outcome = status == 200
                             ? TransactionOutcome.OK
                             : status == 409
                                     ? TransactionOutcome.CONFLICT
-                                    : status == SimulatedStateService.TOO_MANY
+                                    : status == SimulatedStateService.TOO_MANY_REQUESTS
                                             ? TransactionOutcome.REFUSED
                                             : TransactionOutcome.NO_LEASE;
                     return new CommitAnswer(outcome, cluster.state.model.revision());
--- a/src/test/java/garnetscale/core/sim/SimulatedStateService.java
+++ b/src/test/java/garnetscale/core/sim/SimulatedStateService.java
@@ -9,63 +9,70 @@
 import java.util.Map;
 import java.util.function.Consumer;
 
-/** The key-value store with its failures: outages, refusals, limited, late and unanswered transactions, slow answers. */
+/** The state service with its failures: outages, refusals, rate limits, late and unanswered transactions, slow answers. */
 final class SimulatedStateService {
 
-    /** The answer to a change above the rate. */
-    static final int TOO_MANY = 429;
-    /** What it takes in one transaction. */
-    private static final int TRANSACTION_OPS = 24;
+    /** HTTP status of a transaction that exceeds the write rate. */
+    static final int TOO_MANY_REQUESTS = 429;
+    /** Bounds of one transaction. */
+    private static final int MAX_TRANSACTION_OPS = 24;
 
-    private static final int TRANSACTION_BYTES = 64 * 1024;
+    private static final int MAX_TRANSACTION_BYTES = 64 * 1024;
 
     private final SimulatedCluster cluster;
     final StateModel model;
     private final Map<String, Long> refusedUntil = new HashMap<>();
-    /** The changes a second that it takes, and what was refused beyond it; unbounded unless set. */
+    /** Rate limit of changes; unlimited until {@link #limitWrites} is called. */
     private TokenBucket writes = new TokenBucket(Double.MAX_VALUE, Double.MAX_VALUE, 0);
 
     boolean limitsWrites;
+    /** Number of transactions that exceeded the write rate. */
     int refusedWrites;
+
     long outageUntil;
-    /** Told of each transaction of a controller that was applied. */
+    /** Receives each applied transaction of a controller. */
     Consumer<Transaction> onStored = transaction -> {};
-    /** Until then this share of transactions gets no answer: applied at once, or 2 to 12 s late. */
-    long lateUntil;
+    /** Time until which a share of the transactions gets no answer, see {@link #loseAnswers}. */
+    long unansweredUntil;
 
-    double lateShare;
-    boolean lateAtOnce;
-    /** Until then an answer takes so much longer. */
+    double unansweredShare;
+    boolean unansweredAppliedAtOnce;
+    /** Time until which each answer takes up to {@link #maxSlowdownMs} longer. */
     long slowUntil;
 
-    int slowMs;
+    int maxSlowdownMs;
 
     SimulatedStateService(SimulatedCluster cluster, int valueBytes) {
         this.cluster = cluster;
-        model = new StateModel(new StateLimits(valueBytes, TRANSACTION_OPS, TRANSACTION_BYTES));
+        model = new StateModel(new StateLimits(valueBytes, MAX_TRANSACTION_OPS, MAX_TRANSACTION_BYTES));
     }
 
-    /** From now on more changes a second than the settings allow are refused, and leaders limit their rate. */
+    /**
+     * Starts to refuse changes beyond the rate per second that the settings allow; leaders limit their own rate from now on, too.
+     */
     void limitWrites() {
         SchedulerConfig config = cluster.shape.config("n0");
         limitsWrites = true;
         writes = new TokenBucket(config.stateWritesPerS(), config.stateWritesPerS(), cluster.now);
     }
 
-    /** Applies a controller's transaction and returns the status; checks that the controller supports the layout version. */
+    /**
+     * Applies a transaction of a controller and returns the HTTP status; checks that the controller supports the active layout
+     * version.
+     */
     int commit(SimulatedNode by, Transaction transaction) {
         int active = cluster.stored().version().active();
         int status = commit(transaction);
         if (status == 200 && !transaction.ops().isEmpty() && !by.layouts.contains(active)) {
-            cluster.rules.violations.add(cluster.now + " wrote outside its versions: " + by.name + " supports "
-                    + by.layouts + ", " + active + " was active");
+            cluster.rules.violations.add(cluster.now + " wrote with an unsupported layout active: " + by.name
+                    + " supports " + by.layouts + ", " + active + " was active");
         }
         int next = cluster.stored().version().active();
         if (next > active) {
             cluster.stored().controllers().stream()
                     .filter(node -> !node.layouts().contains(next))
-                    .forEach(
-                            node -> cluster.rules.violations.add(cluster.now + " activated " + next + " over " + node));
+                    .forEach(node -> cluster.rules.violations.add(
+                            cluster.now + " activated " + next + ", not supported by " + node));
         }
         return status;
     }
@@ -73,7 +80,7 @@
     private int commit(Transaction transaction) {
         if (!writes.take(cluster.now, transaction.ops().size())) {
             refusedWrites++;
-            return TOO_MANY;
+            return TOO_MANY_REQUESTS;
         }
         int status = model.commit(transaction);
         if (status == 200) {
@@ -82,26 +89,26 @@
         return status;
     }
 
-    /** Refuses this node alone. */
+    /** Refuses the requests of this controller alone. */
     void refuse(String node, long ms) {
         refusedUntil.put(node, cluster.now + ms);
     }
 
-    /** Whether requests of this node are refused now. */
+    /** Returns whether requests of this controller are refused now. */
     boolean refuses(String node) {
         return cluster.now < outageUntil || cluster.now < refusedUntil.getOrDefault(node, 0L);
     }
 
-    /** Refuses all nodes; every lease gets its full time again at the end. */
+    /** Refuses the requests of all controllers; every lease is renewed in full at the end. */
     void outage(long ms) {
         outageUntil = cluster.now + ms;
         cluster.at(ms, () -> model.refreshLeases(cluster.now));
     }
 
-    /** This share of transactions gets no answer: they are applied at once, or 2 to 12 s late. */
-    void late(long ms, double share, boolean atOnce) {
-        lateUntil = cluster.now + ms;
-        lateShare = share;
-        lateAtOnce = atOnce;
+    /** Leaves a share of the transactions without an answer for {@code ms}; they are applied at once, or 2 to 12 s late. */
+    void loseAnswers(long ms, double share, boolean atOnce) {
+        unansweredUntil = cluster.now + ms;
+        unansweredShare = share;
+        unansweredAppliedAtOnce = atOnce;
     }
 }
--- a/src/test/java/garnetscale/core/sim/SimulatedUsers.java
+++ b/src/test/java/garnetscale/core/sim/SimulatedUsers.java
@@ -10,12 +10,12 @@
 import garnetscale.core.state.Transaction;
 import garnetscale.emulator.StateModel;
 
-/** Users, who submit, cancel and ask for jobs; the rules are told what they are answered. */
+/** Users who submit, cancel and query jobs; each state that is reported to them goes to {@link ProtocolRules}. */
 final class SimulatedUsers {
 
     private final SimulatedCluster cluster;
-    /** Share of cancellations of which the peers aren't notified: their links are down just then. */
-    double lostCancellationNotices;
+    /** Share of cancellations of which the peers receive no notice, as if their links were down. */
+    double lostNoticeShare;
 
     SimulatedUsers(SimulatedCluster cluster) {
         this.cluster = cluster;
@@ -44,10 +44,10 @@
         cluster.state.model.commit(new Transaction()
                 .guard(Keys.job(id), 0)
                 .put(Keys.job(id), Records.job(new JobRecord(job, JobState.LIVE, cluster.now))));
-        cluster.rules.told(id, "LIVE");
+        cluster.rules.onStateReported(id, "LIVE");
     }
 
-    /** Cancels a job in the key-value store; nothing happens during an outage or when the job is terminal. */
+    /** Cancels a job in the state service; has no effect during an outage or on a terminal job. */
     void cancel(String id) {
         StateModel.Entry entry = cluster.state.model.get(Keys.job(id));
         if (entry == null || cluster.now < cluster.state.outageUntil) {
@@ -57,36 +57,42 @@
         cluster.state.model.commit(new Transaction()
                 .guard(Keys.job(id), entry.modRevision())
                 .put(Keys.job(id), Records.job(job.withState(JobState.CANCELLED))));
-        cluster.rules.told(id, "CANCELLED");
+        cluster.rules.onStateReported(id, "CANCELLED");
     }
 
-    /** A user cancels at a node, which notifies its peers as soon as it is stored; false when it couldn't. */
+    /**
+     * Cancels a job at a controller, which notifies its peers as soon as the cancellation is stored. Returns false if the state
+     * service refuses the controller or the job is terminal already.
+     */
     boolean cancelAt(String node, String id) {
         if (cluster.state.refuses(node) || cluster.state.model.get(Keys.job(id)) == null) {
             return false;
         }
         cancel(id);
-        if (cluster.random.nextDouble() >= lostCancellationNotices) {
+        if (cluster.random.nextDouble() >= lostNoticeShare) {
             cluster.nodes.stream()
                     .filter(controller -> controller.name.equals(node) && controller.up)
-                    .forEach(controller -> controller.peers(peer -> peer.owner.onCancelled(id)));
+                    .forEach(controller -> controller.sendToAll(peer -> peer.owner.onCancelled(id)));
         }
         return true;
     }
 
-    /** Asks for the state of a job; true when it is terminal. */
+    /**
+     * Queries the state of a job and reports it to the rules; returns whether it is terminal or, which is a violation, unknown.
+     */
     boolean poll(String id) {
         StateModel.Entry terminal = cluster.state.model.get(Keys.terminalJob(id));
         if (terminal != null) {
-            cluster.rules.told(id, Records.terminalJob(terminal.value()).state().name());
+            cluster.rules.onStateReported(
+                    id, Records.terminalJob(terminal.value()).state().name());
             return true;
         }
         StateModel.Entry entry = cluster.state.model.get(Keys.job(id));
         if (entry == null) {
-            cluster.rules.violations.add(cluster.now + " forgotten: " + id);
+            cluster.rules.violations.add(cluster.now + " job unknown: " + id);
             return true;
         }
-        cluster.rules.told(id, Records.job(id, entry.value()).state().name());
+        cluster.rules.onStateReported(id, Records.job(id, entry.value()).state().name());
         return false;
     }
 }
--- a/src/test/java/garnetscale/core/sim/SimulatedWorker.java
+++ b/src/test/java/garnetscale/core/sim/SimulatedWorker.java
@@ -5,7 +5,7 @@
 import garnetscale.core.partition.HeartbeatReply;
 import garnetscale.emulator.WorkerModel;
 
-/** A worker in simulated time: its model, and the heartbeats that it sends to one controller at a time. */
+/** A worker in simulated time: its model, and its heartbeats, which go to one controller at a time. */
 final class SimulatedWorker {
 
     private static final long RETRY_MS = 1000;
@@ -19,26 +19,26 @@
     SimulatedWorker(SimulatedCluster cluster, String id, MachineType type, String zone) {
         this.cluster = cluster;
         this.id = id;
-        this.model =
-                new WorkerModel(id, id, type, zone, SimulatedCluster.LEASE, 0, cluster.rules.jobs::get, cluster.rules);
+        this.model = new WorkerModel(
+                id, id, type, zone, SimulatedCluster.LEASE_MS, 0, cluster.rules.jobs::get, cluster.rules);
         model.fail(task -> cluster.failingJobs.contains(task.job()));
         cluster.at(cluster.random.nextInt(1000), this::sendHeartbeat);
     }
 
-    /** One heartbeat is in flight at a time; an answer counts for four seconds. */
+    /** Sends a heartbeat. One is in flight at a time, and its reply is dropped after 4 s. */
     private void sendHeartbeat() {
         if (cluster.network.isFrozen(id)) {
-            cluster.network.thawed(id, this::sendHeartbeat);
+            cluster.network.runWhenThawed(id, this::sendHeartbeat);
             return;
         }
         model.advance(cluster.now);
         WorkerHeartbeat heartbeat = model.heartbeat();
-        long mine = ++generation;
+        long sentGeneration = ++generation;
         long sentAt = cluster.now;
         SimulatedNode node = cluster.nodes.get(target % cluster.nodes.size());
-        copyOrKeep(heartbeat);
-        if (cluster.now < cluster.network.muteUntil.getOrDefault(id, 0L)) {
-            cluster.countOccurrence("a machine that reaches no controller");
+        copyOrHold(heartbeat);
+        if (cluster.now < cluster.network.heartbeatsBlockedUntil.getOrDefault(id, 0L)) {
+            cluster.countOccurrence("machine reaches no controller");
             retryElsewhere(RETRY_MS);
             return;
         }
@@ -48,38 +48,42 @@
                 () -> node.onHeartbeat(
                         heartbeat,
                         reply -> cluster.network.send(node.name, id, () -> {
-                            if (mine == generation && !cluster.network.isFrozen(id)) {
+                            if (sentGeneration == generation && !cluster.network.isFrozen(id)) {
                                 generation++;
-                                answered(heartbeat, sentAt, reply);
+                                onReply(heartbeat, sentAt, reply);
                             }
                         })));
         cluster.at(4000, () -> {
-            if (mine == generation) {
+            if (sentGeneration == generation) {
                 generation++;
                 retryElsewhere(RETRY_MS);
             }
         });
     }
 
-    /** Copies of the heartbeat arrive late, at any node, and nobody reads their answers. */
-    private void copyOrKeep(WorkerHeartbeat heartbeat) {
-        if (cluster.now < cluster.copiesUntil && cluster.random.nextInt(3) == 0) {
+    /**
+     * Schedules a late copy of the heartbeat to any controller, whose reply is dropped, and holds another copy, if the scenario
+     * says so.
+     */
+    private void copyOrHold(WorkerHeartbeat heartbeat) {
+        if (cluster.now < cluster.lateCopiesUntil && cluster.random.nextInt(3) == 0) {
             SimulatedNode other = cluster.nodes.get(cluster.random.nextInt(cluster.nodes.size()));
             cluster.at(
-                    1000 + cluster.random.nextInt(4 * (int) SimulatedCluster.LEASE),
+                    1000 + cluster.random.nextInt(4 * (int) SimulatedCluster.LEASE_MS),
                     () -> other.onHeartbeat(heartbeat, reply -> {}));
         }
-        if (cluster.now < cluster.keepUntil && cluster.kept.size() < 200) {
-            cluster.kept.add(heartbeat);
+        if (cluster.now < cluster.holdHeartbeatsUntil && cluster.heldHeartbeats.size() < 200) {
+            cluster.heldHeartbeats.add(heartbeat);
         }
     }
 
-    private void answered(WorkerHeartbeat heartbeat, long sentAt, HeartbeatReply reply) {
+    private void onReply(WorkerHeartbeat heartbeat, long sentAt, HeartbeatReply reply) {
         if (reply instanceof HeartbeatReply.Acknowledge acknowledged) {
             model.answered(
                     cluster.now, sentAt, heartbeat.agentEpoch(), acknowledged.fencingToken(), acknowledged.commands());
             cluster.at(
-                    SimulatedCluster.HEARTBEAT * 3 / 4 + cluster.random.nextInt((int) SimulatedCluster.HEARTBEAT / 2),
+                    SimulatedCluster.HEARTBEAT_MS * 3 / 4
+                            + cluster.random.nextInt((int) SimulatedCluster.HEARTBEAT_MS / 2),
                     this::sendHeartbeat);
         } else if (reply instanceof HeartbeatReply.Redirect redirect && redirect.node() != null) {
             target = Integer.parseInt(redirect.node().substring(1));
@@ -89,13 +93,13 @@
         }
     }
 
-    /** The index of the controller that it sends heartbeats to, modulo their number. */
+    /** Returns the index of the controller that receives the heartbeats, to be taken modulo the number of controllers. */
     int target() {
         return target;
     }
 
-    private void retryElsewhere(long pauseMs) {
+    private void retryElsewhere(long delayMs) {
         target++;
-        cluster.at(pauseMs, this::sendHeartbeat);
+        cluster.at(delayMs, this::sendHeartbeat);
     }
 }
--- a/src/test/java/garnetscale/core/sim/SimulationTest.java
+++ b/src/test/java/garnetscale/core/sim/SimulationTest.java
@@ -8,23 +8,23 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Many seeded scenarios with random failures, checked against PROTOCOL's rules from outside. */
+/** Seeded scenarios with random failures, checked by {@link ProtocolRules} against what the workers really run. */
 class SimulationTest {
 
     private static final int SEEDS = Integer.getInteger("seeds", 80);
     private static final long FAILURES_END_MS = 150_000;
 
-    /** Plays a scenario; all jobs have to be terminal some time after the last failure. */
-    private static SimulatedCluster day(long seed, SimulatedCluster.Fault fault) {
-        return day(seed, fault, ClusterShape.SMALL, 14, 12);
+    /** Runs a scenario with ten random failures; all jobs must become terminal within 500 s after the last one. */
+    private static SimulatedCluster playScenario(long seed, SimulatedCluster.Fault fault) {
+        return playScenario(seed, fault, ClusterShape.SMALL, 14, 12);
     }
 
-    private static SimulatedCluster day(
+    private static SimulatedCluster playScenario(
             long seed, SimulatedCluster.Fault fault, ClusterShape shape, int jobCount, int maxTasks) {
-        return day(seed, fault, shape, jobCount, maxTasks, false);
+        return playScenario(seed, fault, shape, jobCount, maxTasks, false);
     }
 
-    private static SimulatedCluster day(
+    private static SimulatedCluster playScenario(
             long seed,
             SimulatedCluster.Fault fault,
             ClusterShape shape,
@@ -45,6 +45,7 @@
         return cluster;
     }
 
+    /** Schedules 150 jobs of one task each, and one job array of 1500 tasks. */
     private static void scheduleExtraJobs(SimulatedCluster cluster, List<String> jobs) {
         for (int i = 0; i < 150; i++) {
             String id = "wk-swarm" + i;
@@ -55,7 +56,10 @@
         cluster.at(30_000, () -> cluster.users.submit("wk-giant", "blue", 1500, 0.5, 1));
     }
 
-    /** Schedules random jobs, some of which fail wherever they run, and some of which users cancel. */
+    /**
+     * Schedules random jobs. Some fail on every machine until they are cancelled after the last failure; users cancel some
+     * others.
+     */
     private static void scheduleJobs(SimulatedCluster cluster, int jobCount, int maxTasks, List<String> jobs) {
         for (int i = 0; i < jobCount; i++) {
             String id = "wk-" + i;
@@ -76,7 +80,7 @@
         }
     }
 
-    /** Runs until users are told that all jobs are terminal, and somewhat longer, in which nothing may change. */
+    /** Runs until all jobs are reported terminal to users, and 65 to 70 s longer, in which no reported state may change. */
     private static void runUntilTerminal(SimulatedCluster cluster, List<String> jobs) {
         for (long time = FAILURES_END_MS; time < FAILURES_END_MS + 500_000; time += 5000) {
             cluster.run(time);
@@ -88,7 +92,7 @@
         }
         jobs.stream()
                 .filter(job -> !cluster.users.poll(job))
-                .forEach(job -> cluster.rules.violations.add("never over: " + job));
+                .forEach(job -> cluster.rules.violations.add("not terminal: " + job));
     }
 
     /** Injects one of 17 kinds of failure, at random. */
@@ -115,29 +119,29 @@
             }
             case 7 -> cluster.network.cut(worker + ">" + node, ms);
             case 8 -> cluster.nodes.forEach(each -> cluster.network.cut(each.name + ">" + worker, ms));
-            case 9 -> cluster.copiesUntil = cluster.now + ms;
+            case 9 -> cluster.lateCopiesUntil = cluster.now + ms;
             case 10 -> cluster.network.cutFromAllButWorkers(node, ms);
             case 11 -> cluster.network.freeze(node, ms);
-            // All controllers crash and are back at once, one crashes again during the election that follows.
+            // All controllers crash and restart within 0.5 s, and one crashes again during the election that follows.
             case 12 -> {
                 cluster.nodes.forEach(each -> each.crash(100 + cluster.random.nextInt(400)));
                 cluster.at(300 + cluster.random.nextInt(2000), () -> cluster.nodes
                         .get(cluster.random.nextInt(cluster.shape.nodes()))
                         .crash(100));
             }
-            // A controller that reaches everything but the workers.
+            // A controller is isolated from the workers, and from nothing else.
             case 13 ->
                 cluster.workers.forEach(each -> {
                     cluster.network.cut(each.id + ">" + node, ms);
                     cluster.network.cut(node + ">" + each.id, ms);
                 });
-            // The leader freezes, twice, with another failure in between.
+            // The leader freezes twice, with another failure during the first time.
             case 14 -> {
                 cluster.network.freeze(cluster.leader(), ms / 2);
                 cluster.at(ms / 4, () -> injectFailure(cluster));
                 cluster.at(ms / 2 + 500, () -> cluster.network.freeze(cluster.leader(), ms / 2));
             }
-            // The leader loses the key-value store one way, and a controller crashes before that heals.
+            // The leader loses one direction of its link to the state service; a controller crashes meanwhile.
             case 15 -> {
                 cluster.network.cut(
                         cluster.random.nextBoolean() ? cluster.leader() + ">state" : "state>" + cluster.leader(), ms);
@@ -150,72 +154,80 @@
     }
 
     @Test
-    void noRuleIsBrokenWhateverFails() {
+    void noRuleIsBrokenByRandomFailures() {
         int starts = 0;
         for (long seed = 1; seed <= SEEDS; seed++) {
-            SimulatedCluster cluster = day(seed, SimulatedCluster.Fault.NONE);
+            SimulatedCluster cluster = playScenario(seed, SimulatedCluster.Fault.NONE);
             assertEquals(List.of(), cluster.rules.violations, "seed " + seed);
             starts += cluster.rules.starts;
         }
         assertTrue(starts > 20 * SEEDS, "only " + starts + " starts");
     }
 
-    /** Many jobs of one task and a job array many times the cluster, which needs several parts of a set of completed tasks. */
+    /**
+     * Many one-task jobs, and a job array far larger than the cluster, whose set of finished tasks is stored in several parts.
+     */
     @Test
-    void noRuleIsBrokenByGuests() {
+    void noRuleIsBrokenByManySmallJobsAndALargeArray() {
         for (long seed = 1; seed <= 4; seed++) {
-            SimulatedCluster cluster = day(seed, SimulatedCluster.Fault.NONE, ClusterShape.SMALL, 14, 12, true);
+            SimulatedCluster cluster =
+                    playScenario(seed, SimulatedCluster.Fault.NONE, ClusterShape.SMALL, 14, 12, true);
             assertEquals(List.of(), cluster.rules.violations, "seed " + seed);
             assertTrue(cluster.rules.starts > 1650, "only " + cluster.rules.starts + " starts");
         }
     }
 
-    /** All tasks of a job that can only fail used to be started again after each pause until it was cancelled. */
+    /**
+     * Guards against a job that fails on every machine: all its tasks were started again after each pause until it was cancelled.
+     */
     @Test
     void jobsThatFailEverywhereCostFewStarts() {
         int tasks = 0;
         int starts = 0;
         for (long seed = 1; seed <= 20; seed++) {
-            SimulatedCluster cluster = day(seed, SimulatedCluster.Fault.NONE);
+            SimulatedCluster cluster = playScenario(seed, SimulatedCluster.Fault.NONE);
             for (String id : cluster.failingJobs) {
                 tasks += cluster.rules.jobs.get(id).tasks();
-                starts += cluster.rules.startsOf.getOrDefault(id, 0);
+                starts += cluster.rules.startsByJob.getOrDefault(id, 0);
             }
         }
-        assertTrue(tasks > 50, "only " + tasks + " such tasks");
-        assertTrue(starts < 4 * tasks, starts + " starts of " + tasks + " tasks that fail");
+        assertTrue(tasks > 50, "only " + tasks + " tasks that always fail");
+        assertTrue(starts < 4 * tasks, starts + " starts of " + tasks + " tasks that always fail");
     }
 
-    /** A machine's first sign of a new agent epoch was an answer to a command, and it was taken for terminated at once. */
+    /**
+     * Guards against declaring a machine's tasks terminated too early: the first message from a new agent epoch was an answer to
+     * a command, and the epoch was taken as ended at once instead of after its lease.
+     */
     @Test
-    void aNewSessionHasItsWholeLease() {
-        assertEquals(List.of(), day(30, SimulatedCluster.Fault.NONE).rules.violations);
+    void aNewAgentEpochHasItsWholeLease() {
+        assertEquals(List.of(), playScenario(30, SimulatedCluster.Fault.NONE).rules.violations);
     }
 
-    /** Hundreds of machines, as in the larger deployments: bounds and rate limits come into play. */
+    /** Hundreds of machines, as in the larger deployments, so that size bounds and rate limits take effect. */
     @Test
-    void noRuleIsBrokenInAFleet() {
+    void noRuleIsBrokenInLargerClusters() {
         for (ClusterShape shape : List.of(ClusterShape.THREE_ZONES, ClusterShape.FIVE_NODES)) {
-            SimulatedCluster cluster = day(7, SimulatedCluster.Fault.NONE, shape, 40, 120);
+            SimulatedCluster cluster = playScenario(7, SimulatedCluster.Fault.NONE, shape, 40, 120);
             assertEquals(List.of(), cluster.rules.violations, shape.toString());
             assertTrue(cluster.rules.starts > 1000, "only " + cluster.rules.starts + " starts");
         }
     }
 
     @Test
-    void aFaultInAFleetIsCaught() {
-        assertFalse(day(7, SimulatedCluster.Fault.FREE_UNSEEN, ClusterShape.FIVE_NODES, 40, 120)
+    void aFaultInALargerClusterIsDetected() {
+        assertFalse(playScenario(7, SimulatedCluster.Fault.FALSE_TERMINATION, ClusterShape.FIVE_NODES, 40, 120)
                 .rules
                 .violations
                 .isEmpty());
     }
 
     @Test
-    void freeingWithoutProofIsCaught() {
-        List<String> broken = new ArrayList<>();
+    void freeingWithoutProofIsDetected() {
+        List<String> violations = new ArrayList<>();
         for (long seed = 1; seed <= 5; seed++) {
-            broken.addAll(day(seed, SimulatedCluster.Fault.FREE_UNSEEN).rules.violations);
+            violations.addAll(playScenario(seed, SimulatedCluster.Fault.FALSE_TERMINATION).rules.violations);
         }
-        assertFalse(broken.stream().noneMatch(violation -> violation.contains("ran_twice")), broken.toString());
+        assertFalse(violations.stream().noneMatch(violation -> violation.contains("ran_twice")), violations.toString());
     }
 }
--- a/src/test/java/garnetscale/core/sim/UpgradeSimulationTest.java
+++ b/src/test/java/garnetscale/core/sim/UpgradeSimulationTest.java
@@ -15,22 +15,22 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Controllers of mixed versions under steady work: a rolling upgrade, activation, back again, on again and finalized, with
- * controllers that crash, come back with the program of before, freeze or are isolated. The rules are checked from outside, and
- * so is that nobody writes while a version is active that it doesn't support.
+ * Controllers of mixed versions under steady load: a rolling upgrade, activation and deactivation in turn, and finalization,
+ * while controllers crash, restart with the earlier program, freeze or are isolated. {@link ProtocolRules} checks the rules, and
+ * {@link SimulatedStateService} that no controller writes while a layout version is active that it doesn't support.
  */
 class UpgradeSimulationTest {
 
     private static final int SEEDS = Integer.getInteger("upgrade.seeds", 6);
     private static final long FAILURES_END_MS = 300_000;
-    private static final long END = 500_000;
+    private static final long END_MS = 500_000;
     private static final VersionRange OLD = VersionRange.FIRST;
     private static final VersionRange NEW = Layouts.SUPPORTED;
 
     private final List<String> jobs = new ArrayList<>();
     private final Map<String, Integer> occurrences = new TreeMap<>();
 
-    private SimulatedCluster day(long seed) {
+    private SimulatedCluster playScenario(long seed) {
         jobs.clear();
         SimulatedCluster cluster = new SimulatedCluster(seed, SimulatedCluster.Fault.NONE, ClusterShape.SMALL_VALUES);
         cluster.nodes.forEach(node -> {
@@ -50,33 +50,35 @@
         }
         for (int i = 0; i < cluster.nodes.size(); i++) {
             SimulatedNode node = cluster.nodes.get(i);
-            cluster.at(20_000 + 3000 * i, () -> start(cluster, node, NEW, 1000));
+            cluster.at(20_000 + 3000 * i, () -> restart(cluster, node, NEW, 1000));
         }
         for (long at = 40_000; at < FAILURES_END_MS; at += 8000) {
             cluster.at(at, () -> injectFailure(cluster));
         }
-        // Asked for again and again, as by somebody who got no answer; the direction changes every now and then.
+        // Upgrade steps are requested every 2.5 s, as an operator does who gets no answer; the direction changes every
+        // 30 s.
         for (long at = 30_000; at < FAILURES_END_MS; at += 2500) {
             UpgradeStep step = at / 30_000 % 2 == 1 ? UpgradeStep.ACTIVATE : UpgradeStep.DEACTIVATE;
-            cluster.at(at, () -> ask(cluster, step));
+            cluster.at(at, () -> request(cluster, step));
         }
-        cluster.at(FAILURES_END_MS, () -> cluster.nodes.forEach(node -> start(cluster, node, NEW, 500)));
-        for (long at = FAILURES_END_MS + 30_000; at < END; at += 3000) {
+        cluster.at(FAILURES_END_MS, () -> cluster.nodes.forEach(node -> restart(cluster, node, NEW, 500)));
+        for (long at = FAILURES_END_MS + 30_000; at < END_MS; at += 3000) {
             cluster.at(at, () -> {
-                ask(cluster, UpgradeStep.ACTIVATE);
+                request(cluster, UpgradeStep.ACTIVATE);
                 if (cluster.stored().version().active() == NEW.latest()) {
-                    ask(cluster, UpgradeStep.FINALIZE);
+                    request(cluster, UpgradeStep.FINALIZE);
                 }
             });
         }
-        play(cluster);
-        cluster.occurrences.forEach((what, times) -> occurrences.merge(what, times, Integer::sum));
+        run(cluster);
+        cluster.occurrences.forEach((event, times) -> occurrences.merge(event, times, Integer::sum));
         return cluster;
     }
 
-    private void play(SimulatedCluster cluster) {
+    /** Runs the scenario, and counts changes and stored layouts that it observes once a second. */
+    private void run(SimulatedCluster cluster) {
         ClusterVersion before = ClusterVersion.FIRST;
-        for (long t = 1000; t <= END; t += 1000) {
+        for (long t = 1000; t <= END_MS; t += 1000) {
             cluster.run(t);
             ClusterVersion version = cluster.stored().version();
             if (version.active() > before.active()) {
@@ -85,43 +87,44 @@
                 cluster.countOccurrence("deactivated");
             }
             if (cluster.stored().layout() > version.active()) {
-                cluster.countOccurrence("seen while it was converted back");
+                cluster.countOccurrence("observed during conversion back");
             }
             if (version.active() > Layouts.FIRST && cluster.stored().layout() > Layouts.FIRST) {
-                cluster.countOccurrence("seen in the second layout");
+                cluster.countOccurrence("observed in the second layout");
             }
             before = version;
         }
     }
 
-    private void ask(SimulatedCluster cluster, UpgradeStep step) {
+    private void request(SimulatedCluster cluster, UpgradeStep step) {
         if (cluster.upgrade(step) instanceof UpgradeDecision.Refused) {
             cluster.countOccurrence(step + " refused");
         }
     }
 
-    /** The node's process ends and is started again with a program that supports these versions. */
-    static void start(SimulatedCluster cluster, SimulatedNode node, VersionRange layouts, long downMs) {
+    /** Crashes a controller, which restarts with a program that supports these layout versions. */
+    static void restart(SimulatedCluster cluster, SimulatedNode node, VersionRange layouts, long downMs) {
         cluster.install(node.name, layouts);
         node.crash(downMs);
     }
 
+    /** Injects one of ten failures, at random. */
     static void injectFailure(SimulatedCluster cluster) {
         SimulatedNode node = cluster.nodes.get(cluster.random.nextInt(cluster.nodes.size()));
         int ms = 1000 + cluster.random.nextInt(15_000);
         switch (cluster.random.nextInt(10)) {
-            case 0, 1, 2, 3 -> start(cluster, node, NEW, cluster.random.nextInt(3000));
-            // Rolled back, perhaps in the middle of a conversion, or come back after the switch.
+            case 0, 1, 2, 3 -> restart(cluster, node, NEW, cluster.random.nextInt(3000));
+            // Rolled back, perhaps during a conversion or after the activation, and upgraded again.
             case 4 -> {
-                start(cluster, node, OLD, cluster.random.nextInt(3000));
-                cluster.at(7000, () -> start(cluster, node, NEW, cluster.random.nextInt(3000)));
+                restart(cluster, node, OLD, cluster.random.nextInt(3000));
+                cluster.at(7000, () -> restart(cluster, node, NEW, cluster.random.nextInt(3000)));
             }
-            // Paused and not dead: it wakes with what it knew before, also as the leader.
+            // Paused, not crashed: it resumes with its earlier state, also as leader.
             case 5 -> cluster.network.freeze(cluster.leader(), ms);
             case 6 -> cluster.network.cutFromAllButWorkers(node.name, ms);
             case 7 -> cluster.state.outage(ms);
-            // Transactions without an answer, among them activations, carried out at once or late.
-            case 8 -> cluster.state.late(ms, 0.5, cluster.random.nextBoolean());
+            // Transactions without an answer, activations among them, are applied at once or late.
+            case 8 -> cluster.state.loseAnswers(ms, 0.5, cluster.random.nextBoolean());
             default -> cluster.crash(cluster.leader(), cluster.random.nextInt(3000));
         }
     }
@@ -129,11 +132,11 @@
     @Test
     void mixedVersionsKeepTheRulesThroughUpgradeAndRollback() {
         for (long seed = 1; seed <= SEEDS; seed++) {
-            SimulatedCluster cluster = day(seed);
+            SimulatedCluster cluster = playScenario(seed);
             assertEquals(List.of(), cluster.rules.violations, "seed " + seed);
             assertEquals(List.of(), cluster.state.model.oversized(), "seed " + seed);
             for (String job : jobs) {
-                assertTrue(cluster.users.poll(job), "seed " + seed + ": never over: " + job);
+                assertTrue(cluster.users.poll(job), "seed " + seed + ": not terminal: " + job);
             }
             assertEquals(
                     new ClusterVersion(NEW.latest(), NEW.latest()),
@@ -141,15 +144,15 @@
                     "seed " + seed);
             assertEquals(Layouts.SPLIT_SNAPSHOT, cluster.stored().layout(), "seed " + seed);
         }
-        for (String what : List.of(
+        for (String event : List.of(
                 "activated",
                 "deactivated",
-                "stood aside",
-                "seen while it was converted back",
-                "seen in the second layout",
+                "stored layout not supported",
+                "observed during conversion back",
+                "observed in the second layout",
                 "ACTIVATE refused",
                 "DEACTIVATE refused")) {
-            assertTrue(occurrences.getOrDefault(what, 0) >= SEEDS / 2, what + " came about too seldom: " + occurrences);
+            assertTrue(occurrences.getOrDefault(event, 0) >= SEEDS / 2, event + " occurred too seldom: " + occurrences);
         }
     }
 }
