--- a/src/test/java/garnetscale/core/sim/SimulatedCluster.java
+++ b/src/test/java/garnetscale/core/sim/SimulatedCluster.java
@@ -62,7 +62,7 @@
 
     private final Map<String, SimulatedWorker> byId = new HashMap<>();
     private final Map<String, String> zones = new HashMap<>();
-    /** A replica that always has what the state service has stored. */
+    /** A replica that {@link #stored} brings up to date. */
     private final StateReplica storedReplica = new StateReplica();
     /** Copies of heartbeats for {@link #deliverHeldHeartbeats}. */
     final List<WorkerHeartbeat> heldHeartbeats = new ArrayList<>();
--- a/src/test/java/garnetscale/core/sim/UpgradeSimulationTest.java
+++ b/src/test/java/garnetscale/core/sim/UpgradeSimulationTest.java
@@ -55,8 +55,7 @@
         for (long at = 40_000; at < FAILURES_END_MS; at += 8000) {
             cluster.at(at, () -> injectFailure(cluster));
         }
-        // Upgrade steps are requested every 2.5 s, as an operator does who gets no answer; the direction changes every
-        // 30 s.
+        // Steps are requested every 2.5 s, as by an operator who gets no answer; the direction changes every 30 s.
         for (long at = 30_000; at < FAILURES_END_MS; at += 2500) {
             UpgradeStep step = at / 30_000 % 2 == 1 ? UpgradeStep.ACTIVATE : UpgradeStep.DEACTIVATE;
             cluster.at(at, () -> request(cluster, step));
@@ -108,7 +107,7 @@
         node.crash(downMs);
     }
 
-    /** Injects one of ten failures, at random. */
+    /** Injects a random failure; in four of ten cases it is a restart with the new program. */
     static void injectFailure(SimulatedCluster cluster) {
         SimulatedNode node = cluster.nodes.get(cluster.random.nextInt(cluster.nodes.size()));
         int ms = 1000 + cluster.random.nextInt(15_000);
