--- a/src/test/java/garnetscale/core/sim/SimulatedCluster.java
+++ b/src/test/java/garnetscale/core/sim/SimulatedCluster.java
@@ -200,7 +200,7 @@
 
     /** Returns the name of a machine's type. */
     String typeOf(String worker) {
-        return shape.type(PartitionMap.number(worker)).name();
+        return shape.type(PartitionMap.machineNumber(worker)).name();
     }
 
     /** Returns the term of the stored leader; -1 when there is none. */
--- a/src/test/java/garnetscale/core/sim/SimulatedStateLink.java
+++ b/src/test/java/garnetscale/core/sim/SimulatedStateLink.java
@@ -231,7 +231,7 @@
                                     : "late transaction not applied"));
             node.after(2000, () -> {
                 if (node.processNumber == process) {
-                    done.accept(TransactionOutcome.MAYBE, -1L);
+                    done.accept(TransactionOutcome.UNKNOWN, -1L);
                 }
             });
             return;
@@ -250,6 +250,6 @@
                 },
                 new CommitAnswer(TransactionOutcome.REFUSED, -1),
                 answer -> done.accept(answer.outcome(), answer.revision()),
-                () -> done.accept(TransactionOutcome.MAYBE, -1L));
+                () -> done.accept(TransactionOutcome.UNKNOWN, -1L));
     }
 }
--- a/src/test/java/garnetscale/core/trace/TraceCluster.java
+++ b/src/test/java/garnetscale/core/trace/TraceCluster.java
@@ -313,7 +313,7 @@
         boolean answered = outcome.equals("ok");
         node.pipeline.ended(
                 !answered
-                        ? TransactionOutcome.MAYBE
+                        ? TransactionOutcome.UNKNOWN
                         : result.equals("200") ? TransactionOutcome.OK : TransactionOutcome.CONFLICT,
                 state.revision());
         node.pipeline.ready();
