--- a/src/main/java/garnetscale/core/state/Bucket.java
+++ b/src/main/java/garnetscale/core/state/Bucket.java
@@ -8,16 +8,19 @@
  *
  * @param shard the shard number, from 0 to {@link WorkLog#SHARDS} - 1
  * @param depth the number of splits between the root and this bucket, 0 for the root
- * @param index the lowest {@code depth} bits, after division by the number of shards, that its hashes share
+ * @param index the lowest {@code depth} bits of {@code hash / SHARDS}, rounded down; the same for every hash in the bucket
  */
 record Bucket(int shard, int depth, int index) implements Comparable<Bucket> {
 
-    /** Maximum depth: records whose hashes share this many bits stay together, as a bucket with one record can't be split. */
+    /**
+     * Maximum depth. Records whose hashes share this many bits stay together: like a bucket with one record, a bucket of this
+     * depth isn't split. Without this limit, records with equal hashes would be split without end.
+     */
     static final int MAX_DEPTH = 20;
     /**
      * The lowest page number of a bucket below a root. Lower numbers are pages of a root, which layout 1 may store in several
-     * pages. A controller that supports only layout 1 counts the pages of a shard and finds more than its pages state. It
-     * therefore treats its listing as inconsistent and never makes decisions.
+     * pages. A controller that supports only layout 1 counts the pages of a shard and finds more than the page count
+     * stored in each of them. It therefore treats its listing as inconsistent and never makes decisions.
      */
     private static final int FIRST_SPLIT_PAGE = 1 << 10;
 
@@ -80,12 +83,12 @@
         return (bits & (1 << depth) - 1) == index;
     }
 
-    /** Returns the number of its page, or of its first page: a root in layout 1 may have several. */
+    /** Returns the page number of this bucket, or of its first page if it is a root, which may have several in layout 1. */
     int page() {
         return isRoot() ? 0 : FIRST_SPLIT_PAGE + (1 << depth) + index;
     }
 
-    /** Returns the key of {@link #page}. */
+    /** Returns the key of the snapshot page with the number {@link #page}. */
     String key() {
         return WorkLog.pageKey(shard, page());
     }
--- a/src/main/java/garnetscale/core/state/ChangeReader.java
+++ b/src/main/java/garnetscale/core/state/ChangeReader.java
@@ -66,7 +66,7 @@
         } else if (listed.key().startsWith(Keys.SNAPSHOT)) {
             snapshots.add(listed.key(), listed.value());
         } else {
-            applyPlain(listed);
+            applyRecord(listed);
         }
     }
 
@@ -104,8 +104,8 @@
     }
 
     /**
-     * Returns whether a change is newer than what the replica holds. It may be older, since a page of a listing may be newer
-     * than the revision from which the watch continues.
+     * Returns whether a change is at least as recent as what the replica holds. The replica may hold a newer value, since a
+     * page of a listing may be newer than the revision from which the watch continues.
      */
     private boolean isCurrent(KeyChange change, long revision) {
         return change.modRevision() > revision && change.modRevision() >= modRevision(change.key());
@@ -133,14 +133,14 @@
         } else if (key.startsWith(Keys.SNAPSHOT)) {
             log.trackSnapshotPage(change);
         } else {
-            applyPlain(change);
+            applyRecord(change);
             if (change.value() == null && key.startsWith(Keys.JOB)) {
                 removedJobs.add(key.substring(Keys.JOB.length()));
             }
         }
     }
 
-    private void applyPlain(KeyChange change) {
+    private void applyRecord(KeyChange change) {
         if (change.key().startsWith(Keys.JOB)) {
             jobs.apply(change.key().substring(Keys.JOB.length()), change.value(), change.modRevision());
         } else {
--- a/src/main/java/garnetscale/core/state/ClusterState.java
+++ b/src/main/java/garnetscale/core/state/ClusterState.java
@@ -112,7 +112,7 @@
     }
 
     /** Returns whether the work log has to be written in the first layout. */
-    boolean inFirstVersion() {
+    boolean isFirstLayoutActive() {
         return version.active() == Layouts.FIRST;
     }
 }
--- a/src/main/java/garnetscale/core/state/Compaction.java
+++ b/src/main/java/garnetscale/core/state/Compaction.java
@@ -6,14 +6,18 @@
 import java.util.Map;
 
 /**
- * The puts and deletes by which one transaction rewrites a region of the snapshot: because the region has the lowest
- * sequence number, because it no longer fits into one value, or because the first layout is active again.
+ * The puts and deletes by which one transaction rewrites a region of the snapshot. A region is rewritten if it has the lowest
+ * sequence number and its compaction is due, if a split is forced, or if the first layout is active again. In layout 2, a
+ * region that no longer fits into one value is split when it is rewritten.
  */
 final class Compaction {
 
-    /** Divides a transaction's operations; a compaction that can be spread over several transactions uses one such share. */
+    /**
+     * A compaction that can be spread over several transactions may use at most the operation limit of one transaction divided
+     * by this number.
+     */
     private static final int OPS_DIVISOR = 3;
-    /** Lower bound of a compaction's share of operations. */
+    /** Lower bound of the number of operations that such a compaction may use. */
     private static final int MIN_OPS = 3;
 
     private final LogReplica log;
@@ -67,10 +71,10 @@
     }
 
     /**
-     * Takes one step of the conversion from layout 2 back to layout 1. If the shard as a root and the deletes of its buckets
-     * fit into a transaction, the shard is written as a root; otherwise two sibling buckets are merged. A shard that isn't
-     * split is compacted as usual. The shard of a region that is due for compaction goes first. If nothing in it can be
-     * merged yet, the region is compacted as it is, so that the ring buffer doesn't become full.
+     * Takes one step of the conversion from layout 2 back to layout 1. If all pages of the shard's root and the deletes of
+     * its buckets fit into one transaction, the shard is written as a root; otherwise two sibling buckets are merged. A shard
+     * that isn't split is compacted as usual. The shard of a region that is due for compaction is converted first. If nothing
+     * in it can be merged yet, the region is compacted as it is, so that the ring buffer doesn't become full.
      *
      * @param due the region that is due for compaction, or null
      */
@@ -146,6 +150,7 @@
                 puts.put(bucket.getKey().key(), LogCodec.encodePage(bucket.getValue(), 1));
             }
         }
+        // The old bucket stays stored until no region is read from it. If it is rewritten, its first page is kept.
         Bucket old = due.source();
         boolean isComplete = puts.size() == buckets.size();
         if (old != null && isComplete && log.snapshot().regionsReadFrom(old).size() <= 1) {
--- a/src/main/java/garnetscale/core/state/Delta.java
+++ b/src/main/java/garnetscale/core/state/Delta.java
@@ -17,7 +17,8 @@
  * @param freed  attempts that are no longer placed on the machine
  * @param stops  attempts whose stop mode changed, with the new mode
  * @param placed attempts that are newly placed on the machine
- * @param images images in the machine's cache with their sizes in GB if the set of images changed, otherwise null
+ * @param images images in the machine's cache with their sizes in GB, or null if the set of images hasn't changed; a change
+ *               in their order alone isn't stored
  */
 record Delta(
         String zone,
--- a/src/main/java/garnetscale/core/state/JobViews.java
+++ b/src/main/java/garnetscale/core/state/JobViews.java
@@ -68,7 +68,7 @@
         }
     }
 
-    /** Adds the parts of finished sets that belong to a bucket, of jobs that have a record. */
+    /** Adds the parts of finished sets that belong to a bucket, except those of removed jobs. */
     void addPartsOf(Bucket bucket, Map<String, BitSet> parts) {
         jobs.forEach((id, job) -> {
             JobView.TaskProgress tasks = progress.get(id);
@@ -81,7 +81,7 @@
         });
     }
 
-    /** Adds the maximum size in bytes of each shard's finished sets. */
+    /** Adds to the element of each shard the maximum size of the shard's finished sets, in bytes. */
     void addBytes(long[] bytesOfShard) {
         jobs.forEach((id, job) -> {
             for (int i = 0; i < progress.get(id).parts(); i++) {
--- a/src/main/java/garnetscale/core/state/LogCodec.java
+++ b/src/main/java/garnetscale/core/state/LogCodec.java
@@ -61,7 +61,7 @@
     /**
      * Returns the stored value of a snapshot page.
      *
-     * @param pages the number of pages that the bucket is stored in; stored because a listing may read them at different
+     * @param pages the number of pages of the bucket; written into each page because a listing may read the pages at different
      *              revisions
      */
     static Map<String, Object> encodePage(WorkLog.Contents page, int pages) {
@@ -129,7 +129,7 @@
                         fields.get(IMAGES)));
     }
 
-    /** Encodes a change of a machine record. Unchanged fields are omitted; an empty map removes the record. */
+    /** Encodes a change of a machine record. Unchanged fields except the zone are omitted; an empty map removes the record. */
     static Map<String, Object> encodeDelta(Delta delta) {
         Map<String, Object> fields = new LinkedHashMap<>();
         if (delta.zone() != null) {
--- a/src/main/java/garnetscale/core/state/LogReplica.java
+++ b/src/main/java/garnetscale/core/state/LogReplica.java
@@ -104,7 +104,7 @@
 
     /**
      * Applies an entry, except to machines and finished sets whose listed snapshot region already contains it. Snapshot
-     * pages are listed after the entries, so that a page may be newer than an entry.
+     * pages are listed after the entries, so a page may be newer than an entry.
      */
     private void apply(WorkLog.Entry entry) {
         entry.machines().forEach((id, delta) -> {
@@ -140,37 +140,41 @@
         SnapshotIndex.Region oldest = snapshot.oldest();
         boolean due = WorkLog.isCompactionDue(oldest.sequence(), sequence, snapshot.regionCount())
                 || isFull()
-                || cluster.inFirstVersion() && ringBuffer.newestBeyondFirstLayout() > oldest.sequence();
+                || cluster.isFirstLayoutActive() && ringBuffer.newestBeyondFirstLayout() > oldest.sequence();
         return due ? oldest : null;
     }
 
     /** Returns whether a region has to be compacted before the next entry may be written. */
     boolean isFull() {
         long complete = snapshot.oldest().sequence();
-        return cluster.inFirstVersion()
+        return cluster.isFirstLayoutActive()
                 ? ringBuffer.holdsNewerThan(complete, LogRingBuffer.firstLayoutKey(sequence + 1))
                 : ringBuffer.isFull(capacity(), complete);
     }
 
     /**
-     * Returns the ring buffer keys to delete while the first version is active: those that the first layout doesn't use and
-     * whose entries are in the snapshot.
+     * Returns the ring buffer keys to delete: while the first layout is active, those that it doesn't use and whose entries
+     * are in the snapshot, otherwise none.
      */
     List<String> keysToDelete() {
-        return cluster.inFirstVersion()
+        return cluster.isFirstLayoutActive()
                 ? ringBuffer.compactedKeysBeyondFirstLayout(snapshot.oldest().sequence())
                 : List.of();
     }
 
-    /** Returns whether all records are stored in the active version; if not, the leader is still converting them. */
+    /**
+     * Returns whether all records are stored in a form that the active version allows. If not, the leader is still converting
+     * them to the first layout.
+     */
     boolean isConverted() {
-        return !cluster.inFirstVersion() || !snapshot.isSplit() && ringBuffer.newestBeyondFirstLayout() == 0;
+        return !cluster.isFirstLayoutActive() || !snapshot.isSplit() && ringBuffer.newestBeyondFirstLayout() == 0;
     }
 
     /**
      * Returns whether any shard needs more than {@code pages} pages of the first layout.
      *
      * @param valueBytes the maximum size of a stored value, in bytes
+     * @param pages      the maximum number of pages of a shard
      */
     boolean hasOutgrownFirstLayout(int valueBytes, int pages) {
         long[] bytesOfShard = new long[WorkLog.SHARDS];
@@ -186,7 +190,9 @@
 
     /** Returns the key under which the next entry is written. */
     String nextEntryKey() {
-        return cluster.inFirstVersion() ? LogRingBuffer.firstLayoutKey(sequence + 1) : ringBuffer.nextKey(capacity());
+        return cluster.isFirstLayoutActive()
+                ? LogRingBuffer.firstLayoutKey(sequence + 1)
+                : ringBuffer.nextKey(capacity());
     }
 
     private int capacity() {
@@ -198,7 +204,10 @@
         return snapshot.isSplit() ? Layouts.SPLIT_SNAPSHOT : Layouts.FIRST;
     }
 
-    /** Returns the contents of a snapshot bucket as of the last applied entry, without finished sets of terminal jobs. */
+    /**
+     * Returns the contents of a snapshot bucket as of the last applied entry, without finished sets of removed jobs, such as
+     * archived terminal jobs.
+     */
     WorkLog.Contents contents(Bucket bucket) {
         WorkLog.Contents contents = new WorkLog.Contents(sequence, new LinkedHashMap<>(), new LinkedHashMap<>());
         machines.addRecordsOf(bucket, contents.machines());
--- a/src/main/java/garnetscale/core/state/LogRingBuffer.java
+++ b/src/main/java/garnetscale/core/state/LogRingBuffer.java
@@ -96,7 +96,11 @@
         return Integer.parseInt(key.substring(Keys.LOG.length())) >= WorkLog.FIRST_CAPACITY;
     }
 
-    /** Returns whether the next entry would overwrite one that a snapshot complete up to {@code sequence} may not contain. */
+    /**
+     * Returns whether the next entry would overwrite an entry that may not be in the snapshot yet.
+     *
+     * @param sequence the sequence number up to which every snapshot region contains all entries
+     */
     boolean isFull(int capacity, long sequence) {
         return keyOfSequence.size() >= capacity && keyOfSequence.firstKey() > sequence;
     }
--- a/src/main/java/garnetscale/core/state/LogWriter.java
+++ b/src/main/java/garnetscale/core/state/LogWriter.java
@@ -27,7 +27,10 @@
 
     /** Size of an attempt that is freed or stopped. */
     private static final int ATTEMPT_BYTES = 28;
-    /** Margin for the images of a machine, which a placement may change, and a part of a finished set, which an exit may. */
+    /**
+     * Margin for the images of a machine, which a placement may change, and for a part of a finished set, which an exit may
+     * change.
+     */
     private static final int MARGIN_BYTES = 1024;
 
     private final StateReplica replica;
@@ -105,7 +108,8 @@
     }
 
     /**
-     * Adds the entry, if it changes any machine or is needed for the first split, and the compaction, if one is due.
+     * Adds the entry, if it changes any machine or is needed for the first split, and the compaction, if one is due. Also
+     * guards the keys of the last and of the next entry, so that the transaction fails if either has changed.
      *
      * @param machines new machine records, by machine; {@link MachineRecord#NONE} removes a record
      * @param parts    new parts of finished sets, by {@link WorkLog#partOf name}
@@ -119,7 +123,7 @@
         transaction.guard(key, replica.modRevision(key));
         if (!machines.isEmpty() || compaction.isFirstSplit()) {
             if (log.isFull()) {
-                throw new IllegalStateException("log is full: entry " + (log.sequence() + 1)
+                throw new IllegalStateException("log is full: the entry after sequence number " + log.sequence()
                         + " would overwrite the entry under " + key + ", which isn't in the snapshot yet");
             }
             transaction.put(key, LogCodec.encodeEntry(entry(machines, parts)));
--- a/src/main/java/garnetscale/core/state/MachineRecords.java
+++ b/src/main/java/garnetscale/core/state/MachineRecords.java
@@ -64,7 +64,7 @@
         });
     }
 
-    /** Adds the maximum size in bytes of each shard's records. */
+    /** Adds to the element of each shard the maximum size of the shard's records, in bytes. */
     void addBytes(long[] bytesOfShard) {
         machines.forEach((id, machine) ->
                 bytesOfShard[Bucket.shardOf(Bucket.hashOfMachine(id))] += LogSizes.machine(id, machine));
--- a/src/main/java/garnetscale/core/state/Records.java
+++ b/src/main/java/garnetscale/core/state/Records.java
@@ -133,7 +133,7 @@
 
     static ControllerInfo controller(String name, Object value) {
         Map<?, ?> fields = (Map<?, ?>) value;
-        // Controllers older than layout versions publish no range.
+        // Controllers from before layout versions were introduced publish no range.
         VersionRange layouts = fields.containsKey("l")
                 ? new VersionRange((int) StoredFields.whole(fields, "o"), (int) StoredFields.whole(fields, "l"))
                 : VersionRange.FIRST;
--- a/src/main/java/garnetscale/core/state/SnapshotIndex.java
+++ b/src/main/java/garnetscale/core/state/SnapshotIndex.java
@@ -75,6 +75,7 @@
         Bucket bucket = bucketOf(key);
         TreeMap<Bucket, StoredBucket> shard = stored.get(bucket.shard());
         StoredBucket old = shard.get(bucket);
+        // Deletes of a root's pages always extend to its last page, so that only the pages before this one are left.
         int left = bucket.isRoot() ? pageOf(key) : 0;
         if (old != null && left == 0) {
             shard.remove(bucket);
@@ -135,7 +136,7 @@
         return regionCount;
     }
 
-    /** Returns the region with the lowest sequence number. The result is cached, since every transaction draft needs it. */
+    /** Returns the region with the lowest sequence number. The result is cached, since every {@link LogWriter} needs it. */
     Region oldest() {
         if (oldest == null) {
             oldest = findOldest();
--- a/src/main/java/garnetscale/core/state/SnapshotListing.java
+++ b/src/main/java/garnetscale/core/state/SnapshotListing.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.function.BiConsumer;
 
-/** The snapshot of the work log as read from a listing, whose pages may be of different revisions. */
+/** The snapshot of the work log as read from a listing. Its pages may have been read at different revisions. */
 final class SnapshotListing {
 
     private record Page(Bucket bucket, WorkLog.Contents contents) {}
@@ -50,8 +50,8 @@
     }
 
     /**
-     * Returns whether the listing is inconsistent. Either the pages of a root contain different entries or are incomplete,
-     * so that a machine may have moved between them and be in neither, or a bucket was split while it was read.
+     * Returns whether the listing is inconsistent. This is so if pages of a root are missing or contain different entries, so
+     * that a machine may have moved between them and be in neither, or if a bucket was split while it was read.
      */
     boolean isInconsistent() {
         return hasMixedPages
@@ -82,8 +82,8 @@
     }
 
     /**
-     * Returns whether a hash is to be read from this page. Parts of a partly split bucket that are stored separately are newer
-     * than the same parts in the larger bucket.
+     * Returns whether the record with this hash is read from this page. If a bucket is partly split, the parts that are
+     * stored separately are newer than the same parts in the larger bucket.
      */
     private boolean isReadFrom(Page page, int hash) {
         return page.bucket().equals(index.regionOf(hash).source());
--- a/src/main/java/garnetscale/core/state/StateReplica.java
+++ b/src/main/java/garnetscale/core/state/StateReplica.java
@@ -14,8 +14,8 @@
 
 /**
  * A controller's copy of the live part of the key-value store (all keys under {@link Keys#REPLICATED}) as of one revision.
- * It is loaded from a listing and then updated from a watch. Its revision only increases: stale watch responses are
- * ignored.
+ * It is loaded from a listing and then updated from a watch. Between listings its revision only increases: stale watch
+ * responses are ignored.
  */
 public final class StateReplica {
 
@@ -47,7 +47,7 @@
         return revision;
     }
 
-    /** Returns whether the replica is a complete copy of one revision. */
+    /** Returns whether the replica reflects a revision. It may still lack work log entries: see {@link #isInconsistent}. */
     public boolean isLoaded() {
         return revision >= 0;
     }
@@ -183,17 +183,20 @@
         return log.sequence();
     }
 
-    /** Returns whether all records are stored in the active version; if not, the leader is still converting them. */
+    /**
+     * Returns whether all records are stored in a form that the active version allows. If not, the leader is still converting
+     * them to the first layout.
+     */
     public boolean isConverted() {
         return log.isConverted();
     }
 
     /**
-     * Returns whether any shard needs more than {@code pages} pages. The first layout can't write such a shard, or soon
-     * won't be able to.
+     * Returns whether any shard needs more than {@code pages} pages of the first layout, which then can't write the shard or
+     * soon won't be able to.
      *
      * @param valueBytes the maximum size of a stored value, in bytes
-     * @param pages      the number of pages that a shard may need at most
+     * @param pages      the maximum number of pages of a shard
      */
     public boolean hasOutgrownFirstLayout(int valueBytes, int pages) {
         return log.hasOutgrownFirstLayout(valueBytes, pages);
@@ -207,9 +210,9 @@
     // ---- listings and watches
 
     /**
-     * Replaces the contents with a full listing, at first and after a watch has lost changes. If pages of a snapshot were
-     * read at different revisions, the replica is inconsistent and isn't loaded: a machine may have moved between two
-     * pages and be in neither. It isn't loaded either if a record can't be read.
+     * Replaces the contents with a full listing, at first and after a watch has lost changes. If the listed pages of a shard
+     * don't match because they were read at different revisions, the replica is inconsistent and isn't loaded: a machine may
+     * have moved between two pages and be in neither. It isn't loaded either if a record can't be read.
      *
      * @param all         every key under {@link Keys#REPLICATED}, in the order of the listing
      * @param newRevision the revision of the listing's first page
--- a/src/main/java/garnetscale/core/state/WorkLog.java
+++ b/src/main/java/garnetscale/core/state/WorkLog.java
@@ -11,8 +11,9 @@
  *
  * <p>Entries are stored in a ring buffer of keys. Each overwrites an entry that the snapshot already contains. Machines and
  * finished sets are distributed over the snapshot's shards by hash. When a compaction is due, a transaction rewrites the
- * snapshot region with the lowest sequence number. To read the store, a controller reads the snapshot and then, for each
- * region, the entries after the region's sequence number.
+ * snapshot region with the lowest sequence number. To load the store, a controller applies the snapshot and then, to each
+ * region, the entries after the region's sequence number. Listings return the entries before the snapshot: an entry that is
+ * overwritten before it is listed is then contained in the snapshot pages that are listed after it.
  *
  * @see Bucket how a shard is split further
  */
@@ -24,7 +25,7 @@
     private static final int ENTRIES_PER_REGION = 3;
     /** Entries in the ring buffer while no shard is split, and always in the first layout. */
     static final int FIRST_CAPACITY = ENTRIES_PER_REGION * SHARDS;
-    /** Tasks per part of a finished set, so that a job of any size keeps each part small and one exit writes little. */
+    /** Tasks per part of a finished set. Parts stay small for a job of any size, so that one exit writes little. */
     static final int TASKS_PER_PART = 2048;
 
     private WorkLog() {}
@@ -58,7 +59,7 @@
         return part(job, task / TASKS_PER_PART);
     }
 
-    /** Returns the bits of the named part of a whole finished set, numbered from 0. */
+    /** Returns the named part of a whole finished set; its tasks are numbered from the start of the part. */
     public static BitSet bitsOf(BitSet all, String part) {
         int first = TASKS_PER_PART * Integer.parseInt(part.substring(part.lastIndexOf('/') + 1));
         return all.get(first, first + TASKS_PER_PART);
--- a/src/test/java/garnetscale/core/state/LayoutChangeTest.java
+++ b/src/test/java/garnetscale/core/state/LayoutChangeTest.java
@@ -47,7 +47,7 @@
 
     /**
      * A controller that supports only layout 1 expects consecutive sequence numbers and counts the pages of a shard. The first
-     * split violates both, so that such a controller lists the store repeatedly and never makes decisions.
+     * split violates both, so such a controller lists the store repeatedly and never makes decisions.
      */
     @Test
     void theFirstLayoutFindsASplitStoreInconsistent() {
--- a/src/test/java/garnetscale/core/state/LogFixture.java
+++ b/src/test/java/garnetscale/core/state/LogFixture.java
@@ -67,12 +67,12 @@
     StateReplica listInPages(int pageKeys, Runnable write) {
         List<KeyChange> listed = new ArrayList<>();
         long first = state.revision();
-        String since = null;
+        String lastKey = null;
         List<KeyChange> page;
         do {
-            page = state.list(Keys.REPLICATED, since, pageKeys);
+            page = state.list(Keys.REPLICATED, lastKey, pageKeys);
             listed.addAll(page);
-            since = page.isEmpty() ? null : page.get(page.size() - 1).key();
+            lastKey = page.isEmpty() ? null : page.get(page.size() - 1).key();
             for (int i = random.nextInt(3); i > 0; i--) {
                 write.run();
             }
--- a/src/test/java/garnetscale/core/state/LogRingBufferTest.java
+++ b/src/test/java/garnetscale/core/state/LogRingBufferTest.java
@@ -15,17 +15,17 @@
     private final LogRingBuffer ringBuffer = new LogRingBuffer();
 
     private void fill(int entries) {
-        for (long number = 1; number <= entries; number++) {
-            ringBuffer.put(ringBuffer.nextKey(entries), number);
+        for (long sequence = 1; sequence <= entries; sequence++) {
+            ringBuffer.put(ringBuffer.nextKey(entries), sequence);
         }
     }
 
     @Test
     void aRingBufferOfMinimumCapacityUsesTheKeysOfTheFirstLayout() {
-        for (long number = 1; number <= 3 * WorkLog.FIRST_CAPACITY; number++) {
+        for (long sequence = 1; sequence <= 3 * WorkLog.FIRST_CAPACITY; sequence++) {
             String key = ringBuffer.nextKey(WorkLog.FIRST_CAPACITY);
-            assertEquals(LogRingBuffer.firstLayoutKey(number), key);
-            ringBuffer.put(key, number);
+            assertEquals(LogRingBuffer.firstLayoutKey(sequence), key);
+            ringBuffer.put(key, sequence);
         }
     }
 
@@ -44,10 +44,10 @@
     void aGrowingRingBufferUsesNewKeys() {
         int entries = 2 * WorkLog.FIRST_CAPACITY;
         Set<String> keys = new HashSet<>();
-        for (long number = 1; number <= entries; number++) {
+        for (long sequence = 1; sequence <= entries; sequence++) {
             String key = ringBuffer.nextKey(entries);
             assertTrue(keys.add(key), key + " is used twice");
-            ringBuffer.put(key, number);
+            ringBuffer.put(key, sequence);
         }
         assertEquals(entries, ringBuffer.newestBeyondFirstLayout());
         assertEquals(
--- a/src/test/java/garnetscale/core/state/SnapshotListingTest.java
+++ b/src/test/java/garnetscale/core/state/SnapshotListingTest.java
@@ -21,12 +21,12 @@
 
     private final SnapshotListing listing = new SnapshotListing();
 
-    private static Map<String, Object> page(long number, String... machines) {
+    private static Map<String, Object> page(long sequence, String... machines) {
         Map<String, MachineRecord> records = new LinkedHashMap<>();
         for (String machine : machines) {
             records.put(machine, new MachineRecord("a", List.of(), Map.of()));
         }
-        return LogCodec.encodePage(new WorkLog.Contents(number, records, Map.of("wk-1/0", new BitSet())), 1);
+        return LogCodec.encodePage(new WorkLog.Contents(sequence, records, Map.of("wk-1/0", new BitSet())), 1);
     }
 
     private Set<String> machines() {
--- a/src/test/java/garnetscale/core/state/WorkLogTest.java
+++ b/src/test/java/garnetscale/core/state/WorkLogTest.java
@@ -18,7 +18,7 @@
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
 
-/** Replicas updated from watches in any steps, and replicas loaded from pages during writes, contain the same state. */
+/** Replicas updated from watches in steps of any size and replicas loaded in pages during writes contain the same state. */
 class WorkLogTest {
 
     private static final int VALUE_BYTES = 16 * 1024;
