--- a/src/main/java/garnetscale/core/cluster/PartitionMap.java
+++ b/src/main/java/garnetscale/core/cluster/PartitionMap.java
@@ -5,9 +5,9 @@
 import java.util.List;
 
 /**
- * Maps machines to partitions. Partitions never span zones, and a zone has as many partitions as controllers, so that each
- * controller can own one in its zone. The mapping depends only on the machine's name and zone, so that every controller can
- * find the owner of a worker that it hasn't seen before.
+ * Maps machines to partitions. Partitions never span zones. A zone has as many partitions as controllers, so that each
+ * controller can own one in its zone, but at least one. The mapping depends only on the machine's name and zone, so that every
+ * controller can find the owner of a worker that it hasn't seen before.
  */
 public final class PartitionMap {
 
@@ -50,7 +50,10 @@
         return Math.max(1, controllers);
     }
 
-    /** Returns the number at the end of a machine's name, which distributes machines evenly, or the name's hash without one. */
+    /**
+     * Returns the number at the end of a machine's name, which distributes machines evenly, or the hash of the name if it doesn't
+     * end in a number.
+     */
     public static int machineNumber(String machine) {
         int dash = machine.lastIndexOf('-');
         try {
--- a/src/main/java/garnetscale/core/upgrade/UpgradeCoordinator.java
+++ b/src/main/java/garnetscale/core/upgrade/UpgradeCoordinator.java
@@ -11,9 +11,9 @@
 
 /**
  * Decides on the cluster's layout version; used only by the leader. A version is activated in one transaction, which is guarded
- * by the leader's key, the previous version and the record of every live controller. It fails if any of these controllers
- * restarts or leaves in between. A controller that joins in between reads the version first, and makes no decisions if it
- * doesn't support it.
+ * by the leader's key, the previous version and the record of every live controller. The transaction fails if any of these
+ * controllers restarts or leaves before it commits. A controller that joins meanwhile reads the version first, and makes no
+ * decisions if it doesn't support that version.
  */
 public final class UpgradeCoordinator {
 
@@ -51,7 +51,11 @@
         observedAt = Times.NEVER;
     }
 
-    /** Records which controllers are live, unless the last observation is very recent compared to the settle time. */
+    /**
+     * Records which controllers are live, unless the last observation is very recent compared to the settle time.
+     *
+     * @param now the time in milliseconds of the steady clock
+     */
     public void observe(long now) {
         if (now - observedAt < settleMs / OBSERVATIONS_PER_SETTLE_TIME) {
             return;
--- a/src/test/java/garnetscale/core/upgrade/UpgradeCluster.java
+++ b/src/test/java/garnetscale/core/upgrade/UpgradeCluster.java
@@ -72,7 +72,10 @@
                         .put(Keys.LEADER, Records.leader(new LeaderInfo(controller.name, lease, ++term)), lease));
     }
 
-    /** Commits as every controller does: fails unless the active version is the one in its replica; 0 if that isn't loaded. */
+    /**
+     * Commits as every controller does: fails unless the active version is the one in the controller's replica. Returns the
+     * status of the response, or 0 if that replica isn't loaded.
+     */
     int commit(Controller by, Transaction transaction) {
         return by.replica.isLoaded() ? state.commit(by.replica.guardVersion(transaction)) : 0;
     }
--- a/src/test/java/garnetscale/core/upgrade/UpgradeCoordinatorTest.java
+++ b/src/test/java/garnetscale/core/upgrade/UpgradeCoordinatorTest.java
@@ -59,7 +59,7 @@
         cluster.follow(leader);
     }
 
-    private static Transaction job(String id) {
+    private static Transaction putJob(String id) {
         return new Transaction()
                 .guard(Keys.job(id), 0)
                 .put(Keys.job(id), Records.job(new JobRecord(TestJob.named(id).build(), JobState.LIVE, 0)));
@@ -116,7 +116,7 @@
         assertEquals(200, cluster.commit(leader, activation));
         assertEquals(
                 409,
-                cluster.commit(old, job("wk-1")),
+                cluster.commit(old, putJob("wk-1")),
                 "its replica is older than the activation, so the write must fail");
         cluster.follow(old);
         assertFalse(old.replica.isLoaded());
@@ -124,13 +124,13 @@
                 "g/version as of revision " + cluster.state.get(Keys.VERSION).modRevision()
                         + ": version 2, and this controller supports 1 to 1",
                 old.replica.unreadable());
-        assertEquals(0, cluster.commit(old, job("wk-1")));
+        assertEquals(0, cluster.commit(old, putJob("wk-1")));
         cluster.end("n1");
         settle();
         execute(UpgradeStep.DEACTIVATE);
         cluster.follow(old);
         assertTrue(old.replica.isLoaded(), "loaded again once the previous version is active");
-        assertEquals(200, cluster.commit(old, job("wk-1")));
+        assertEquals(200, cluster.commit(old, putJob("wk-1")));
     }
 
     @Test
@@ -154,7 +154,7 @@
     /** A truncated or unknown record is never treated as absent, and no decisions are made from the other records. */
     @Test
     void anInvalidRecordMakesTheReplicaUnreadable() {
-        cluster.state.commit(job("wk-1"));
+        cluster.state.commit(putJob("wk-1"));
         cluster.state.commit(new Transaction().put(Keys.job("wk-2"), Map.of("s", "LIVE")));
         cluster.follow(leader);
         assertNotNull(leader.replica.unreadable());
@@ -162,7 +162,7 @@
         assertFalse(leader.replica.isLoaded());
         cluster.list(leader);
         assertFalse(leader.replica.isLoaded());
-        cluster.state.commit(job("wk-2")
+        cluster.state.commit(putJob("wk-2")
                 .guard(Keys.job("wk-2"), cluster.state.get(Keys.job("wk-2")).modRevision()));
         cluster.list(leader);
         assertTrue(leader.replica.isLoaded(), "loaded again once the record is valid");
