--- a/src/main/java/garnetscale/controller/ClusterInspector.java
+++ b/src/main/java/garnetscale/controller/ClusterInspector.java
@@ -27,7 +27,7 @@
  * Answers operators' requests from the replica and the roles of this controller. Requests only read the replica, except upgrade
  * steps, whose changes are made by the leader. Confined to the event loop.
  */
-public final class ClusterInspector implements PeerLinks.Inspector {
+public final class ClusterInspector implements PeerLinks.OperatorRequestHandler {
 
     private static final String NOT_COMPLETE = "this controller's replica isn't complete";
 
--- a/src/main/java/garnetscale/controller/PeerMessageHandler.java
+++ b/src/main/java/garnetscale/controller/PeerMessageHandler.java
@@ -39,7 +39,7 @@
             StateLink state,
             JobApi jobApi,
             PeerHeartbeats heartbeats,
-            PeerLinks.Inspector inspector) {
+            PeerLinks.OperatorRequestHandler inspector) {
         this.context = context;
         this.state = state;
         this.jobApi = jobApi;
--- a/src/main/java/garnetscale/controller/ReplicaWatch.java
+++ b/src/main/java/garnetscale/controller/ReplicaWatch.java
@@ -73,7 +73,7 @@
             connection.after(waitMs, this::watch);
             return;
         }
-        bucket.force(connection.now(), 1);
+        bucket.takeUnconditionally(connection.now(), 1);
         fetchChanges(WATCH_MS, WATCH_TIMEOUT_MS, complete -> {
             if (!listing.isRunning()) {
                 if (complete) {
@@ -120,7 +120,7 @@
             });
             return;
         }
-        bucket.force(connection.now(), 1);
+        bucket.takeUnconditionally(connection.now(), 1);
         syncing = true;
         List<Consumer<Boolean>> batch = takePendingSyncs();
         fetchChanges(0, SYNC_TIMEOUT_MS, complete -> {
--- a/src/main/java/garnetscale/controller/StateReads.java
+++ b/src/main/java/garnetscale/controller/StateReads.java
@@ -48,7 +48,7 @@
 
     /** Finds existing keys; see {@link TerminalJobIndex.Store#findExisting}. */
     void findExisting(List<String> keys, Consumer<Set<String>> done) {
-        bucket.force(connection.now(), 1);
+        bucket.takeUnconditionally(connection.now(), 1);
         Transaction absent = new Transaction();
         keys.forEach(key -> absent.guard(key, 0));
         connection.call(
@@ -72,7 +72,7 @@
 
     /** Reads a key; see {@link TerminalJobIndex.Store#get}. */
     void get(String key, BiConsumer<Boolean, Object> done) {
-        bucket.force(connection.now(), 1);
+        bucket.takeUnconditionally(connection.now(), 1);
         connection.call(
                 HttpMethod.GET, StateCodec.keyPath(key), null, READ_TIMEOUT_MS, result -> onValue(result, done));
     }
--- a/src/main/java/garnetscale/controller/StateTransactions.java
+++ b/src/main/java/garnetscale/controller/StateTransactions.java
@@ -63,7 +63,7 @@
             connection.after(waitMs, () -> sendAsLeader(transaction, done));
             return;
         }
-        leaderBucket.force(connection.now(), transaction.ops().size());
+        leaderBucket.takeUnconditionally(connection.now(), transaction.ops().size());
         send(transaction, done);
     }
 
@@ -71,7 +71,7 @@
     void submit(Transaction transaction, BiConsumer<TransactionOutcome, Long> done) {
         double perS = rates.submissionsPerS(replica.controllers().size());
         submissionBucket.resize(perS, SUBMISSIONS_BURST_S * perS);
-        if (!submissionBucket.take(connection.now(), transaction.ops().size())) {
+        if (!submissionBucket.tryTake(connection.now(), transaction.ops().size())) {
             done.accept(TransactionOutcome.REFUSED, NO_REVISION);
             return;
         }
--- a/src/main/java/garnetscale/net/BodyCollector.java
+++ b/src/main/java/garnetscale/net/BodyCollector.java
@@ -4,22 +4,22 @@
 import io.netty.buffer.ByteBufUtil;
 import java.util.Arrays;
 
-/** Collects the chunks of one message body, nearly always a single one, up to a limit. Not thread-safe. */
+/** Collects the chunks of one message body up to a size limit; nearly every body is a single chunk. Not thread-safe. */
 final class BodyCollector {
 
     private static final byte[] EMPTY = new byte[0];
 
-    private final int limit;
+    private final int limitBytes;
     private byte[] body = EMPTY;
 
-    BodyCollector(int limit) {
-        this.limit = limit;
+    BodyCollector(int limitBytes) {
+        this.limitBytes = limitBytes;
     }
 
-    /** Appends the readable bytes of a chunk; false, with nothing appended, when the body would exceed the limit. */
+    /** Appends the readable bytes of a chunk. Returns false and appends nothing if the body would exceed the limit. */
     boolean add(ByteBuf chunk) {
         int length = chunk.readableBytes();
-        if (length > limit - body.length) {
+        if (length > limitBytes - body.length) {
             return false;
         }
         if (length == 0) {
@@ -35,10 +35,10 @@
         return true;
     }
 
-    /** The whole body; the collector is empty afterwards. */
+    /** Returns the collected body and empties the collector. */
     byte[] take() {
-        byte[] whole = body;
+        byte[] collected = body;
         body = EMPTY;
-        return whole;
+        return collected;
     }
 }
--- a/src/main/java/garnetscale/net/ConnectionLimiter.java
+++ b/src/main/java/garnetscale/net/ConnectionLimiter.java
@@ -6,62 +6,78 @@
 import java.util.Set;
 
 /**
- * Shares the process's sockets. Above its limit a process gets none at all, not even for the state service, and one controller
- * may be the only one that is left for every worker. So a part is reserved for what the process itself can't do without, and of
- * the rest workers' connections come first: when it runs out, idle connections to workers are closed, which costs a handshake
- * later, then users' idle connections, longest unused first, and only when there is neither is a new one turned away. Lives on
- * one event loop, like all that opens or accepts connections.
+ * Limits the connections of one process and decides which idle ones to close for new ones. A process that reaches its limit of
+ * sockets gets no more of them, not even for the state service, and one controller may be the only one left to serve all workers.
+ * A part of the sockets is therefore reserved for connections that the process can't do without. The rest goes to workers before
+ * users: when it is used up, idle connections to workers are closed first, which costs a handshake later, and then idle
+ * connections of users, each time the longest idle. A new connection is refused only when no idle one is left. Confined to one
+ * event loop, like all code that opens or accepts connections.
  */
 public final class ConnectionLimiter {
 
     /**
-     * The part reserved for listeners, state service, cloud and peers, and for connections that are closed here but not yet at
-     * the other end: a machine behind a network partition says nothing for as long as it lasts.
+     * One in this many sockets is reserved for listeners, the state service, the cloud and peers, and for connections that are
+     * closed here but not yet at the other end: a machine behind a network partition doesn't answer while the partition lasts.
      */
-    private static final int RESERVED_PART = 8;
+    private static final int RESERVED_DIVISOR = 8;
 
     private static final int MIN_RESERVED = 8;
-    /** The part that may be idle connections to workers. */
-    private static final int IDLE_TO_WORKERS_PART = 8;
+    /** One in this many sockets may be an idle connection to a worker. */
+    private static final int IDLE_TO_WORKERS_DIVISOR = 8;
 
+    /** The most connections that may be open and counted; the reserved sockets are already subtracted. */
     private final int limit;
+
     private final int idleToWorkersLimit;
-    private final double scarceFrom;
+    private final double scarcityThreshold;
     private final Set<Channel> idleToWorkers = new LinkedHashSet<>();
     private final Set<Channel> idleUsers = new LinkedHashSet<>();
-    /** Closed here and already out of the count; Netty tells of their end only later. */
+    /** Connections closed here and no longer counted, for which Netty has yet to report the close. */
     private final Set<Channel> closing = new HashSet<>();
 
-    private int open;
+    private int openConnections;
 
-    /** A limiter under which workers keep their connections. */
+    /** Creates a limiter under which sockets are never scarce, so that workers keep their connections. */
     public ConnectionLimiter(int maxConnections) {
         this(maxConnections, Double.POSITIVE_INFINITY);
     }
 
-    /** From the share {@code scarceFrom} of the sockets in use on, {@link #isScarce} asks workers to take turns. */
-    public ConnectionLimiter(int maxConnections, double scarceFrom) {
-        this.scarceFrom = scarceFrom;
-        this.limit = Math.max(1, maxConnections - Math.max(MIN_RESERVED, maxConnections / RESERVED_PART));
-        this.idleToWorkersLimit = Math.max(1, maxConnections / IDLE_TO_WORKERS_PART);
+    /**
+     * Creates a limiter.
+     *
+     * @param maxConnections    the most sockets that the process may use, including those reserved
+     * @param scarcityThreshold the share of the sockets in use, without the reserved ones, from which on {@link #isScarce} makes
+     *     workers take turns; infinite for never
+     */
+    public ConnectionLimiter(int maxConnections, double scarcityThreshold) {
+        this.scarcityThreshold = scarcityThreshold;
+        this.limit = Math.max(1, maxConnections - Math.max(MIN_RESERVED, maxConnections / RESERVED_DIVISOR));
+        this.idleToWorkersLimit = Math.max(1, maxConnections / IDLE_TO_WORKERS_DIVISOR);
     }
 
-    /** Counts one more connection; false, and not counted, when none can be closed to make room for it. */
+    /**
+     * Counts a new connection; if the limit is reached, closes an idle one for it. Returns false and counts nothing if no idle
+     * connection is left to close.
+     */
     boolean tryOpen() {
-        while (open >= limit && (closeLongestIdle(idleToWorkers) || closeLongestIdle(idleUsers))) {
-            open--;
+        while (openConnections >= limit && (closeLongestIdle(idleToWorkers) || closeLongestIdle(idleUsers))) {
+            openConnections--;
         }
-        if (open >= limit) {
+        if (openConnections >= limit) {
             return false;
         }
-        open++;
+        openConnections++;
         return true;
     }
 
-    /** A counted connection is closed; null when it never came about. */
+    /**
+     * Removes a connection from the count, unless this limiter closed it and has already done so.
+     *
+     * @param channel the closed connection; null if it was counted but never established
+     */
     void onClosed(Channel channel) {
         if (channel == null || !closing.remove(channel)) {
-            open--;
+            openConnections--;
         }
         if (channel != null) {
             markInUse(channel);
@@ -79,20 +95,20 @@
         return true;
     }
 
-    /** A user's connection has no request under way. */
+    /** Marks a user's connection as idle, that is, without a request in flight. */
     void markIdleUser(Channel user) {
         idleUsers.add(user);
     }
 
-    /** A connection to a worker has no request under way. */
+    /** Marks a connection to a worker as idle. Closes the longest idle one if there are too many. */
     void markIdleToWorker(Channel toWorker) {
         idleToWorkers.add(toWorker);
         if (idleToWorkers.size() > idleToWorkersLimit && closeLongestIdle(idleToWorkers)) {
-            open--;
+            openConnections--;
         }
     }
 
-    /** The connection is in use again, or closed. */
+    /** Marks a connection as no longer idle: it is in use again, or closed. */
     void markInUse(Channel channel) {
         if (!idleUsers.remove(channel)) {
             idleToWorkers.remove(channel);
@@ -100,16 +116,16 @@
     }
 
     /**
-     * Whether so many sockets are in use that workers are to give theirs back after each answer: there may be more workers
-     * than sockets, and one that finds none loses its lease, while one that connects anew for each heartbeat does not. Idle
-     * connections don't count, since a new one takes their place.
+     * Returns whether the sockets in use have reached the scarcity threshold, so that workers' connections must be closed after
+     * each answer. There may be more workers than sockets: a worker that gets no socket loses its lease, while a worker that
+     * reconnects for each heartbeat keeps it. Idle connections don't count as in use, since new connections replace them.
      */
     boolean isScarce() {
-        return open - idleUsers.size() - idleToWorkers.size() >= scarceFrom * limit;
+        return openConnections - idleUsers.size() - idleToWorkers.size() >= scarcityThreshold * limit;
     }
 
-    /** How many connections are counted. */
-    int open() {
-        return open;
+    /** Returns the number of open connections, without those that this limiter has closed. */
+    int openConnections() {
+        return openConnections;
     }
 }
--- a/src/main/java/garnetscale/net/HttpCall.java
+++ b/src/main/java/garnetscale/net/HttpCall.java
@@ -5,15 +5,15 @@
 import io.netty.util.concurrent.ScheduledFuture;
 import java.util.function.Consumer;
 
-/** One request of an {@link HttpClient} until its result is known. It calls back exactly once. */
+/** A request of an {@link HttpClient} whose result is pending. Invokes its callback exactly once; {@link #run} is its timeout. */
 final class HttpCall implements Runnable {
 
     private final String host;
     private final FullHttpRequest request;
     private final Consumer<HttpResult> callback;
-    /** Ends the call unless its result is known before; set before the request is written. */
+    /** The scheduled timeout, cancelled when the call ends. Set before the request is written. */
     private ScheduledFuture<?> timeout;
-    /** The connection that the request was written to, or null. */
+    /** The connection that the request was written to; null if it hasn't been written. */
     private Channel channel;
 
     private boolean ended;
@@ -49,7 +49,10 @@
         }
     }
 
-    /** The timeout: the connection is closed with it, since an answer that still came would be taken for the next one. */
+    /**
+     * Ends the call because it timed out, and closes its connection: a late answer would otherwise be taken for the answer to the
+     * next request.
+     */
     @Override
     public void run() {
         if (channel != null) {
--- a/src/main/java/garnetscale/net/HttpClient.java
+++ b/src/main/java/garnetscale/net/HttpClient.java
@@ -25,62 +25,79 @@
 import java.util.function.Consumer;
 
 /**
- * Sends requests over persistent connections, one request on a connection at a time. Lives on one event loop, like all
- * its callers. Every call ends by its timeout at the latest and calls back exactly once.
+ * An HTTP client with persistent connections, each of which carries one request at a time. Every call ends by its timeout at the
+ * latest and invokes its callback exactly once. Confined to one event loop, like all its callers.
  */
 public final class HttpClient {
 
-    /** The part of the heap that one answer may take: decoded it is several times as large, beside what it replaces. */
-    private static final int MAX_BODY_PART_OF_HEAP = 20;
-    /** What an answer may take on any heap: twice the largest page of a listing. */
-    private static final int MIN_MAX_BODY = 1 << 20;
+    /**
+     * The body of an answer may be as large as the heap divided by this. Decoded, it takes several times its size, in addition to
+     * the data that it replaces.
+     */
+    private static final int HEAP_TO_BODY_RATIO = 20;
+    /** The size limit of an answer's body on small heaps: twice the largest page of a listing. */
+    private static final int MIN_BODY_LIMIT_BYTES = 1 << 20;
 
     private final EventLoopGroup loop;
     private final int maxIdlePerHost;
-    /** Counts the connections, or null where sockets are reserved for them. */
+    /** Counts the connections; null if they use reserved sockets, which aren't counted. */
     private final ConnectionLimiter limiter;
 
     private final long connectTimeoutMs;
-    /** Answers to watches have no size limit in the protocol; beyond this one the keys are listed anew, in pages. */
-    private final int maxBody;
+    /**
+     * The size limit of an answer's body. The protocol sets none for answers to watches; after an answer above this limit, the
+     * keys are listed again, in pages.
+     */
+    private final int maxBodyBytes;
 
     private final Map<String, Deque<Channel>> idle = new HashMap<>();
 
-    /** A client to few hosts, whose connections aren't counted. */
+    /** Creates a client for a few hosts, whose connections use reserved sockets and aren't counted. */
     public HttpClient(EventLoopGroup loop, int maxIdlePerHost, long connectTimeoutMs) {
         this(loop, maxIdlePerHost, null, connectTimeoutMs);
     }
 
-    /** A client to many hosts: its connections are counted, and idle ones are closed for others. */
+    /** Creates a client for many hosts. The limiter counts its connections, and closes idle ones to make room for others. */
     public HttpClient(EventLoopGroup loop, int maxIdlePerHost, ConnectionLimiter limiter, long connectTimeoutMs) {
         this(
                 loop,
                 maxIdlePerHost,
                 limiter,
                 connectTimeoutMs,
-                maxBody(Runtime.getRuntime().maxMemory()));
+                maxBodyBytes(Runtime.getRuntime().maxMemory()));
     }
 
-    HttpClient(EventLoopGroup loop, int maxIdlePerHost, ConnectionLimiter limiter, long connectTimeoutMs, int maxBody) {
+    HttpClient(
+            EventLoopGroup loop,
+            int maxIdlePerHost,
+            ConnectionLimiter limiter,
+            long connectTimeoutMs,
+            int maxBodyBytes) {
         this.loop = loop;
         this.limiter = limiter;
         this.maxIdlePerHost = maxIdlePerHost;
         this.connectTimeoutMs = connectTimeoutMs;
-        this.maxBody = maxBody;
+        this.maxBodyBytes = maxBodyBytes;
     }
 
-    /** The longest answer in bytes that is taken on a heap of that size. */
-    static int maxBody(long heapBytes) {
-        return (int) Math.min(Integer.MAX_VALUE / 2, Math.max(MIN_MAX_BODY, heapBytes / MAX_BODY_PART_OF_HEAP));
+    /** Returns the size limit of an answer's body, in bytes, for a heap of the given size. */
+    static int maxBodyBytes(long heapBytes) {
+        return (int) Math.min(Integer.MAX_VALUE / 2, Math.max(MIN_BODY_LIMIT_BYTES, heapBytes / HEAP_TO_BODY_RATIO));
     }
 
-    /** An address such as {@code 10.0.0.1:8080}; numbers need no name look-up. */
+    /** Parses an address such as {@code 10.0.0.1:8080}. A numeric host needs no name look-up. */
     public static InetSocketAddress address(String hostPort) {
         int colon = hostPort.lastIndexOf(':');
         return new InetSocketAddress(hostPort.substring(0, colon), Integer.parseInt(hostPort.substring(colon + 1)));
     }
 
-    /** Sends a request; {@code body} may be null. The callback runs on the event loop. */
+    /**
+     * Sends a request over an idle connection to the host, or over a new one. The callback runs on the event loop, before this
+     * method returns if the limiter allows no new connection.
+     *
+     * @param host the server's address, such as {@code 10.0.0.1:8080}
+     * @param body CBOR, or null for none
+     */
     public void call(
             String host, HttpMethod method, String path, byte[] body, long timeoutMs, Consumer<HttpResult> callback) {
         HttpCall call = new HttpCall(host, request(host, method, path, body), callback);
@@ -123,7 +140,7 @@
                     @Override
                     protected void initChannel(SocketChannel channel) {
                         channel.pipeline()
-                                .addLast(new HttpClientCodec(), new HttpClientHandler(HttpClient.this, maxBody));
+                                .addLast(new HttpClientCodec(), new HttpClientHandler(HttpClient.this, maxBodyBytes));
                     }
                 });
         startTimeout(call, timeoutMs);
@@ -170,7 +187,7 @@
         return null;
     }
 
-    /** Keeps a connection for the next call to the host, or closes it when there are enough. */
+    /** Keeps a connection for the next call to the host, or closes it if enough idle ones are kept for that host. */
     void keepIdle(String host, Channel channel) {
         Deque<Channel> channels = idle.computeIfAbsent(host, key -> new ArrayDeque<>());
         if (channels.size() >= maxIdlePerHost) {
@@ -183,8 +200,8 @@
         }
     }
 
-    /** The connection is closed. */
-    void forgetIdle(String host, Channel channel) {
+    /** Removes a closed connection from the idle ones. */
+    void removeIdle(String host, Channel channel) {
         Deque<Channel> channels = idle.get(host);
         if (channels != null && channels.remove(channel) && channels.isEmpty()) {
             idle.remove(host);
--- a/src/main/java/garnetscale/net/HttpClientHandler.java
+++ b/src/main/java/garnetscale/net/HttpClientHandler.java
@@ -13,26 +13,28 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Collects one response at a time on a connection of an {@link HttpClient}, and ends the call that it answers. */
+/** Reads the answers on one connection of an {@link HttpClient}, one at a time, and ends the call that each belongs to. */
 final class HttpClientHandler extends ChannelInboundHandlerAdapter {
 
     private static final Logger LOG = LoggerFactory.getLogger(HttpClientHandler.class);
 
     private final HttpClient client;
-    private final int maxBody;
+    private final int maxBodyBytes;
     private final BodyCollector body;
+    /** The call that waits for its answer, or null. */
     private HttpCall call;
+
     private String host;
-    /** The response that is arriving, or null. */
+    /** The head of the answer that is being received, or null. */
     private HttpResponse head;
 
-    HttpClientHandler(HttpClient client, int maxBody) {
+    HttpClientHandler(HttpClient client, int maxBodyBytes) {
         this.client = client;
-        this.maxBody = maxBody;
-        this.body = new BodyCollector(maxBody);
+        this.maxBodyBytes = maxBodyBytes;
+        this.body = new BodyCollector(maxBodyBytes);
     }
 
-    /** The next response on this connection answers the call. */
+    /** Makes the next answer on this connection end the call. */
     void expect(HttpCall next) {
         call = next;
         host = next.host();
@@ -53,7 +55,7 @@
             return;
         }
         if (message instanceof HttpResponse response) {
-            // What precedes the answer, such as 100, is skipped.
+            // Skips informational responses, such as 100 Continue, which precede the answer.
             head = response.status().codeClass() == HttpStatusClass.INFORMATIONAL ? null : response;
         }
         if (message instanceof HttpContent content && head != null) {
@@ -66,7 +68,7 @@
     }
 
     private void onTooLong(ChannelHandlerContext ctx) {
-        LOG.info("answer too long, connection closed, host={} max_bytes={}", host, maxBody);
+        LOG.info("answer too long, connection closed, host={} max_bytes={}", host, maxBodyBytes);
         HttpCall tooLong = call;
         call = null;
         head = null;
@@ -82,7 +84,7 @@
         HttpResponse response = head;
         call = null;
         head = null;
-        byte[] whole = body.take();
+        byte[] answerBody = body.take();
         if (answered == null) {
             ctx.close();
             return;
@@ -92,7 +94,7 @@
         } else {
             ctx.close();
         }
-        answered.end(HttpResult.answered(response.status().code(), whole));
+        answered.end(HttpResult.answered(response.status().code(), answerBody));
     }
 
     @Override
@@ -100,7 +102,7 @@
         HttpCall lost = call;
         call = null;
         if (host != null) {
-            client.forgetIdle(host, ctx.channel());
+            client.removeIdle(host, ctx.channel());
         }
         if (lost != null) {
             lost.end(HttpResult.NO_ANSWER);
--- a/src/main/java/garnetscale/net/HttpResult.java
+++ b/src/main/java/garnetscale/net/HttpResult.java
@@ -1,23 +1,23 @@
 package garnetscale.net;
 
 /**
- * How a request ended. Without an answer the difference that matters is whether the request can have been carried out: one that
- * was never written can't, one that was written and not answered may be, even later.
+ * The result of a request. If no answer was received, what matters is whether the request may be carried out: a request that was
+ * never written can't be; one that was written and not answered may be, even after this result.
  *
- * @param status the HTTP status code, or 0 without an answer
- * @param body   of the answer, or empty
+ * @param status the HTTP status code; 0 unless the outcome is {@code ANSWERED}
+ * @param body   the body of the answer; empty unless the outcome is {@code ANSWERED}
  */
 public record HttpResult(Outcome outcome, int status, byte[] body) {
 
-    /** Whether a request was answered, and if not, whether it can have been carried out. */
+    /** Whether a request was answered, and if not, whether it may be carried out. */
     public enum Outcome {
-        /** An answer came; its status says more. */
+        /** An answer was received, with any status. */
         ANSWERED,
-        /** Nothing was written: it wasn't carried out. */
+        /** The request wasn't written, so it isn't carried out. */
         NOT_SENT,
-        /** It was written, and no answer came in time: it may be carried out. */
+        /** The request was written and no answer was received in time: it may be carried out. */
         NO_ANSWER,
-        /** The answer was longer than the caller takes. */
+        /** The request was answered, but the answer exceeded the client's size limit and was dropped. */
         TOO_LONG
     }
 
@@ -29,20 +29,20 @@
     /** The result of a request that wasn't answered. */
     public static final HttpResult NO_ANSWER = new HttpResult(Outcome.NO_ANSWER, 0, EMPTY);
 
-    /** The result of a request whose answer was longer than the caller takes. */
+    /** The result of a request whose answer exceeded the client's size limit. */
     public static final HttpResult TOO_LONG = new HttpResult(Outcome.TOO_LONG, 0, EMPTY);
 
-    /** The result of a request that was answered. */
+    /** Creates the result of a request that was answered. */
     public static HttpResult answered(int status, byte[] body) {
         return new HttpResult(Outcome.ANSWERED, status, body);
     }
 
-    /** Whether an answer with this status came. */
-    public boolean is(int wanted) {
-        return outcome == Outcome.ANSWERED && status == wanted;
+    /** Returns whether an answer with this status was received. */
+    public boolean is(int expected) {
+        return outcome == Outcome.ANSWERED && status == expected;
     }
 
-    /** Whether the request may have been carried out without anybody here knowing it. */
+    /** Returns whether the request may be carried out, now or later, without an answer that confirms it. */
     public boolean mayHaveBeenApplied() {
         return outcome == Outcome.NO_ANSWER
                 || outcome == Outcome.TOO_LONG
--- a/src/main/java/garnetscale/net/HttpServer.java
+++ b/src/main/java/garnetscale/net/HttpServer.java
@@ -15,25 +15,25 @@
 import java.util.function.Consumer;
 
 /**
- * Serves users, workers and health checks on one port. Connections start out as users' and become workers' with
- * their first heartbeat; {@link ConnectionLimiter} sees to it that however many users come, workers, state service and peers
- * find one. Lives on one event loop.
+ * An HTTP server for users, workers and health checks on one port. A connection counts as a user's until its first worker
+ * heartbeat, and as a worker's from then on. {@link ConnectionLimiter} ensures that workers, the state service and peers get a
+ * connection however many users connect. Confined to one event loop.
  *
- * <p>The pipeline is Netty's codec and one handler of ours. An aggregator, an idle handler and a timer for each
- * connection would do the same at the price of three more handlers for every read and a timer for every connection.
+ * <p>The pipeline consists of Netty's codec and one handler. An aggregator, an idle handler and a timer for each connection would
+ * do the same at the cost of three more handlers for every read and a timer for every connection.
  */
 public final class HttpServer {
 
-    /** The path of workers' heartbeats; a connection that has brought one is a worker's. */
+    /** The path of worker heartbeats. A request for it marks its connection as a worker's. */
     public static final String WORKER_HEARTBEAT_PATH = "/hello";
 
-    /** Serves requests. */
+    /** Handles requests. */
     public interface Handler {
-        /** Answers a request by calling back once, at once or later, on the event loop. */
+        /** Answers a request by calling {@code answer} once on the event loop, immediately or later. */
         void handle(String method, String path, byte[] body, Consumer<Reply> answer);
     }
 
-    /** How often connections are checked for being idle or slow. */
+    /** The interval between two checks for idle or slow connections. */
     private static final long SWEEP_INTERVAL_NANOS = 1_000_000_000L;
 
     private final EventLoopGroup loop;
@@ -43,7 +43,11 @@
     private final Set<HttpServerConnection> connections = new LinkedHashSet<>();
     private long sweptAt;
 
-    /** Up to {@code backlog} connections wait to be accepted: all workers may come at once. */
+    /**
+     * Creates a server.
+     *
+     * @param backlog the most connections that may wait to be accepted; all workers may connect at the same time
+     */
     public HttpServer(EventLoopGroup loop, ConnectionLimiter limiter, int backlog, Handler handler) {
         this.loop = loop;
         this.handler = handler;
@@ -51,7 +55,7 @@
         this.backlog = backlog;
     }
 
-    /** Starts to listen; the future fails when the address is in use. */
+    /** Starts to listen. The future fails if the address is in use. */
     public ChannelFuture listen(String hostPort) {
         sweptAt = System.nanoTime();
         loop.next()
@@ -73,10 +77,10 @@
                 .bind(HttpClient.address(hostPort));
     }
 
-    /** Closes the connections that are idle or bring a request too slowly. */
+    /** Closes the connections that have been idle for too long or deliver a request too slowly. */
     private void sweep() {
         long now = System.nanoTime();
-        // After a standstill of the process, what came meanwhile is still to be read.
+        // After a stall of this process, data that arrived meanwhile is still to be read.
         boolean late = now - sweptAt > 2 * SWEEP_INTERVAL_NANOS;
         sweptAt = now;
         if (late) {
--- a/src/main/java/garnetscale/net/HttpServerConnection.java
+++ b/src/main/java/garnetscale/net/HttpServerConnection.java
@@ -22,20 +22,20 @@
 import java.util.Deque;
 import java.util.Set;
 
-/** One connection to an {@link HttpServer}: collects its requests and has them answered one at a time, in order. */
+/** A connection to an {@link HttpServer}: reads its requests, and passes them to the handler one at a time, in order. */
 final class HttpServerConnection extends ChannelInboundHandlerAdapter {
 
-    private static final int MAX_BODY = 64 * 1024;
-    /** Requests that may wait on a connection behind one that is not answered yet. */
+    private static final int MAX_BODY_BYTES = 64 * 1024;
+    /** The most requests that may wait on a connection behind one that isn't answered yet. */
     private static final int MAX_PIPELINED = 4;
 
     private static final long NANOS_PER_S = 1_000_000_000L;
-    /** A connection that hasn't brought a whole request for so long is closed. */
+    /** A connection is closed if no complete request arrives on it for this long. */
     private static final long IDLE_TIMEOUT_NANOS = 30 * NANOS_PER_S;
-    /** A request that takes longer than this to arrive is dropped with its connection, however steadily its bytes come. */
+    /** A connection is closed if a request takes longer than this to arrive, even if its bytes arrive steadily. */
     private static final long ARRIVAL_TIMEOUT_NANOS = 10 * NANOS_PER_S;
 
-    /** A whole request that waits for its turn. */
+    /** A request that has been received completely. */
     private record Request(String method, String path, boolean keepAlive, byte[] body) {}
 
     private final HttpServer.Handler handler;
@@ -43,23 +43,25 @@
     /** The open connections of the server. */
     private final Set<HttpServerConnection> connections;
 
-    private final BodyCollector body = new BodyCollector(MAX_BODY);
+    private final BodyCollector body = new BodyCollector(MAX_BODY_BYTES);
+    /** Complete requests that wait for the one being served. */
     private final Deque<Request> pipelined = new ArrayDeque<>();
+
     private ChannelHandlerContext context;
-    /** The request that is arriving, or null. */
+    /** The head of the request that is being received, or null. */
     private HttpRequest head;
 
-    /** Whether it has brought a worker's heartbeat. */
+    /** Whether a worker heartbeat has arrived on this connection. */
     private boolean fromWorker;
-    /** Whether the limiter counts it. */
+    /** Whether the limiter counts this connection. */
     private boolean counted;
     /** Whether a request is being served. */
     private boolean serving;
-    /** Set once the connection is to be closed after an answer: what still comes is dropped. */
+    /** Whether the connection will be closed after an answer; data that still arrives is dropped. */
     private boolean closing;
-    /** When the connection began to wait for a request. */
+    /** The nano time at which the connection began to wait for a request. */
     private long waitingSince;
-    /** When the first bytes of a request came that isn't whole yet, or 0. */
+    /** The nano time at which an incomplete request began to arrive; 0 if there is none. */
     private long arrivingSince;
 
     private boolean servedInThisRead;
@@ -93,7 +95,7 @@
         pipelined.clear();
     }
 
-    /** Closes the connection if it has been idle, or has brought a request too slowly; {@code now} is of the nano time. */
+    /** Closes the connection if it has been idle for too long or a request is arriving too slowly; {@code now} is a nano time. */
     void closeIfStale(long now) {
         boolean idle = !serving && now - waitingSince > IDLE_TIMEOUT_NANOS;
         boolean slow = arrivingSince != 0 && now - arrivingSince > ARRIVAL_TIMEOUT_NANOS;
@@ -135,7 +137,7 @@
     }
 
     private void onHead(ChannelHandlerContext ctx, HttpRequest request) {
-        if (HttpUtil.isContentLengthSet(request) && HttpUtil.getContentLength(request, 0L) > MAX_BODY) {
+        if (HttpUtil.isContentLengthSet(request) && HttpUtil.getContentLength(request, 0L) > MAX_BODY_BYTES) {
             reject(ctx, bodyTooLong());
         } else if (HttpUtil.is100ContinueExpected(request)) {
             ctx.writeAndFlush(new DefaultFullHttpResponse(
@@ -158,14 +160,15 @@
 
     @Override
     public void channelReadComplete(ChannelHandlerContext ctx) {
-        // Bytes came, and no request is whole since: it may be that not even its head is.
+        // The read delivered part of a request: at least its head, or, if no request was served, perhaps not even all
+        // of that.
         if (!serving && arrivingSince == 0 && (head != null || !servedInThisRead)) {
             arrivingSince = System.nanoTime();
         }
         servedInThisRead = false;
     }
 
-    /** A body that is too long is malformed by PROTOCOL: 400, and not to be repeated. */
+    /** Returns 400: PROTOCOL counts a body that is too long as malformed, and such a request must not be repeated. */
     private static Reply bodyTooLong() {
         return Reply.of(HttpStatus.BAD_REQUEST, UserCodec.error("body over 64 KiB"));
     }
--- a/src/main/java/garnetscale/net/HttpStatus.java
+++ b/src/main/java/garnetscale/net/HttpStatus.java
@@ -5,20 +5,20 @@
 
     public static final int OK = 200;
     public static final int CREATED = 201;
-    /** Malformed, and not to be repeated. */
+    /** The request is malformed and must not be repeated. */
     public static final int BAD_REQUEST = 400;
 
     public static final int NOT_FOUND = 404;
     public static final int METHOD_NOT_ALLOWED = 405;
-    /** To a controller: a compared revision differs. By a worker: a newer fencing token was seen. */
+    /** From the state service: a guarded key has another revision. From a worker: it has seen a newer fencing token. */
     public static final int CONFLICT = 409;
     /** Another controller owns the worker's partition. */
     public static final int MISDIRECTED = 421;
-    /** Well-formed, and can't ever be carried out. */
+    /** The request is well-formed, but can never be carried out. */
     public static final int UNPROCESSABLE = 422;
-    /** The first of the codes that tell of a fault of the server. */
+    /** The lowest of the codes for server errors. */
     public static final int SERVER_ERROR = 500;
-    /** Not carried out; to be repeated. */
+    /** The request wasn't carried out and should be repeated. */
     public static final int UNAVAILABLE = 503;
 
     private HttpStatus() {}
--- a/src/main/java/garnetscale/net/PeerLinks.java
+++ b/src/main/java/garnetscale/net/PeerLinks.java
@@ -32,61 +32,66 @@
 import java.util.function.Consumer;
 
 /**
- * One connection to each other controller, for what this one sends; what the others send comes by theirs. A message on a
- * broken link is lost: whoever needs it sends it again. Lives on one event loop.
+ * Sends messages to the other controllers, the peers, and receives theirs. Each controller opens a connection to every peer and
+ * sends over it; peers send over the connections that they open. A message on a broken link is lost; if it is needed, the sender
+ * must send it again. Also serves operators' requests, which arrive on the same port. Confined to one event loop.
  */
 public final class PeerLinks {
 
-    /** Answers operators. */
-    public interface Inspector {
-        /** Answers a request by calling back once, on the event loop. */
+    /** Handles the requests of operators. */
+    public interface OperatorRequestHandler {
+        /** Answers a request by calling {@code answer} once on the event loop. */
         void answer(PeerMessage.OperatorRequest request, Consumer<PeerMessage.OperatorResponse> answer);
     }
 
-    /** Each message follows its length in so many bytes. */
+    /** The size of the length field before each message. */
     private static final int LENGTH_BYTES = 4;
 
     private static final int MAX_FRAME_BYTES = 4 << 20;
-    /** Bytes that may wait for a slow peer before its link is closed. */
+    /** The link to a slow peer is closed once more than this many bytes wait to be written. */
     private static final int MAX_PENDING_BYTES = 1 << 20;
-    /** A connection that nothing comes by for so long is closed; heartbeats come every second. */
+    /** An accepted connection is closed if nothing arrives on it for this long; peers send a heartbeat every second. */
     private static final int READ_TIMEOUT_S = 20;
 
     private static final int MAX_WRITES_PER_FLUSH = 256;
     private static final int CONNECT_TIMEOUT_MS = 1000;
-    /** The pause before a link that broke is connected again. */
+    /** The delay before the first attempt to reconnect a broken link. */
     private static final long RECONNECT_DELAY_MS = 30;
-    /** The pause after an attempt to connect that failed. */
+    /** The delay after a failed attempt to connect. */
     private static final long RETRY_DELAY_MS = 700;
 
     private final EventLoopGroup loop;
     private final PeerCodec codec = new PeerCodec();
     private final Map<String, Channel> links = new HashMap<>();
     private final Consumer<PeerMessage> receiver;
-    private final Inspector inspector;
+    private final OperatorRequestHandler operatorRequests;
     private final Consumer<String> onLinkUp;
     private final Consumer<String> onLinkRefused;
 
     /**
-     * Calls {@code onLinkUp} with a controller's name whenever a link to it is new, and {@code onLinkRefused} when a link broke
-     * and the controller refuses the next at once, as it does while its process is down (and at times otherwise).
+     * Creates the links; {@link #listen} and {@link #connect} open connections.
+     *
+     * @param receiver      receives the messages of peers
+     * @param onLinkUp      receives a peer's name each time a link to it is established
+     * @param onLinkRefused receives a peer's name when its link broke and the attempt to reconnect is refused at once. This is
+     *     what happens while the peer's process is down, but occasionally there are other causes.
      */
     public PeerLinks(
             EventLoopGroup loop,
             Consumer<PeerMessage> receiver,
-            Inspector inspector,
+            OperatorRequestHandler operatorRequests,
             Consumer<String> onLinkUp,
             Consumer<String> onLinkRefused) {
         this.loop = loop;
-        this.inspector = inspector;
+        this.operatorRequests = operatorRequests;
         this.receiver = receiver;
         this.onLinkUp = onLinkUp;
         this.onLinkRefused = onLinkRefused;
     }
 
-    // ---- what the others send
+    // ---- incoming connections
 
-    /** Starts to listen; the future fails when the address is in use. */
+    /** Starts to listen. The future fails if the address is in use. */
     public ChannelFuture listen(String hostPort) {
         return new ServerBootstrap()
                 .group(loop)
@@ -113,7 +118,8 @@
         protected void channelRead0(ChannelHandlerContext ctx, ByteBuf frame) throws IOException {
             PeerMessage message = codec.decode(ByteBufUtil.getBytes(frame));
             if (message instanceof PeerMessage.OperatorRequest request) {
-                inspector.answer(request, answer -> ctx.writeAndFlush(Unpooled.wrappedBuffer(codec.encode(answer))));
+                operatorRequests.answer(
+                        request, answer -> ctx.writeAndFlush(Unpooled.wrappedBuffer(codec.encode(answer))));
             } else {
                 receiver.accept(message);
             }
@@ -125,15 +131,20 @@
         }
     }
 
-    // ---- what this one sends
+    // ---- outgoing connections
 
-    /** Keeps a link to the controller up, for as long as the process lives. */
-    public void connect(String controller, String hostPort) {
-        connect(controller, hostPort, false);
+    /** Connects to a peer, and reconnects whenever the link breaks, for as long as the process runs. */
+    public void connect(String peer, String hostPort) {
+        connect(peer, hostPort, false);
     }
 
-    /** {@code afterBreak} is true for the first attempt after a link broke: a refusal then says most. */
-    private void connect(String controller, String hostPort, boolean afterBreak) {
+    /**
+     * Starts one attempt to connect.
+     *
+     * @param afterBreak whether this is the first attempt since the link broke, when a refusal is the strongest sign that the
+     *     peer's process is down
+     */
+    private void connect(String peer, String hostPort, boolean afterBreak) {
         new Bootstrap()
                 .group(loop)
                 .channelFactory(NioSocketChannel::new)
@@ -142,7 +153,7 @@
                 .handler(new ChannelInitializer<SocketChannel>() {
                     @Override
                     protected void initChannel(SocketChannel channel) {
-                        // What one cycle sends goes out with one write: each costs a system call.
+                        // Combines the messages of one cycle into one write, since each write costs a system call.
                         channel.pipeline()
                                 .addLast(
                                         new FlushConsolidationHandler(MAX_WRITES_PER_FLUSH, true),
@@ -151,8 +162,7 @@
                     }
                 })
                 .connect(HttpClient.address(hostPort))
-                .addListener(
-                        (ChannelFutureListener) attempt -> onConnectEnded(controller, hostPort, afterBreak, attempt));
+                .addListener((ChannelFutureListener) attempt -> onConnectEnded(peer, hostPort, afterBreak, attempt));
     }
 
     private static final class Outgoing extends ChannelInboundHandlerAdapter {
@@ -163,30 +173,33 @@
         }
     }
 
-    private void onConnectEnded(String controller, String hostPort, boolean afterBreak, ChannelFuture attempt) {
+    private void onConnectEnded(String peer, String hostPort, boolean afterBreak, ChannelFuture attempt) {
         if (!attempt.isSuccess()) {
             if (afterBreak && attempt.cause() instanceof ConnectException) {
-                onLinkRefused.accept(controller);
+                onLinkRefused.accept(peer);
             }
-            connectLater(controller, hostPort, RETRY_DELAY_MS, false);
+            connectLater(peer, hostPort, RETRY_DELAY_MS, false);
             return;
         }
         Channel link = attempt.channel();
-        links.put(controller, link);
+        links.put(peer, link);
         link.closeFuture().addListener(closed -> {
-            links.remove(controller, link);
-            connectLater(controller, hostPort, RECONNECT_DELAY_MS, true);
+            links.remove(peer, link);
+            connectLater(peer, hostPort, RECONNECT_DELAY_MS, true);
         });
-        onLinkUp.accept(controller);
+        onLinkUp.accept(peer);
     }
 
-    private void connectLater(String controller, String hostPort, long delayMs, boolean afterBreak) {
-        loop.next().schedule(() -> connect(controller, hostPort, afterBreak), delayMs, TimeUnit.MILLISECONDS);
+    private void connectLater(String peer, String hostPort, long delayMs, boolean afterBreak) {
+        loop.next().schedule(() -> connect(peer, hostPort, afterBreak), delayMs, TimeUnit.MILLISECONDS);
     }
 
-    /** Sends to a controller if its link is up; false if it isn't, and the message is lost. */
-    public boolean send(String controller, PeerMessage message) {
-        Channel link = links.get(controller);
+    /**
+     * Sends a message to a peer. Returns false, and the message is lost, if the link is down, or is closed now because too many
+     * bytes wait to be written.
+     */
+    public boolean send(String peer, PeerMessage message) {
+        Channel link = links.get(peer);
         if (link == null || !link.isActive()) {
             return false;
         }
@@ -199,10 +212,10 @@
         return true;
     }
 
-    /** Sends to every controller whose link is up. */
+    /** Sends a message to every peer whose link is up. */
     public void sendAll(PeerMessage message) {
-        for (String controller : links.keySet().toArray(new String[0])) {
-            send(controller, message);
+        for (String peer : links.keySet().toArray(new String[0])) {
+            send(peer, message);
         }
     }
 }
--- a/src/main/java/garnetscale/net/Reply.java
+++ b/src/main/java/garnetscale/net/Reply.java
@@ -1,7 +1,7 @@
 package garnetscale.net;
 
 /**
- * An answer to a request.
+ * An HTTP answer to a request.
  *
  * @param status      the HTTP status code
  * @param body        CBOR, or empty
@@ -11,12 +11,12 @@
 
     private static final byte[] EMPTY = new byte[0];
 
-    /** An answer with a body. */
+    /** Creates an answer with a body. */
     public static Reply of(int status, byte[] body) {
         return new Reply(status, body, 0);
     }
 
-    /** An answer without a body. */
+    /** Creates an answer without a body. */
     public static Reply of(int status) {
         return new Reply(status, EMPTY, 0);
     }
--- a/src/main/java/garnetscale/net/package-info.java
+++ b/src/main/java/garnetscale/net/package-info.java
@@ -1,6 +1,6 @@
 /**
- * HTTP and the links between controllers, on Netty: sockets, framing, timeouts and limits on them. It knows paths and messages
- * only as far as it must tell workers from users, decides nothing, and keeps no state of the cluster. Everything here lives on
- * the event loop that it is given, and is called on it alone.
+ * HTTP and the links between controllers, on Netty: sockets, framing, timeouts and connection limits. It knows paths and messages
+ * only as far as it needs them to distinguish workers from users. It makes no scheduling decisions and keeps no state of the
+ * cluster. All objects are confined to the event loop that they are given.
  */
 package garnetscale.net;
--- a/src/test/java/garnetscale/core/sim/SimulatedNode.java
+++ b/src/test/java/garnetscale/core/sim/SimulatedNode.java
@@ -154,7 +154,7 @@
         }
         Transaction transaction = pipeline.next(() -> leader.plan(cluster.now));
         if (transaction != null) {
-            pace.force(cluster.now, transaction.ops().size());
+            pace.takeUnconditionally(cluster.now, transaction.ops().size());
             stateLink.commit(transaction, (result, revision) -> {
                 pipeline.ended(result, revision);
                 pipeline.ready();
--- a/src/test/java/garnetscale/core/sim/SimulatedStateService.java
+++ b/src/test/java/garnetscale/core/sim/SimulatedStateService.java
@@ -71,7 +71,7 @@
     }
 
     private int commit(Transaction transaction) {
-        if (!writes.take(cluster.now, transaction.ops().size())) {
+        if (!writes.tryTake(cluster.now, transaction.ops().size())) {
             refusedWrites++;
             return TOO_MANY;
         }
--- a/src/test/java/garnetscale/net/ConnectionLimiterTest.java
+++ b/src/test/java/garnetscale/net/ConnectionLimiterTest.java
@@ -10,7 +10,10 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** One controller is the only one left: 1,600 workers come to it while users and its own commands have the limiter. */
+/**
+ * Checks the limiter when only one controller is left: 1,600 workers connect to it while users' connections and its own idle
+ * connections to workers have taken all sockets.
+ */
 class ConnectionLimiterTest {
 
     private static final int LIMIT = 2266;
@@ -37,57 +40,60 @@
     }
 
     @Test
-    void workersComeFirstAndWhatIsSetAsideStaysFree() {
+    void workersTakeTheSocketsOfIdleConnectionsAndReservedOnesStayFree() {
         List<Channel> idle = openIdle(600, false);
         List<Channel> users = openIdle(3000, true);
-        assertTrue(limiter.open() < LIMIT, "nothing set aside");
-        assertEquals(600, closed(idle), "connections at rest to workers go before users'");
+        assertTrue(limiter.openConnections() < LIMIT, "no socket is reserved");
+        assertEquals(600, closed(idle), "idle connections to workers are closed before those of users");
         for (int i = 0; i < WORKERS; i++) {
-            assertTrue(limiter.tryOpen(), "worker " + i + " found no socket");
+            assertTrue(limiter.tryOpen(), "worker " + i + " got no socket");
         }
-        assertTrue(limiter.open() <= LIMIT - LIMIT / 8, limiter.open() + " open");
+        assertTrue(limiter.openConnections() <= LIMIT - LIMIT / 8, limiter.openConnections() + " connections open");
         long left = users.stream().filter(Channel::isOpen).count();
-        assertTrue(left > 300, "only " + left + " users are left");
-        assertFalse(users.get(0).isOpen(), "the longest unused goes first");
+        assertTrue(left > 300, "only " + left + " users' connections are left");
+        assertFalse(users.get(0).isOpen(), "the longest idle connection is closed first");
         assertTrue(users.get(users.size() - 1).isOpen());
     }
 
-    /** Netty tells of a closed connection's end later; counted twice, it would let in more than there is room for. */
+    /**
+     * Netty reports the close of a connection later than the limiter closes it. If that were subtracted twice, more connections
+     * would be accepted than the limit allows.
+     */
     @Test
-    void whatWasShedLeavesTheCountOnce() {
+    void aConnectionClosedByTheLimiterIsSubtractedOnce() {
         List<Channel> users = openIdle(3000, true);
-        int open = limiter.open();
+        int open = limiter.openConnections();
         users.stream().filter(channel -> !channel.isOpen()).forEach(limiter::onClosed);
-        assertEquals(open, limiter.open());
+        assertEquals(open, limiter.openConnections());
         users.stream().filter(Channel::isOpen).forEach(limiter::onClosed);
-        assertEquals(0, limiter.open());
+        assertEquals(0, limiter.openConnections());
     }
 
-    /** What is at rest doesn't make sockets scarce, since a new connection takes its place. */
+    /** Idle connections don't make sockets scarce, since new connections replace them. */
     @Test
-    void socketsAreScarceByWhatIsInUse() {
-        ConnectionLimiter shared = new ConnectionLimiter(LIMIT, 0.5);
+    void onlyConnectionsInUseMakeSocketsScarce() {
+        ConnectionLimiter withThreshold = new ConnectionLimiter(LIMIT, 0.5);
         int usable = LIMIT - LIMIT / 8;
         for (int i = 0; i < usable; i++) {
-            assertTrue(shared.tryOpen());
-            shared.markIdleUser(new EmbeddedChannel());
+            assertTrue(withThreshold.tryOpen());
+            withThreshold.markIdleUser(new EmbeddedChannel());
         }
-        assertFalse(shared.isScarce(), "users at rest make room");
+        assertFalse(withThreshold.isScarce(), "idle users' connections can be replaced");
         for (int i = 0; i < usable; i++) {
-            assertEquals(i >= (usable + 1) / 2, shared.isScarce(), i + " workers of " + usable);
-            assertTrue(shared.tryOpen());
+            assertEquals(i >= (usable + 1) / 2, withThreshold.isScarce(), i + " workers of " + usable);
+            assertTrue(withThreshold.tryOpen());
         }
-        assertFalse(limiter.isScarce(), "workers keep their sockets unless they are to share");
+        assertFalse(limiter.isScarce(), "without a threshold, workers keep their sockets");
     }
 
     @Test
-    void aNewOneIsTurnedAwayWhenAllAreInUse() {
+    void aNewConnectionIsRefusedWhenAllAreInUse() {
         while (limiter.tryOpen()) {
-            // Workers' connections, none at rest.
+            // Workers' connections, none of them idle.
         }
-        int open = limiter.open();
+        int open = limiter.openConnections();
         assertFalse(limiter.tryOpen());
-        assertEquals(open, limiter.open());
+        assertEquals(open, limiter.openConnections());
         limiter.onClosed(null);
         assertTrue(limiter.tryOpen());
     }
--- a/src/test/java/garnetscale/net/HttpServerTest.java
+++ b/src/test/java/garnetscale/net/HttpServerTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** The server against sockets that behave as sockets do. */
+/** Tests the server with TCP connections on loopback, over which requests arrive in parts and several at once. */
 class HttpServerTest {
 
     private EventLoopGroup loop;
@@ -32,7 +32,7 @@
         port = listen(new ConnectionLimiter(12));
     }
 
-    /** Serves what echoes every body, and returns its port. */
+    /** Starts a server that echoes every body, and returns its port. */
     private int listen(ConnectionLimiter limiter) {
         ChannelFuture listening = new HttpServer(
                         loop, limiter, 16, (method, path, body, answer) -> answer.accept(new Reply(200, body, 2)))
@@ -58,7 +58,7 @@
     }
 
     @Test
-    void aRequestMayComeByteByByte() throws IOException {
+    void aRequestMayArriveByteByByte() throws IOException {
         try (Socket socket = connect()) {
             OutputStream out = socket.getOutputStream();
             for (byte b : "POST /v2/runs HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\n\r\nabc"
@@ -80,9 +80,9 @@
         }
     }
 
-    /** A body may come in chunks, and several requests in one packet; answers keep the order and the bodies apart. */
+    /** A body may arrive in chunks, and several requests in one packet: each is answered in order, with its own body. */
     @Test
-    void chunksAndSeveralRequestsInOnePacketAreKeptApart() throws IOException {
+    void requestsInOnePacketAreAnsweredInOrder() throws IOException {
         try (Socket socket = connect()) {
             socket.getOutputStream()
                     .write(
@@ -114,7 +114,7 @@
     }
 
     @Test
-    void whoExpectsToContinueIsToldSo() throws IOException {
+    void expect100ContinueIsAnswered() throws IOException {
         try (Socket socket = connect()) {
             socket.getOutputStream()
                     .write(("POST /v2/runs HTTP/1.1\r\nHost: x\r\nExpect: 100-continue\r\nContent-Length: 3\r\n\r\n")
@@ -123,9 +123,9 @@
         }
     }
 
-    /** More users than there is room for push out those that rest; a worker's connection stays. */
+    /** Users above the limit replace idle connections of other users; a worker's connection stays open. */
     @Test
-    void excessUsersDoNotPushOutWorkers() throws IOException {
+    void excessUsersDoNotReplaceWorkers() throws IOException {
         byte[] hello =
                 "POST /hello HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
         List<Socket> users = new ArrayList<>();
@@ -145,9 +145,9 @@
         }
     }
 
-    /** There may be more workers than sockets: each is answered, and gives its socket to the next. */
+    /** There may be more workers than sockets: each is answered, and its connection closed to free the socket for the next. */
     @Test
-    void workersTakeTurnsWithSocketsThatAreScarce() throws IOException {
+    void workersTakeTurnsWhenSocketsAreScarce() throws IOException {
         int sharing = listen(new ConnectionLimiter(12, 0.5));
         List<Socket> open = new ArrayList<>();
         try {
