--- a/src/main/java/garnetscale/emulator/EmulatedCloud.java
+++ b/src/main/java/garnetscale/emulator/EmulatedCloud.java
@@ -10,7 +10,7 @@
 import java.util.Map;
 import java.util.function.Consumer;
 
-/** The cloud's requests by its published protocol: it lists the emulated workers and never has more capacity. */
+/** Emulates the cloud by its published protocol: lists the emulated workers as instances, and has no capacity for more. */
 final class EmulatedCloud {
 
     private static final double INSTANCE_AGE_S = 10;
@@ -18,7 +18,12 @@
     private final MachineType type;
     private final List<String> instances;
 
-    /** {@code instances} are the names of the machines, which may grow. */
+    /**
+     * Creates a cloud.
+     *
+     * @param type      the type of all instances
+     * @param instances the names of the instances; the list may grow
+     */
     EmulatedCloud(MachineType type, List<String> instances) {
         this.type = type;
         this.instances = instances;
@@ -27,9 +32,9 @@
     void handle(String method, String uri, byte[] body, Consumer<Reply> answer) {
         String path = new QueryStringDecoder(uri).path();
         if (path.equals("/flavors")) {
-            answer.accept(ok(Map.of("breeds", List.of(type()))));
+            answer.accept(ok(Map.of("breeds", List.of(typeRow()))));
         } else if (path.equals("/machines") && method.equals("GET")) {
-            answer.accept(ok(Map.of("hives", instances(), "has_next", false)));
+            answer.accept(ok(Map.of("hives", instanceRows(), "has_next", false)));
         } else if (path.equals("/machines")) {
             answer.accept(Reply.of(503, Cbor.write(Map.of("error", "no capacity"))));
         } else {
@@ -37,7 +42,7 @@
         }
     }
 
-    private Map<String, Object> type() {
+    private Map<String, Object> typeRow() {
         Map<String, Object> row = new LinkedHashMap<>();
         row.put("name", type.name());
         row.put("cpus", type.cpus());
@@ -52,7 +57,7 @@
         return row;
     }
 
-    private List<Object> instances() {
+    private List<Object> instanceRows() {
         List<Object> rows = new ArrayList<>();
         for (String instance : instances) {
             Map<String, Object> row = new LinkedHashMap<>();
--- a/src/main/java/garnetscale/emulator/EmulatedServices.java
+++ b/src/main/java/garnetscale/emulator/EmulatedServices.java
@@ -18,43 +18,47 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A state service, a cloud and a few workers on loopback, by their published protocols: for trying the service out, for its
- * tests, and for the class archive that the build makes. They keep everything in memory and know no limits or failures; the machines
- * that they show are made up.
+ * Emulates a state service, a cloud and a few workers on loopback, by their published protocols: for trying the scheduler out,
+ * for its tests, and for the class archive that the build makes. Everything is kept in memory, without limits or failures. The
+ * machines are fictitious.
  */
 public final class EmulatedServices {
 
     private static final int MAX_CONNECTIONS = 1000;
     private static final int CONNECT_TIMEOUT_MS = 500;
     private static final long KEPT_REVISIONS = 10_000;
-    private static final long LEASE_CHECK_MS = 50;
+    private static final long LEASE_CHECK_INTERVAL_MS = 50;
     private static final String ZONE = "a";
     private static final String ANY_PORT = "127.0.0.1:0";
     private static final MachineType TYPE = new MachineType("small-4", 4, 0, 16, 20, 10, 0.4, 0.1, 5, List.of(ZONE));
 
-    private static final WorkerModel.Watcher NO_WATCHER = new WorkerModel.Watcher() {
+    private static final WorkerModel.TaskListener NO_LISTENER = new WorkerModel.TaskListener() {
         @Override
-        public void began(String machine, TaskId task, long attempt) {
-            // Nothing to watch here: the tests that check the rules bring their own.
+        public void onStarted(String machine, TaskId task, long attempt) {
+            // Does nothing: the tests that check the protocol's rules have listeners of their own.
         }
 
         @Override
-        public void ended(String machine, TaskId task, long attempt, boolean completed) {
-            // As above.
+        public void onEnded(String machine, TaskId task, long attempt, boolean completed) {
+            // Does nothing, as above.
         }
     };
 
     private final EventLoopGroup loop;
     private final StateModel state = new StateModel();
     private final StateService service = new StateService(state, EmulatedServices::now, KEPT_REVISIONS);
-    /** Grows on the caller's thread, read on the event loop. */
+    /** The names of the started workers. The caller's thread adds to the list; the event loop reads it. */
     private final List<String> workers = new CopyOnWriteArrayList<>();
 
     private final Map<String, String> controllers;
     private final HttpClient http;
     private final long heartbeatIntervalMs;
 
-    /** Creates services for the controllers that the workers report to, by name and address. */
+    /**
+     * Creates the services; none is started yet.
+     *
+     * @param controllers the addresses of the controllers, to which the workers send heartbeats, by name
+     */
     public EmulatedServices(EventLoopGroup loop, Map<String, String> controllers, long heartbeatIntervalMs) {
         this.loop = loop;
         this.controllers = Map.copyOf(controllers);
@@ -67,23 +71,25 @@
     }
 
     /**
-     * Starts to serve the state service; a port of 0 takes a free one.
+     * Starts the state service. Port 0 selects a free port.
      *
      * @return the address that it listens on
      * @throws IOException if the address is in use
      */
     public String startState(String hostPort) throws IOException {
-        loop.next().scheduleAtFixedRate(this::expireLeases, LEASE_CHECK_MS, LEASE_CHECK_MS, TimeUnit.MILLISECONDS);
+        loop.next()
+                .scheduleAtFixedRate(
+                        this::expireLeases, LEASE_CHECK_INTERVAL_MS, LEASE_CHECK_INTERVAL_MS, TimeUnit.MILLISECONDS);
         return listen(hostPort, service::handle);
     }
 
     private void expireLeases() {
-        state.expire(now());
-        service.wake();
+        state.expireLeases(now());
+        service.answerWatches();
     }
 
     /**
-     * Starts to serve the cloud.
+     * Starts the cloud. Port 0 selects a free port.
      *
      * @return the address that it listens on
      * @throws IOException if the address is in use
@@ -93,14 +99,16 @@
     }
 
     /**
-     * Starts one worker, a machine of its own.
+     * Starts a worker on a machine of its own.
      *
-     * @throws IOException if it finds no port to listen on
+     * @param id      the name of the machine
+     * @param leaseMs the duration of the worker's lease
+     * @throws IOException if there is no free port to listen on
      */
     public void startWorker(String id, long leaseMs) throws IOException {
         EmulatedWorker worker = new EmulatedWorker(loop, http, EmulatedServices::now, controllers, heartbeatIntervalMs);
         String address = listen(ANY_PORT, (method, path, body, answer) -> worker.handle(path, body, answer));
-        worker.start(new WorkerModel(id, address, TYPE, ZONE, leaseMs, now(), this::job, NO_WATCHER));
+        worker.start(new WorkerModel(id, address, TYPE, ZONE, leaseMs, now(), this::job, NO_LISTENER));
         workers.add(id);
     }
 
--- a/src/main/java/garnetscale/emulator/EmulatedWorker.java
+++ b/src/main/java/garnetscale/emulator/EmulatedWorker.java
@@ -14,11 +14,11 @@
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
 
-/** One worker on loopback: sends heartbeats to the controllers and serves direct commands, on a {@link WorkerModel}. */
+/** A worker on loopback: sends heartbeats to the controllers and serves direct commands, based on a {@link WorkerModel}. */
 final class EmulatedWorker {
 
-    /** A worker reports a fencing token that it hasn't seen before once this has passed. */
-    private static final long TOKEN_CHANGE_REPORTED_MS = 500;
+    /** A worker that received a higher fencing token confirms it with its next heartbeat after at most this time. */
+    private static final long TOKEN_CHANGE_HEARTBEAT_MS = 500;
 
     private static final long REDIRECT_DELAY_MS = 10;
     private static final int TIMEOUT_MS = 4000;
@@ -30,9 +30,15 @@
     private final List<String> controllers;
     private final long heartbeatIntervalMs;
     private WorkerModel model;
+    /** The index of the controller that heartbeats are sent to, modulo the number of controllers. */
     private int target;
 
-    /** {@code addresses} are those of the controllers, by name. */
+    /**
+     * Creates a worker; {@link #start} starts it.
+     *
+     * @param clock     the time in milliseconds
+     * @param addresses the addresses of the controllers, by name
+     */
     EmulatedWorker(
             EventLoopGroup loop,
             HttpClient http,
@@ -47,7 +53,7 @@
         this.heartbeatIntervalMs = heartbeatIntervalMs;
     }
 
-    /** Starts to send heartbeats; {@link #handle} may be called from now on. */
+    /** Starts to send heartbeats. {@link #handle} may be called from then on, but not before. */
     void start(WorkerModel worker) {
         model = worker;
         loop.next().schedule(this::sendHeartbeat, heartbeatIntervalMs / 4, TimeUnit.MILLISECONDS);
@@ -65,19 +71,20 @@
         });
     }
 
-    /** Takes the answer in; returns the milliseconds until the next heartbeat. */
+    /** Processes the answer to a heartbeat and returns the milliseconds until the next heartbeat. */
     private long onAnswer(WorkerHeartbeat heartbeat, long sentAt, HttpResult result) {
         try {
             if (result.is(200)) {
                 Map<?, ?> body = Cbor.readMap(result.body());
                 long fencingToken = WorkerMessages.fencingToken(body);
-                model.answered(
+                model.onHeartbeatReply(
                         clock.getAsLong(), sentAt, heartbeat.agentEpoch(), fencingToken, WorkerMessages.commands(body));
                 return fencingToken > heartbeat.fencingToken()
-                        ? Math.min(heartbeatIntervalMs, TOKEN_CHANGE_REPORTED_MS)
+                        ? Math.min(heartbeatIntervalMs, TOKEN_CHANGE_HEARTBEAT_MS)
                         : heartbeatIntervalMs;
             }
-            // The owner may be missing: asking an immutable list for null ended the worker for good.
+            // The answer may name no owner: an immutable list throws when it is searched for null, which would end the
+            // worker's heartbeats for good.
             if (result.is(421)
                     && Cbor.readMap(result.body()).get("steward") instanceof String owner
                     && controllers.contains(owner)) {
@@ -91,19 +98,19 @@
         return heartbeatIntervalMs;
     }
 
-    /** Serves a direct request: {@code /commands}, or any other path for the worker's status alone. */
+    /** Serves a direct request: commands on the path {@code /commands}, and a request for the worker's status on any other. */
     @SuppressWarnings("IllegalCatch") // A malformed body fails in casts all over its decoding; each is a 400.
     void handle(String path, byte[] body, Consumer<Reply> answer) {
         int status = 200;
         try {
             if (path.equals("/commands")) {
                 Map<?, ?> command = Cbor.readMap(body);
-                boolean isCarriedOut = model.command(
+                boolean accepted = model.onDirectCommands(
                         clock.getAsLong(),
                         WorkerMessages.fencingToken(command),
                         WorkerMessages.agentEpoch(command),
                         WorkerMessages.commands(command));
-                status = isCarriedOut ? 200 : 409;
+                status = accepted ? 200 : 409;
             }
             answer.accept(Reply.of(status, Cbor.write(WorkerMessages.heartbeat(model.heartbeat()))));
         } catch (IOException | RuntimeException e) {
--- a/src/main/java/garnetscale/emulator/StateModel.java
+++ b/src/main/java/garnetscale/emulator/StateModel.java
@@ -7,89 +7,96 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** The state service by its published protocol, in memory, with the time passed in. */
+/** An in-memory model of the state service by its published protocol; callers pass in the time in milliseconds. */
 public final class StateModel {
 
-    /** The value of a key, the revision of its last change, and the lease that it is attached to (0: none). */
+    /**
+     * The stored entry of a key.
+     *
+     * @param modRevision the revision of its last change
+     * @param lease       the lease that the key is attached to; 0 for none
+     */
     public record Entry(Object value, long modRevision, long lease) {}
 
     private static final class Lease {
         final long ttlMs;
-        long until;
+        long expiresAt;
 
         Lease(long ttlMs, long now) {
             this.ttlMs = ttlMs;
-            this.until = now + ttlMs;
+            this.expiresAt = now + ttlMs;
         }
     }
 
     private final TreeMap<String, Entry> keys = new TreeMap<>();
+    /** All changes, in the order of their revisions. */
     private final List<KeyChange> log = new ArrayList<>();
+
     private final Map<Long, Lease> leases = new TreeMap<>();
-    /** Transactions that were refused for their size, and why. */
+    /** For each transaction that was rejected for its size, the limit that it exceeded. */
     private final List<String> oversized = new ArrayList<>();
 
     private final StateLimits limits;
     private long revision;
     private long lastLease;
 
-    /** A service without limits. */
+    /** Creates an empty service without limits. */
     public StateModel() {
         this(StateLimits.NONE);
     }
 
-    /** Creates an empty service that rejects what exceeds the limits. */
+    /** Creates an empty service that rejects transactions above the limits. */
     public StateModel(StateLimits limits) {
         this.limits = limits;
     }
 
-    /** What was wrong with the transactions that were rejected for their size. */
+    /** Returns the limit exceeded by each transaction that was rejected for its size, in the order of their arrival. */
     public List<String> oversized() {
         return oversized;
     }
 
-    /** The revision of the last change. */
+    /** Returns the revision of the last change; 0 before the first. */
     public long revision() {
         return revision;
     }
 
-    /** The entry of a key, or null. */
+    /** Returns the entry of a key, or null if the key doesn't exist. */
     public Entry get(String key) {
         return keys.get(key);
     }
 
-    /** Ends the leases that have expired, and removes their keys. */
-    public void expire(long now) {
+    /** Removes the expired leases and their keys. */
+    public void expireLeases(long now) {
         for (long id : List.copyOf(leases.keySet())) {
-            if (leases.get(id).until < now) {
-                end(id);
+            if (leases.get(id).expiresAt < now) {
+                revokeLease(id);
             }
         }
     }
 
-    /** Grants a lease; returns its id. */
-    public long grant(long now, long ttlMs) {
+    /** Grants a lease and returns its id. */
+    public long grantLease(long now, long ttlMs) {
         leases.put(++lastLease, new Lease(ttlMs, now));
         return lastLease;
     }
 
-    /** Renews a lease for its full time; false if there is none. */
-    public boolean touch(long now, long id) {
+    /** Renews a lease for its full duration. Returns false if the lease doesn't exist. */
+    public boolean renewLease(long now, long id) {
         Lease lease = leases.get(id);
         if (lease == null) {
             return false;
         }
-        lease.until = now + lease.ttlMs;
+        lease.expiresAt = now + lease.ttlMs;
         return true;
     }
 
-    /** Renews all leases for their full time, as after an outage. */
-    public void refreshLeases(long now) {
-        leases.values().forEach(lease -> lease.until = now + lease.ttlMs);
+    /** Renews all leases for their full duration, as the service does after an outage. */
+    public void renewAllLeases(long now) {
+        leases.values().forEach(lease -> lease.expiresAt = now + lease.ttlMs);
     }
 
-    /** Ends a lease and removes its keys; false if there is none. */
-    public boolean end(long id) {
+    /** Removes a lease and its keys. Returns false if the lease doesn't exist. */
+    public boolean revokeLease(long id) {
         if (leases.remove(id) == null) {
             return false;
         }
@@ -110,9 +117,13 @@
         }
     }
 
-    /** Applies a transaction: 200, 409 or 400 as the protocol says. */
+    /**
+     * Applies a transaction.
+     *
+     * @return 200 if it was applied; 409 if a guard failed; 400 if it exceeds a limit or names a lease that doesn't exist
+     */
     public int commit(Transaction transaction) {
-        String violation = limits.violationBy(transaction);
+        String violation = limits.violation(transaction);
         if (violation != null) {
             oversized.add(violation);
             return 400;
@@ -142,14 +153,19 @@
         return 200;
     }
 
-    /** Keys with the prefix after {@code since}, in order. */
-    public List<KeyChange> list(String prefix, String since, int limit) {
+    /**
+     * Returns the entries of keys with a prefix, in the order of the keys.
+     *
+     * @param after the key after which the page begins; null for the first page
+     * @param limit the maximum number of entries
+     */
+    public List<KeyChange> list(String prefix, String after, int limit) {
         List<KeyChange> page = new ArrayList<>();
         for (Map.Entry<String, Entry> entry : keys.tailMap(prefix, true).entrySet()) {
             if (!entry.getKey().startsWith(prefix) || page.size() == limit) {
                 break;
             }
-            if (since == null || entry.getKey().compareTo(since) > 0) {
+            if (after == null || entry.getKey().compareTo(after) > 0) {
                 page.add(new KeyChange(
                         entry.getKey(),
                         entry.getValue().value(),
@@ -159,7 +175,7 @@
         return page;
     }
 
-    /** Changes of keys with the prefix after a revision. */
+    /** Returns the changes of keys with a prefix after the revision {@code since}, oldest first. */
     public List<KeyChange> changes(String prefix, long since) {
         int from = log.size();
         while (from > 0 && log.get(from - 1).modRevision() > since) {
--- a/src/main/java/garnetscale/emulator/StateService.java
+++ b/src/main/java/garnetscale/emulator/StateService.java
@@ -13,10 +13,11 @@
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
 
-/** Serves the requests of the state service by its published protocol, on a {@link StateModel}. */
+/** Serves the requests of the state service by its published protocol, from a {@link StateModel}. */
 public final class StateService {
 
-    private record Watch(String prefix, long since, long until, Consumer<Reply> answer) {}
+    /** A pending request for changes of keys with the prefix after revision {@code since}, answered by its deadline. */
+    private record Watch(String prefix, long since, long deadline, Consumer<Reply> answer) {}
 
     private static final String LEASES = "/holds/";
     private static final String RENEWAL = "/touch";
@@ -30,8 +31,8 @@
     /**
      * Creates a service.
      *
-     * @param clock the time, in milliseconds
-     * @param keptRevisions how many revisions back a watch may begin
+     * @param clock the time in milliseconds
+     * @param keptRevisions the number of past revisions from which a watch may begin; an older start is answered with 410
      */
     public StateService(StateModel state, LongSupplier clock, long keptRevisions) {
         this.state = state;
@@ -39,7 +40,7 @@
         this.keptRevisions = keptRevisions;
     }
 
-    /** Serves a request; malformed ones are answered with 400. */
+    /** Serves a request. A malformed request is answered with 400. */
     @SuppressWarnings("IllegalCatch") // A malformed body fails in casts all over its decoding; each is a 400.
     public void handle(String method, String uri, byte[] body, Consumer<Reply> answer) {
         QueryStringDecoder query = new QueryStringDecoder(uri);
@@ -63,21 +64,21 @@
         } catch (IOException | RuntimeException e) {
             answer.accept(Reply.of(400, UserCodec.error(String.valueOf(e.getMessage()))));
         }
-        wake();
+        answerWatches();
     }
 
     private Reply grant(Map<?, ?> body) {
         long ttlMs = ((Number) body.get("ttl_ms")).longValue();
-        return ok(Map.of("tenure", state.grant(clock.getAsLong(), ttlMs)));
+        return ok(Map.of("tenure", state.grantLease(clock.getAsLong(), ttlMs)));
     }
 
     private Reply onLease(String method, String path) {
         if (path.endsWith(RENEWAL)) {
             long lease = Long.parseLong(path.substring(0, path.length() - RENEWAL.length()));
-            return state.touch(clock.getAsLong(), lease) ? ok(Map.of()) : Reply.of(404);
+            return state.renewLease(clock.getAsLong(), lease) ? ok(Map.of()) : Reply.of(404);
         }
         if (method.equals("DELETE")) {
-            return state.end(Long.parseLong(path)) ? ok(Map.of()) : Reply.of(404);
+            return state.revokeLease(Long.parseLong(path)) ? ok(Map.of()) : Reply.of(404);
         }
         return Reply.of(404);
     }
@@ -110,9 +111,9 @@
                 : ok(Map.of("key", key, "v", entry.value(), "stamp", entry.modRevision()));
     }
 
-    private static String param(QueryStringDecoder query, String name, String other) {
+    private static String param(QueryStringDecoder query, String name, String defaultValue) {
         List<String> values = query.parameters().get(name);
-        return values == null ? other : values.get(0);
+        return values == null ? defaultValue : values.get(0);
     }
 
     private static Reply ok(Map<String, ?> body) {
@@ -153,11 +154,11 @@
         return entry == null ? 0 : entry.modRevision();
     }
 
-    /** Answers the watches for which a key has changed, and those whose time is over. */
-    public void wake() {
+    /** Answers the watches that have changes to report, and those whose deadline has passed. */
+    public void answerWatches() {
         for (Watch watch : List.copyOf(watches)) {
             List<KeyChange> changes = state.changes(watch.prefix(), watch.since());
-            if (changes.isEmpty() && clock.getAsLong() < watch.until()) {
+            if (changes.isEmpty() && clock.getAsLong() < watch.deadline()) {
                 continue;
             }
             watches.remove(watch);
--- a/src/main/java/garnetscale/emulator/WorkerMessages.java
+++ b/src/main/java/garnetscale/emulator/WorkerMessages.java
@@ -11,7 +11,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** The worker's side of the protocol between workers and controllers: what a worker sends, and what it reads of commands. */
+/** The worker's side of the protocol with controllers: encodes heartbeats, and decodes commands. */
 final class WorkerMessages {
 
     private WorkerMessages() {}
--- a/src/main/java/garnetscale/emulator/WorkerModel.java
+++ b/src/main/java/garnetscale/emulator/WorkerModel.java
@@ -18,30 +18,35 @@
 import java.util.function.Function;
 import java.util.function.Predicate;
 
-/** A worker by its published protocol, with the time passed in: fencing tokens, agent epochs, tasks and leases. */
+/**
+ * A model of a worker by its published protocol: fencing tokens, agent epochs, tasks and leases. Callers pass in the time in
+ * milliseconds.
+ */
 public final class WorkerModel {
 
-    /** Observes every start and end of a task on this machine, so that a test can check the rules. */
-    public interface Watcher {
-        /** A task started to run. */
-        void began(String machine, TaskId task, long attempt);
+    /** Is notified of every start and end of a task on the machine, so that a test can check the protocol's rules. */
+    public interface TaskListener {
+        /** Called when a task has started to run. */
+        void onStarted(String machine, TaskId task, long attempt);
 
-        /** A task stopped running; {@code completed} if it was done. */
-        void ended(String machine, TaskId task, long attempt, boolean completed);
+        /** Called when a task has stopped running; {@code completed} is false if it was stopped or failed. */
+        void onEnded(String machine, TaskId task, long attempt, boolean completed);
     }
 
-    private static final class Running {
+    /** One attempt of a task on this machine, in any state. */
+    private static final class TaskAttempt {
         final TaskId id;
         final long attempt;
         TaskState state;
         ExitCause cause;
-        long until;
+        /** When the current state ends by itself, that is, when the image is fetched or the task completes. */
+        long endsAt;
 
-        Running(TaskId id, long attempt, TaskState state, long until) {
+        TaskAttempt(TaskId id, long attempt, TaskState state, long endsAt) {
             this.id = id;
             this.attempt = attempt;
             this.state = state;
-            this.until = until;
+            this.endsAt = endsAt;
         }
     }
 
@@ -51,22 +56,30 @@
     private final String zone;
     private final long leaseMs;
     private final Function<String, JobSpec> jobs;
-    private final Watcher watcher;
-    private final Map<Long, Running> tasks = new LinkedHashMap<>();
-    private final Set<String> images = new HashSet<>();
-    private final Set<TaskId> results = new HashSet<>();
+    private final TaskListener listener;
+    /** Task attempts that the controllers haven't cleared, by attempt number. */
+    private final Map<Long, TaskAttempt> tasks = new LinkedHashMap<>();
+
+    private final Set<String> cachedImages = new HashSet<>();
+    /** Tasks that have completed here; run again, they complete at once. */
+    private final Set<TaskId> completedTasks = new HashSet<>();
+
     private long agentEpoch = 1;
     private long tick;
     private long fencingToken;
-    private long leaseFrom;
-    private double slowness = 1;
-    private Predicate<TaskId> fails = task -> false;
+    private long leaseStartedAt;
+    private double slowdownFactor = 1;
+    private Predicate<TaskId> failingTasks = task -> false;
+    /** Seconds until the cloud takes the machine away; null without eviction notice. */
     private Double evictionNoticeS;
 
     /**
-     * Creates a worker in its first epoch, with a full lease from {@code now} on.
+     * Creates a worker in its first agent epoch, with a full lease that starts at {@code now}.
      *
-     * @param jobs the specification of a job by its id, null if there is no such job
+     * @param id      the name of the machine
+     * @param address host and port of the worker
+     * @param leaseMs the duration of the lease
+     * @param jobs    returns the specification of a job by its id, or null if the job doesn't exist
      */
     public WorkerModel(
             String id,
@@ -76,92 +89,93 @@
             long leaseMs,
             long now,
             Function<String, JobSpec> jobs,
-            Watcher watcher) {
+            TaskListener listener) {
         this.id = id;
         this.address = address;
         this.type = type;
         this.zone = zone;
         this.leaseMs = leaseMs;
-        this.leaseFrom = now;
+        this.leaseStartedAt = now;
         this.jobs = jobs;
-        this.watcher = watcher;
+        this.listener = listener;
     }
 
-    /** Makes tasks that begin from now on take so many times as long. */
-    public void slowDown(double times) {
-        slowness = times;
+    /** Multiplies the running time of tasks that start from now on by {@code factor}. */
+    public void slowDown(double factor) {
+        slowdownFactor = factor;
     }
 
-    /** Reports from now on that the cloud evicts the machine in so many seconds. */
-    public void evictionNotice(double seconds) {
-        evictionNoticeS = seconds;
+    /** Makes all further heartbeats carry an eviction notice: the cloud takes the machine away in {@code noticeS} seconds. */
+    public void announceEviction(double noticeS) {
+        evictionNoticeS = noticeS;
     }
 
-    /** Has tasks end in error once they have their image. */
-    public void fail(Predicate<TaskId> which) {
-        fails = which;
+    /** Makes the tasks that match end with an error as soon as their image is available. */
+    public void failTasks(Predicate<TaskId> matching) {
+        failingTasks = matching;
     }
 
-    /** The present agent epoch; it rises whenever the lease expires. */
+    /** Returns the current agent epoch, which rises each time the lease expires. */
     public long agentEpoch() {
         return agentEpoch;
     }
 
-    /** The name of the machine. */
+    /** Returns the name of the machine. */
     public String id() {
         return id;
     }
 
-    /** Starts a new agent epoch, without tasks, if the lease has expired; that holds for a machine that is paused, too. */
-    public void expire(long now) {
-        if (now - leaseFrom > leaseMs) {
-            tasks.values().forEach(task -> ended(task, false));
+    /** Starts a new agent epoch without tasks if the lease has expired. The lease of a paused machine expires as well. */
+    public void expireLease(long now) {
+        if (now - leaseStartedAt > leaseMs) {
+            tasks.values().forEach(task -> notifyEnded(task, false));
             tasks.clear();
             agentEpoch++;
-            leaseFrom = now;
+            leaseStartedAt = now;
         }
     }
 
-    /** Lets time pass: image fetches and tasks end, and a lease that wasn't renewed expires. */
+    /** Advances the model to {@code now}: ends image fetches and tasks that are due, and expires a lease that wasn't renewed. */
     public void advance(long now) {
-        expire(now);
-        for (Running task : tasks.values()) {
+        expireLease(now);
+        for (TaskAttempt task : tasks.values()) {
             JobSpec job = jobs.apply(task.id.job());
-            if (task.state == TaskState.FETCHING && now >= task.until) {
-                images.add(job.image());
+            if (task.state == TaskState.FETCHING && now >= task.endsAt) {
+                cachedImages.add(job.image());
                 task.state = TaskState.RUNNING;
-                task.until = now + (results.contains(task.id) ? 0 : Math.round(job.estimateS() * 1000 * slowness));
-                watcher.began(id, task.id, task.attempt);
-                if (fails.test(task.id)) {
+                task.endsAt = now
+                        + (completedTasks.contains(task.id) ? 0 : Math.round(job.estimateS() * 1000 * slowdownFactor));
+                listener.onStarted(id, task.id, task.attempt);
+                if (failingTasks.test(task.id)) {
                     exit(task, ExitCause.ERROR);
                 }
             }
-            if (task.state == TaskState.RUNNING && now >= task.until) {
-                results.add(task.id);
+            if (task.state == TaskState.RUNNING && now >= task.endsAt) {
+                completedTasks.add(task.id);
                 exit(task, ExitCause.DONE);
             }
         }
     }
 
-    /** Resumes after the machine was paused: its tasks didn't run meanwhile. */
-    public void goOn(long now, long stoodStillMs) {
-        tasks.values().forEach(task -> task.until += stoodStillMs);
+    /** Resumes a machine that was paused for {@code pausedMs}, during which its tasks didn't run. */
+    public void resume(long now, long pausedMs) {
+        tasks.values().forEach(task -> task.endsAt += pausedMs);
         advance(now);
     }
 
-    private void exit(Running task, ExitCause cause) {
-        ended(task, cause == ExitCause.DONE);
+    private void exit(TaskAttempt task, ExitCause cause) {
+        notifyEnded(task, cause == ExitCause.DONE);
         task.state = TaskState.EXITED;
         task.cause = cause;
     }
 
-    private void ended(Running task, boolean completed) {
+    private void notifyEnded(TaskAttempt task, boolean completed) {
         if (task.state == TaskState.RUNNING) {
-            watcher.ended(id, task.id, task.attempt, completed);
+            listener.onEnded(id, task.id, task.attempt, completed);
         }
     }
 
-    /** A new heartbeat, of the status as it is now. */
+    /** Returns a new heartbeat with the current status. */
     public WorkerHeartbeat heartbeat() {
         List<TaskStatus> list = new ArrayList<>();
         tasks.values().forEach(task -> list.add(new TaskStatus(task.id, task.attempt, task.state, task.cause, false)));
@@ -169,19 +183,30 @@
                 id, address, type.name(), zone, false, agentEpoch, ++tick, fencingToken, evictionNoticeS, list);
     }
 
-    /** Takes in the answer to a heartbeat that was sent at {@code sentAt} in {@code heartbeatEpoch}. */
-    public void answered(long now, long sentAt, long heartbeatEpoch, long answerToken, List<WorkerCommand> commands) {
+    /**
+     * Processes the reply to a heartbeat: renews the lease and executes the commands, unless the heartbeat is of an earlier agent
+     * epoch or the reply's fencing token is lower than the highest one seen.
+     *
+     * @param sentAt         when the heartbeat was sent
+     * @param heartbeatEpoch the agent epoch in the heartbeat
+     * @param replyToken     the fencing token in the reply
+     */
+    public void onHeartbeatReply(
+            long now, long sentAt, long heartbeatEpoch, long replyToken, List<WorkerCommand> commands) {
         advance(now);
-        if (heartbeatEpoch != agentEpoch || answerToken < fencingToken) {
+        if (heartbeatEpoch != agentEpoch || replyToken < fencingToken) {
             return;
         }
-        fencingToken = answerToken;
-        leaseFrom = Math.max(leaseFrom, sentAt);
+        fencingToken = replyToken;
+        leaseStartedAt = Math.max(leaseStartedAt, sentAt);
         commands.forEach(command -> execute(now, command));
     }
 
-    /** Carries out direct commands; false (409) if their fencing token or agent epoch isn't the present one. */
-    public boolean command(long now, long commandToken, long commandEpoch, List<WorkerCommand> commands) {
+    /**
+     * Executes commands that a controller sent directly. Returns false, which is answered with 409, and executes none if their
+     * fencing token is lower than the highest one seen or their agent epoch isn't the current one.
+     */
+    public boolean onDirectCommands(long now, long commandToken, long commandEpoch, List<WorkerCommand> commands) {
         advance(now);
         if (commandToken < fencingToken || commandEpoch != agentEpoch) {
             return false;
@@ -192,7 +217,7 @@
     }
 
     private void execute(long now, WorkerCommand command) {
-        Running task = tasks.get(command.attempt());
+        TaskAttempt task = tasks.get(command.attempt());
         if (command instanceof WorkerCommand.Clear) {
             if (task != null && task.state == TaskState.EXITED) {
                 tasks.remove(command.attempt());
@@ -208,7 +233,7 @@
 
     private void start(long now, WorkerCommand command) {
         JobSpec job = jobs.apply(command.task().job());
-        Running task = new Running(command.task(), command.attempt(), TaskState.FETCHING, now);
+        TaskAttempt task = new TaskAttempt(command.task(), command.attempt(), TaskState.FETCHING, now);
         tasks.put(command.attempt(), task);
         boolean busy = tasks.values().stream()
                 .anyMatch(other -> other != task && other.id.equals(task.id) && other.state != TaskState.EXITED);
@@ -218,16 +243,16 @@
             exit(task, ExitCause.BUSY);
         } else if (!fits(task, job)) {
             exit(task, ExitCause.NO_ROOM);
-        } else if (!images.contains(job.image())) {
-            task.until = now + Math.round(job.imageGb() / type.fetchGbPerS() * 1000);
+        } else if (!cachedImages.contains(job.image())) {
+            task.endsAt = now + Math.round(job.imageGb() / type.fetchGbPerS() * 1000);
         }
         advance(now);
     }
 
-    private boolean fits(Running mine, JobSpec job) {
+    private boolean fits(TaskAttempt candidate, JobSpec job) {
         FreeCapacity free = new FreeCapacity(type);
-        for (Running task : tasks.values()) {
-            if (task != mine && task.state != TaskState.EXITED) {
+        for (TaskAttempt task : tasks.values()) {
+            if (task != candidate && task.state != TaskState.EXITED) {
                 free.take(jobs.apply(task.id.job()));
             }
         }
--- a/src/main/java/garnetscale/net/HttpServerConnection.java
+++ b/src/main/java/garnetscale/net/HttpServerConnection.java
@@ -160,8 +160,8 @@
 
     @Override
     public void channelReadComplete(ChannelHandlerContext ctx) {
-        // The read delivered part of a request: at least its head, or, if no request was served, perhaps not even all
-        // of that.
+        // The read ended inside a request: inside its body if its head is complete, otherwise possibly inside its head,
+        // since no request was served.
         if (!serving && arrivingSince == 0 && (head != null || !servedInThisRead)) {
             arrivingSince = System.nanoTime();
         }
--- a/src/test/java/garnetscale/cli/OperatorCommandTest.java
+++ b/src/test/java/garnetscale/cli/OperatorCommandTest.java
@@ -50,7 +50,7 @@
             .teams(new SchedulerConfig.Team("red", 8, 64, 0, Double.POSITIVE_INFINITY))
             .build();
     private final StateModel state = new StateModel();
-    private final long lease = state.grant(0, Long.MAX_VALUE / 4);
+    private final long lease = state.grantLease(0, Long.MAX_VALUE / 4);
     private final StateReplica replica = new StateReplica();
     private final PartitionMap partitions = new PartitionMap(config);
     private final Leader leader = new Leader(config, replica, partitions, line -> {});
--- a/src/test/java/garnetscale/controller/ScriptedCluster.java
+++ b/src/test/java/garnetscale/controller/ScriptedCluster.java
@@ -58,8 +58,8 @@
         at(2000, this::endOneJob);
         every(50, () -> {
             if (now >= failingUntil) {
-                state.expire(now);
-                service.wake();
+                state.expireLeases(now);
+                service.answerWatches();
                 recordRevision();
             }
         });
--- a/src/test/java/garnetscale/core/leader/AttemptNumbersTest.java
+++ b/src/test/java/garnetscale/core/leader/AttemptNumbersTest.java
@@ -32,7 +32,7 @@
     void aLeaderWhoseNumbersRunOutStepsDownAndMayLeadUnderANewTerm() {
         SchedulerConfig config = TestConfig.small().build();
         ReplicatedState state = new ReplicatedState();
-        long lease = state.service.grant(0, 60_000);
+        long lease = state.service.grantLease(0, 60_000);
         state.join("n0", lease, "a");
         Leader leader = new Leader(config, state.replica, new PartitionMap(config), line -> {});
         leader.onLeaseGranted(lease);
--- a/src/test/java/garnetscale/core/sim/ProtocolRules.java
+++ b/src/test/java/garnetscale/core/sim/ProtocolRules.java
@@ -17,7 +17,7 @@
 import java.util.stream.IntStream;
 
 /** Checks PROTOCOL's rules from outside, by what truly runs where, whatever the controllers believe. */
-final class ProtocolRules implements WorkerModel.Watcher {
+final class ProtocolRules implements WorkerModel.TaskListener {
 
     final List<String> violations = new ArrayList<>();
     final Map<String, JobSpec> jobs = new HashMap<>();
@@ -53,7 +53,7 @@
     }
 
     @Override
-    public void began(String machine, TaskId task, long attempt) {
+    public void onStarted(String machine, TaskId task, long attempt) {
         starts++;
         startsOf.merge(task.job(), 1, Integer::sum);
         onBegan.accept(machine, task);
@@ -88,7 +88,7 @@
     }
 
     @Override
-    public void ended(String machine, TaskId task, long attempt, boolean done) {
+    public void onEnded(String machine, TaskId task, long attempt, boolean done) {
         running.remove(task, machine);
         if (done) {
             completed.add(task);
--- a/src/test/java/garnetscale/core/sim/SimulatedCluster.java
+++ b/src/test/java/garnetscale/core/sim/SimulatedCluster.java
@@ -129,12 +129,12 @@
 
     private void sweep() {
         if (now >= state.outageUntil) {
-            state.model.expire(now);
+            state.model.expireLeases(now);
         }
         for (SimulatedWorker worker : workers) {
             if (network.isFrozen(worker.id)) {
                 // PROTOCOL: a machine that hangs may go on within its lease, and not after it.
-                worker.model.expire(now);
+                worker.model.expireLease(now);
             } else {
                 worker.model.advance(now);
             }
@@ -197,7 +197,7 @@
 
     /** The cloud is about to preempt the machine, whose heartbeats say so from now on. */
     void drain(String worker, double evictionNoticeS) {
-        byId.get(worker).model.evictionNotice(evictionNoticeS);
+        byId.get(worker).model.announceEviction(evictionNoticeS);
     }
 
     /** The machine hangs, and goes on where it was. */
@@ -205,7 +205,7 @@
         if (!network.isFrozen(worker)) {
             byId.get(worker).model.advance(now);
             network.freeze(worker, ms);
-            at(ms, () -> byId.get(worker).model.goOn(now, ms));
+            at(ms, () -> byId.get(worker).model.resume(now, ms));
         }
     }
 
--- a/src/test/java/garnetscale/core/sim/SimulatedNode.java
+++ b/src/test/java/garnetscale/core/sim/SimulatedNode.java
@@ -260,7 +260,7 @@
         int process = life;
         boolean[] ended = new boolean[1];
         cluster.network.send(name, send.machine(), () -> {
-            worker.command(cluster.now, send.fencingToken(), send.agentEpoch(), send.commands());
+            worker.onDirectCommands(cluster.now, send.fencingToken(), send.agentEpoch(), send.commands());
             WorkerHeartbeat heartbeat = worker.heartbeat();
             cluster.network.send(send.machine(), name, () -> {
                 if (life == process && !ended[0]) {
--- a/src/test/java/garnetscale/core/sim/SimulatedStateLink.java
+++ b/src/test/java/garnetscale/core/sim/SimulatedStateLink.java
@@ -100,7 +100,7 @@
         }
         if (lease < 0) {
             ask(
-                    () -> cluster.state.model.grant(cluster.now, 1500),
+                    () -> cluster.state.model.grantLease(cluster.now, 1500),
                     -1L,
                     id -> {
                         if (lease < 0 && id >= 0) {
@@ -112,7 +112,7 @@
         }
         long renewed = lease;
         ask(
-                () -> cluster.state.model.touch(cluster.now, renewed) ? 1 : 0,
+                () -> cluster.state.model.renewLease(cluster.now, renewed) ? 1 : 0,
                 -1,
                 ok -> {
                     if (ok == 0 && lease == renewed) {
--- a/src/test/java/garnetscale/core/sim/SimulatedStateService.java
+++ b/src/test/java/garnetscale/core/sim/SimulatedStateService.java
@@ -95,7 +95,7 @@
     /** Refuses all nodes; every lease gets its full time again at the end. */
     void outage(long ms) {
         outageUntil = cluster.now + ms;
-        cluster.at(ms, () -> model.refreshLeases(cluster.now));
+        cluster.at(ms, () -> model.renewAllLeases(cluster.now));
     }
 
     /** This share of transactions gets no answer: they are applied at once, or 2 to 12 s late. */
--- a/src/test/java/garnetscale/core/sim/SimulatedWorker.java
+++ b/src/test/java/garnetscale/core/sim/SimulatedWorker.java
@@ -21,7 +21,7 @@
         this.id = id;
         this.model =
                 new WorkerModel(id, id, type, zone, SimulatedCluster.LEASE, 0, cluster.rules.jobs::get, cluster.rules);
-        model.fail(task -> cluster.failingJobs.contains(task.job()));
+        model.failTasks(task -> cluster.failingJobs.contains(task.job()));
         cluster.at(cluster.random.nextInt(1000), this::sendHeartbeat);
     }
 
@@ -76,7 +76,7 @@
 
     private void answered(WorkerHeartbeat heartbeat, long sentAt, HeartbeatReply reply) {
         if (reply instanceof HeartbeatReply.Acknowledge acknowledged) {
-            model.answered(
+            model.onHeartbeatReply(
                     cluster.now, sentAt, heartbeat.agentEpoch(), acknowledged.fencingToken(), acknowledged.commands());
             cluster.at(
                     SimulatedCluster.HEARTBEAT * 3 / 4 + cluster.random.nextInt((int) SimulatedCluster.HEARTBEAT / 2),
--- a/src/test/java/garnetscale/core/sim/SimulationTest.java
+++ b/src/test/java/garnetscale/core/sim/SimulationTest.java
@@ -111,7 +111,7 @@
             }
             case 6 -> {
                 cluster.state.outageUntil = cluster.now + ms;
-                cluster.at(ms, () -> cluster.state.model.refreshLeases(cluster.now));
+                cluster.at(ms, () -> cluster.state.model.renewAllLeases(cluster.now));
             }
             case 7 -> cluster.network.cut(worker + ">" + node, ms);
             case 8 -> cluster.nodes.forEach(each -> cluster.network.cut(each.name + ">" + worker, ms));
--- a/src/test/java/garnetscale/core/trace/TraceCluster.java
+++ b/src/test/java/garnetscale/core/trace/TraceCluster.java
@@ -92,7 +92,7 @@
     /** Starts a controller with a lease of its own. */
     void start(String name) {
         TraceNode node = new TraceNode(name, config(name), line -> say(name + " logs: " + line));
-        node.lease = state.grant(now, 1_000_000_000);
+        node.lease = state.grantLease(now, 1_000_000_000);
         String zone = node.config.zoneOfController(name);
         state.commit(new Transaction()
                 .put(
@@ -107,7 +107,7 @@
 
     /** The lease of a controller expires; a crashed one is gone. */
     void expireLease(String name, boolean crashed) {
-        state.end(nodes.get(name).lease);
+        state.revokeLease(nodes.get(name).lease);
         if (crashed) {
             nodes.remove(name);
         }
@@ -133,14 +133,15 @@
 
     void startWorker(String id, String zone) {
         workers.put(
-                id, new WorkerModel(id, id, TYPES.get(0), zone, LEASE_MS, now, jobs::get, new WorkerModel.Watcher() {
+                id,
+                new WorkerModel(id, id, TYPES.get(0), zone, LEASE_MS, now, jobs::get, new WorkerModel.TaskListener() {
                     @Override
-                    public void began(String machine, TaskId task, long attempt) {
+                    public void onStarted(String machine, TaskId task, long attempt) {
                         say(machine + " runs " + task);
                     }
 
                     @Override
-                    public void ended(String machine, TaskId task, long attempt, boolean completed) {
+                    public void onEnded(String machine, TaskId task, long attempt, boolean completed) {
                         say(machine + (completed ? " completed " : " ended ") + task);
                     }
                 }));
@@ -206,7 +207,8 @@
             say(node.name + " answers " + model.id() + " " + TraceText.fencingToken(acknowledged.fencingToken()) + " "
                     + TraceText.commands(acknowledged.commands()) + (lost ? ", lost" : ""));
             if (!lost && !isolatedWorkers.contains(model.id())) {
-                model.answered(now, now, heartbeat.agentEpoch(), acknowledged.fencingToken(), acknowledged.commands());
+                model.onHeartbeatReply(
+                        now, now, heartbeat.agentEpoch(), acknowledged.fencingToken(), acknowledged.commands());
             }
         } else if (reply instanceof HeartbeatReply.Redirect redirect) {
             say(node.name + " sends " + model.id() + " to " + redirect.node());
@@ -339,7 +341,7 @@
             owner.owner.onCommandLost(now, send.machine(), send.fencingToken());
             return;
         }
-        boolean accepted = worker.command(now, send.fencingToken(), send.agentEpoch(), send.commands());
+        boolean accepted = worker.onDirectCommands(now, send.fencingToken(), send.agentEpoch(), send.commands());
         say(worker.id() + (accepted ? " takes " : " refuses ") + "the command "
                 + TraceText.fencingToken(send.fencingToken()));
         if (!how.equals("carried-out")) {
--- a/src/test/java/garnetscale/core/upgrade/UpgradeCluster.java
+++ b/src/test/java/garnetscale/core/upgrade/UpgradeCluster.java
@@ -41,7 +41,7 @@
         Controller controller = new Controller(name, supported);
         list(controller);
         if (controller.replica.isLoaded()) {
-            long lease = state.grant(0, Long.MAX_VALUE / 4);
+            long lease = state.grantLease(0, Long.MAX_VALUE / 4);
             leases.put(name, lease);
             commit(
                     controller,
@@ -59,7 +59,7 @@
     void end(String name) {
         Long lease = leases.remove(name);
         if (lease != null) {
-            state.end(lease);
+            state.revokeLease(lease);
         }
     }
 
