--- a/src/main/java/garnetscale/core/leader/TaskPlacer.java
+++ b/src/main/java/garnetscale/core/leader/TaskPlacer.java
@@ -178,7 +178,7 @@
      * without limit.
      */
     private boolean borrows(JobView job) {
-        return job.spec().priority() == Priority.LOW && !draft.quota().guarantees(job.spec());
+        return job.spec().priority() == Priority.LOW && !draft.quota().isWithinGuarantee(job.spec());
     }
 
     /** Returns whether placing a task of the job would take capacity that is reserved for urgent jobs. */
@@ -231,7 +231,7 @@
     private Multiset<String> zones(JobView job) {
         return zonesByJob.computeIfAbsent(job.spec().id(), id -> {
             Multiset<String> zones = HashMultiset.create();
-            for (String machine : replica.placedMachines()) {
+            for (String machine : replica.machinesWithRecords()) {
                 for (Placement placement : draft.placements(machine)) {
                     if (placement.task().job().equals(id)) {
                         zones.add(replica.zoneOfMachine(machine));
--- a/src/main/java/garnetscale/core/leader/TransactionPipeline.java
+++ b/src/main/java/garnetscale/core/leader/TransactionPipeline.java
@@ -72,7 +72,7 @@
     public void ended(TransactionOutcome result, long revision) {
         switch (result) {
             case OK, CONFLICT -> awaitedRevision = revision;
-            case MAYBE, NO_LEASE -> unknownGuardedBy = guardedBy;
+            case UNKNOWN, NO_LEASE -> unknownGuardedBy = guardedBy;
             // Nothing was applied, so there is nothing to wait for.
             case REFUSED -> {}
             default -> throw new IllegalArgumentException("unexpected transaction outcome: " + result);
