--- a/src/test/java/garnetscale/core/sim/ProtocolRules.java
+++ b/src/test/java/garnetscale/core/sim/ProtocolRules.java
@@ -17,7 +17,7 @@
 import java.util.stream.IntStream;
 
 /** Checks PROTOCOL's rules by what the workers really run, independently of the state that the controllers hold. */
-final class ProtocolRules implements WorkerModel.Watcher {
+final class ProtocolRules implements WorkerModel.TaskListener {
 
     final List<String> violations = new ArrayList<>();
     final Map<String, JobSpec> jobs = new HashMap<>();
@@ -54,7 +54,7 @@
     }
 
     @Override
-    public void began(String machine, TaskId task, long attempt) {
+    public void onStarted(String machine, TaskId task, long attempt) {
         starts++;
         startsByJob.merge(task.job(), 1, Integer::sum);
         onStarted.accept(machine, task);
@@ -89,7 +89,7 @@
     }
 
     @Override
-    public void ended(String machine, TaskId task, long attempt, boolean done) {
+    public void onEnded(String machine, TaskId task, long attempt, boolean done) {
         running.remove(task, machine);
         if (done) {
             completed.add(task);
--- a/src/test/java/garnetscale/core/sim/SimulatedCluster.java
+++ b/src/test/java/garnetscale/core/sim/SimulatedCluster.java
@@ -144,13 +144,13 @@
     /** Expires leases, advances the workers, checks the rules and detects new leaders and moved partitions. */
     private void update() {
         if (now >= state.outageUntil) {
-            state.model.expire(now);
+            state.model.expireLeases(now);
         }
         for (SimulatedWorker worker : workers) {
             if (network.isFrozen(worker.id)) {
                 // PROTOCOL: a machine that hangs may resume its tasks within its lease, but not after the lease has
                 // expired.
-                worker.model.expire(now);
+                worker.model.expireLease(now);
             } else {
                 worker.model.advance(now);
             }
@@ -215,7 +215,7 @@
 
     /** Gives a machine notice that the cloud will reclaim it, which its heartbeats report from now on. */
     void giveEvictionNotice(String worker, double noticeS) {
-        byId.get(worker).model.evictionNotice(noticeS);
+        byId.get(worker).model.announceEviction(noticeS);
     }
 
     /** Freezes a machine unless it is frozen already; its tasks resume afterwards where they stopped. */
@@ -223,7 +223,7 @@
         if (!network.isFrozen(worker)) {
             byId.get(worker).model.advance(now);
             network.freeze(worker, ms);
-            at(ms, () -> byId.get(worker).model.goOn(now, ms));
+            at(ms, () -> byId.get(worker).model.resume(now, ms));
         }
     }
 
--- a/src/test/java/garnetscale/core/sim/SimulatedNode.java
+++ b/src/test/java/garnetscale/core/sim/SimulatedNode.java
@@ -157,7 +157,7 @@
         }
         Transaction transaction = pipeline.next(() -> leader.plan(cluster.now));
         if (transaction != null) {
-            writeRate.force(cluster.now, transaction.ops().size());
+            writeRate.takeUnconditionally(cluster.now, transaction.ops().size());
             stateLink.commit(transaction, (result, revision) -> {
                 pipeline.ended(result, revision);
                 pipeline.ready();
@@ -264,7 +264,7 @@
         int process = processNumber;
         boolean[] ended = new boolean[1];
         cluster.network.send(name, send.machine(), () -> {
-            worker.command(cluster.now, send.fencingToken(), send.agentEpoch(), send.commands());
+            worker.onDirectCommands(cluster.now, send.fencingToken(), send.agentEpoch(), send.commands());
             WorkerHeartbeat heartbeat = worker.heartbeat();
             cluster.network.send(send.machine(), name, () -> {
                 if (processNumber == process && !ended[0]) {
--- a/src/test/java/garnetscale/core/sim/SimulatedStateService.java
+++ b/src/test/java/garnetscale/core/sim/SimulatedStateService.java
@@ -78,7 +78,7 @@
     }
 
     private int commit(Transaction transaction) {
-        if (!writes.take(cluster.now, transaction.ops().size())) {
+        if (!writes.tryTake(cluster.now, transaction.ops().size())) {
             refusedWrites++;
             return TOO_MANY_REQUESTS;
         }
@@ -102,7 +102,7 @@
     /** Refuses the requests of all controllers; every lease is renewed in full at the end. */
     void outage(long ms) {
         outageUntil = cluster.now + ms;
-        cluster.at(ms, () -> model.refreshLeases(cluster.now));
+        cluster.at(ms, () -> model.renewAllLeases(cluster.now));
     }
 
     /** Leaves a share of the transactions without an answer for {@code ms}; they are applied at once, or 2 to 12 s late. */
--- a/src/test/java/garnetscale/core/sim/SimulatedWorker.java
+++ b/src/test/java/garnetscale/core/sim/SimulatedWorker.java
@@ -21,7 +21,7 @@
         this.id = id;
         this.model = new WorkerModel(
                 id, id, type, zone, SimulatedCluster.LEASE_MS, 0, cluster.rules.jobs::get, cluster.rules);
-        model.fail(task -> cluster.failingJobs.contains(task.job()));
+        model.failTasks(task -> cluster.failingJobs.contains(task.job()));
         cluster.at(cluster.random.nextInt(1000), this::sendHeartbeat);
     }
 
@@ -79,7 +79,7 @@
 
     private void onReply(WorkerHeartbeat heartbeat, long sentAt, HeartbeatReply reply) {
         if (reply instanceof HeartbeatReply.Acknowledge acknowledged) {
-            model.answered(
+            model.onHeartbeatReply(
                     cluster.now, sentAt, heartbeat.agentEpoch(), acknowledged.fencingToken(), acknowledged.commands());
             cluster.at(
                     SimulatedCluster.HEARTBEAT_MS * 3 / 4
