--- a/src/main/java/garnetscale/config/FeaturesFile.java
+++ b/src/main/java/garnetscale/config/FeaturesFile.java
@@ -12,16 +12,17 @@
 import java.util.Set;
 
 /**
- * The operators' file of features: a table for each, with {@code enabled} and the feature's settings. Unlike in the
- * platform's settings nothing unknown is passed over, since a misspelt name would leave a feature off without a word.
+ * Reads the operators' features file, which has a table for each feature with {@code enabled} and the feature's settings. Unlike
+ * unknown keys in the platform's settings, unknown names are rejected here: otherwise a misspelt name would silently leave a
+ * feature disabled.
  */
 public final class FeaturesFile {
 
     private static final String ENABLED = "enabled";
-    private static final double MIN_SETTLE = 0.5;
-    private static final double MAX_SETTLE = 100;
-    private static final double MIN_FROM = 0.5;
-    private static final double DEFAULT_FROM = 0.95;
+    private static final double MIN_ACTIVATION_DELAY_LEASES = 0.5;
+    private static final double MAX_ACTIVATION_DELAY_LEASES = 100;
+    private static final double MIN_CLOSE_CONNECTIONS_FROM = 0.5;
+    private static final double DEFAULT_CLOSE_CONNECTIONS_FROM = 0.95;
     private static final double MAX_MARGIN = 10;
     private static final double MAX_MOVING = 0.25;
 
@@ -36,8 +37,8 @@
     /**
      * Reads a file.
      *
-     * @throws InvalidConfigurationException if it can't be read, or names an unknown feature or key, or a value out of range;
-     *     each problem names the key and what may stand there
+     * @throws InvalidConfigurationException if the file can't be read, or has an unknown feature or key or a value out of range;
+     *     each problem names the key and its allowed values
      */
     public static Features read(Path file) throws InvalidConfigurationException {
         return new FeaturesFile((Map<?, ?>) TomlFile.read(file)).features();
@@ -45,13 +46,18 @@
 
     private Features features() throws InvalidConfigurationException {
         Table upgrade = table("staged_upgrade");
-        boolean automatic = upgrade.isEnabled();
-        double settle = upgrade.number("settle", MIN_SETTLE, MAX_SETTLE, Features.DEFAULT_ACTIVATION_DELAY_LEASES);
-        int latest = upgrade.whole("latest", Layouts.SUPPORTED.oldest(), Layouts.SUPPORTED.latest());
+        boolean automaticActivation = upgrade.isEnabled();
+        double activationDelayLeases = upgrade.number(
+                "settle",
+                MIN_ACTIVATION_DELAY_LEASES,
+                MAX_ACTIVATION_DELAY_LEASES,
+                Features.DEFAULT_ACTIVATION_DELAY_LEASES);
+        int latest = upgrade.versionOrMax("latest", Layouts.SUPPORTED.oldest(), Layouts.SUPPORTED.latest());
         upgrade.rejectUnknownKeys();
         Table sharedSockets = table("shared_sockets");
-        boolean shared = sharedSockets.isEnabled();
-        double from = sharedSockets.number("from", MIN_FROM, 1, DEFAULT_FROM);
+        boolean closesConnections = sharedSockets.isEnabled();
+        double closeConnectionsFrom =
+                sharedSockets.number("from", MIN_CLOSE_CONNECTIONS_FROM, 1, DEFAULT_CLOSE_CONNECTIONS_FROM);
         sharedSockets.rejectUnknownKeys();
         BalanceSettings balance = balance();
         for (Object name : root.keySet()) {
@@ -63,7 +69,12 @@
             throw new InvalidConfigurationException(problems);
         }
         VersionRange layouts = new VersionRange(Layouts.SUPPORTED.oldest(), latest);
-        return new Features(automatic, settle, layouts, shared ? from : Features.NEVER, balance);
+        return new Features(
+                automaticActivation,
+                activationDelayLeases,
+                layouts,
+                closesConnections ? closeConnectionsFrom : Features.NEVER,
+                balance);
     }
 
     private BalanceSettings balance() {
@@ -88,7 +99,7 @@
         return new Table(name, value instanceof Map<?, ?> map ? map : Map.of());
     }
 
-    /** One feature's table; a key that isn't asked for before the end is unknown. */
+    /** One feature's table. Each key that is read becomes known; {@link #rejectUnknownKeys} reports all other keys. */
     private final class Table {
 
         private final String name;
@@ -114,8 +125,8 @@
             return false;
         }
 
-        /** A version, the latest one where nothing is said. */
-        int whole(String key, int min, int max) {
+        /** Reads a layout version; defaults to {@code max} if the key is missing. */
+        int versionOrMax(String key, int min, int max) {
             double value = number(key, min, max, max);
             if (value != Math.rint(value)) {
                 problems.add(name + "." + key + " must be a whole number from " + min + " to " + max);
--- a/src/main/java/garnetscale/config/InvalidConfigurationException.java
+++ b/src/main/java/garnetscale/config/InvalidConfigurationException.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** A settings or features file can't be used; it has one problem or more. */
+/** Thrown when a settings or features file can't be used; carries at least one problem. */
 public final class InvalidConfigurationException extends Exception {
 
     private static final long serialVersionUID = 1L;
@@ -14,7 +14,7 @@
         this.problems = List.copyOf(problems);
     }
 
-    /** What is wrong, a line each; a line begins with the key that it is about. */
+    /** Returns one line for each problem; the line begins with the key concerned, if the problem is about a key. */
     public List<String> problems() {
         return problems;
     }
--- a/src/main/java/garnetscale/config/Settings.java
+++ b/src/main/java/garnetscale/config/Settings.java
@@ -5,20 +5,29 @@
 import java.nio.file.Path;
 
 /**
- * The platform's settings for one controller (PROTOCOL, "Settings"). Unknown keys are ignored.
+ * The platform's settings for one controller (PROTOCOL, "Settings"). Unknown keys in the file are ignored.
  *
- * @param listen   the address for users and workers
- * @param back     the address for other controllers and operators' commands
- * @param cloud    the address of the cloud
- * @param state    the address of the state service
- * @param cpuShare the part of a core that the process may use
- * @param ramMb    the memory that the process may use, in MB
+ * <p>All addresses are host and port.
+ *
+ * @param config        the settings that scheduling decisions depend on
+ * @param listenAddress where the controller accepts requests of users and workers
+ * @param peerAddress   where the controller accepts connections of other controllers and of operators' commands
+ * @param cloudAddress  the address of the cloud
+ * @param stateAddress  the address of the state service
+ * @param cpuShare      the fraction of a core that the process may use
+ * @param ramMb         the memory that the process may use, in MB
  */
 public record Settings(
-        SchedulerConfig config, String listen, String back, String cloud, String state, double cpuShare, double ramMb) {
+        SchedulerConfig config,
+        String listenAddress,
+        String peerAddress,
+        String cloudAddress,
+        String stateAddress,
+        double cpuShare,
+        double ramMb) {
 
     /**
-     * Reads the settings of a controller on which no feature is enabled.
+     * Reads the settings of a controller without any feature enabled.
      *
      * @throws InvalidConfigurationException if the file can't be read, or keys are missing or out of range
      */
@@ -27,7 +36,7 @@
     }
 
     /**
-     * Reads the settings of a controller with these features.
+     * Reads the settings of a controller with the given features.
      *
      * @throws InvalidConfigurationException if the file can't be read, or keys are missing or out of range
      */
--- a/src/main/java/garnetscale/config/SettingsFields.java
+++ b/src/main/java/garnetscale/config/SettingsFields.java
@@ -5,8 +5,8 @@
 import java.util.Map;
 
 /**
- * Reads typed fields of a settings file and collects what is wrong with them. A field that is missing or invalid reads as 0 or
- * empty, so that the others can still be checked. {@code prefix} is the path of a table, for the messages.
+ * Reads typed fields of a settings file and collects their problems. A missing or invalid field is read as 0 or empty, so that
+ * the remaining fields are still checked. {@code prefix} is the path of the table in the problems' texts.
  */
 final class SettingsFields {
 
@@ -24,7 +24,7 @@
         }
     }
 
-    /** The value under a key; null if there is none, or {@code table} isn't a table. */
+    /** Returns the value of a key; null if the key is missing or {@code table} isn't a table. */
     static Object child(Object table, String key) {
         return table instanceof Map<?, ?> map ? map.get(key) : null;
     }
@@ -58,7 +58,7 @@
         return address;
     }
 
-    /** A limit, of which 0 in the settings means none. */
+    /** Reads a limit; 0 in the settings means no limit and is returned as infinity. */
     double limit(Object table, String prefix, String key) {
         double limit = atLeastZero(table, prefix, key);
         return limit == 0 ? Double.POSITIVE_INFINITY : limit;
@@ -72,7 +72,7 @@
         return number(table, prefix, key, true);
     }
 
-    /** A positive number of seconds, in milliseconds. */
+    /** Reads a positive number of seconds and returns it in milliseconds. */
     long milliseconds(Object table, String prefix, String key) {
         return Math.round(1000 * positive(table, prefix, key));
     }
--- a/src/main/java/garnetscale/config/SettingsReader.java
+++ b/src/main/java/garnetscale/config/SettingsReader.java
@@ -5,10 +5,10 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Maps the keys of a settings file to {@link Settings}. All problems of a file are collected before it is rejected. */
+/** Maps the keys of a settings file to {@link Settings}. Collects all problems of the file before rejecting it. */
 final class SettingsReader {
 
-    /** The least operations that a transaction has to take: what the leader's smallest transaction needs. */
+    /** Minimum number of operations that a transaction must allow: the leader's smallest transaction needs this many. */
     private static final int MIN_TRANSACTION_OPERATIONS = 16;
 
     private final Object root;
@@ -20,17 +20,17 @@
         this.features = features;
     }
 
-    /** The order of the steps is the order in which problems are listed. */
+    /** Reads and validates the file; problems are listed in the order of the reads. */
     Settings read() throws InvalidConfigurationException {
         String self = fields.text(root, "", "node_name");
         String zone = fields.text(root, "", "site");
-        String listen = fields.address(root, "", "listen");
-        String back = fields.address(root, "", "back");
+        String listenAddress = fields.address(root, "", "listen");
+        String peerAddress = fields.address(root, "", "back");
         List<SchedulerConfig.ControllerAddress> controllers =
-                controllers(new SchedulerConfig.ControllerAddress(self, zone, back));
+                controllers(new SchedulerConfig.ControllerAddress(self, zone, peerAddress));
         Object endpoints = SettingsFields.child(root, "endpoints");
-        String cloud = fields.address(endpoints, "endpoints.", "cloud");
-        String state = fields.address(endpoints, "endpoints.", "state");
+        String cloudAddress = fields.address(endpoints, "endpoints.", "cloud");
+        String stateAddress = fields.address(endpoints, "endpoints.", "state");
         Object facts = SettingsFields.child(root, "facts");
         SchedulerConfig config = config(self, controllers, facts);
         Object limits = SettingsFields.child(facts, "machine_limits");
@@ -40,7 +40,7 @@
             fields.addProblem("facts.state.txn_ops is below " + MIN_TRANSACTION_OPERATIONS);
         }
         fields.requireNoProblems();
-        return new Settings(config, listen, back, cloud, state, cpuShare, ramMb);
+        return new Settings(config, listenAddress, peerAddress, cloudAddress, stateAddress, cpuShare, ramMb);
     }
 
     private List<SchedulerConfig.ControllerAddress> controllers(SchedulerConfig.ControllerAddress self) {
@@ -54,7 +54,8 @@
                     fields.text(member, prefix, "site"),
                     fields.address(member, prefix, "endpoint")));
         }
-        // No Comparator.comparing: its lambda belongs to the platform's own classes, which the archive has without.
+        // Not Comparator.comparing: its lambda is in a JDK class, and the class archive holds JDK classes without their
+        // lambdas.
         controllers.sort((first, second) -> first.name().compareTo(second.name()));
         if (controllers.stream()
                         .map(SchedulerConfig.ControllerAddress::name)
@@ -105,7 +106,7 @@
         return zones;
     }
 
-    /** Times of 0 have been found to be missing or invalid already. */
+    /** Checks that each time is longer than the previous one. A time of 0 was already reported as missing or invalid. */
     private void checkOrder(long heartbeatIntervalMs, long leaseMs, long cancellationMs) {
         if (heartbeatIntervalMs > 0 && leaseMs > 0 && leaseMs <= heartbeatIntervalMs) {
             fields.addProblem("facts.workers.lease_s must be longer than report_s");
@@ -146,7 +147,7 @@
         return List.copyOf(objectives);
     }
 
-    /** Kinds that this version doesn't know are accepted, and nothing is done for them. */
+    /** Maps the name of an objective's kind; a kind that this version doesn't know is accepted and has no effect. */
     private static SchedulerConfig.ObjectiveKind objectiveKind(String word) {
         return switch (word) {
             case "wait" -> SchedulerConfig.ObjectiveKind.START;
--- a/src/main/java/garnetscale/config/TomlFile.java
+++ b/src/main/java/garnetscale/config/TomlFile.java
@@ -15,7 +15,7 @@
     private TomlFile() {}
 
     static Object read(Path file) throws InvalidConfigurationException {
-        // The parser alone: to make a mapper, which this has no use for, took a third of the whole start-up.
+        // Uses the parser alone: creating an object mapper, which isn't needed here, took a third of the start-up time.
         try (JsonParser parser = new TomlFactory().createParser(Files.readString(file))) {
             return Trees.read(parser);
         } catch (JsonProcessingException e) {
--- a/src/main/java/garnetscale/config/package-info.java
+++ b/src/main/java/garnetscale/config/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Reads the settings file of a controller and the features file, and names each fault with its key. The keys are those of
- * PROTOCOL and docs/operations.md; they appear in no other package.
+ * Reads a controller's settings file and features file, and reports each problem with its key. The keys are defined in PROTOCOL
+ * and docs/operations.md; they appear in no other package.
  */
 package garnetscale.config;
--- a/src/main/java/garnetscale/controller/ControllerNode.java
+++ b/src/main/java/garnetscale/controller/ControllerNode.java
@@ -76,7 +76,7 @@
                 new Autoscaler(config, replica, LOG::info));
         this.state = new StateLink(config, stateIo(), new SplittableRandom(), replica, this);
         CloudLink cloud = new CloudLink(
-                config, new HttpClient(loop, 1, CONNECT_TIMEOUT_MS), settings.cloud(), context.autoscaler());
+                config, new HttpClient(loop, 1, CONNECT_TIMEOUT_MS), settings.cloudAddress(), context.autoscaler());
         PeerHeartbeats peerHeartbeats = new PeerHeartbeats();
         ProcessStatus status = new ProcessStatus(replica, context.owner(), state, peerHeartbeats);
         JobApi jobApi = new JobApi(config, replica, state, status::waitingReason, this::onJobCancelled);
@@ -120,7 +120,7 @@
             @Override
             public void call(HttpMethod method, String path, byte[] body, long timeoutMs, Consumer<HttpResult> done) {
                 http.call(
-                        settings.state(),
+                        settings.stateAddress(),
                         method,
                         path,
                         body,
@@ -137,8 +137,8 @@
      * there is nothing to tell them, and after an end of all controllers every worker asks once a second.
      */
     public void start() throws IOException {
-        requireFree(settings.listen());
-        await(peers.listen(settings.back()), settings.back());
+        requireFree(settings.listenAddress());
+        await(peers.listen(settings.peerAddress()), settings.peerAddress());
         eventLoop.execute(() -> {
             state.start();
             peers.connect();
@@ -173,11 +173,11 @@
 
     /** Lets users and workers in; tried again where the address was taken meanwhile. */
     private void openServer() {
-        server.listen(settings.listen()).addListener((ChannelFutureListener) listening -> {
+        server.listen(settings.listenAddress()).addListener((ChannelFutureListener) listening -> {
             if (!listening.isSuccess()) {
                 LOG.error(
                         "listen failed, trying again, address={} retry_ms={} error={}",
-                        settings.listen(),
+                        settings.listenAddress(),
                         LISTEN_RETRY_MS,
                         listening.cause().getMessage());
                 eventLoop.schedule(this::openServer, LISTEN_RETRY_MS, TimeUnit.MILLISECONDS);
--- a/src/test/java/garnetscale/config/FeaturesFileTest.java
+++ b/src/test/java/garnetscale/config/FeaturesFileTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The operators' file: everything off unless said, and every fault named with its key and what may stand there. */
+/** The features file: features are disabled by default, and each problem is reported with its key and the allowed values. */
 class FeaturesFileTest {
 
     @TempDir
@@ -24,13 +24,13 @@
         return FeaturesFile.read(Files.writeString(dir.resolve("features.toml"), text));
     }
 
-    private List<String> faults(String text) {
+    private List<String> problems(String text) {
         return assertThrows(InvalidConfigurationException.class, () -> read(text))
                 .problems();
     }
 
     @Test
-    void whatIsNotNamedIsOff() throws IOException, InvalidConfigurationException {
+    void featuresAreDisabledByDefault() throws IOException, InvalidConfigurationException {
         assertEquals(Features.NONE, read("# nothing\n"));
         assertEquals(
                 Features.NONE,
@@ -38,7 +38,7 @@
     }
 
     @Test
-    void featuresAreReadWithTheirSettings() throws IOException, InvalidConfigurationException {
+    void readsFeaturesWithTheirSettings() throws IOException, InvalidConfigurationException {
         assertEquals(
                 new Features(true, 3, new VersionRange(1, 1), 0.75, BalanceSettings.OFF),
                 read(
@@ -53,7 +53,7 @@
     }
 
     @Test
-    void theShippedFileIsGood() throws InvalidConfigurationException {
+    void shippedFileIsValid() throws InvalidConfigurationException {
         assertEquals(
                 new Features(
                         true, Features.DEFAULT_ACTIVATION_DELAY_LEASES, Layouts.SUPPORTED, 0.95, BalanceSettings.OFF),
@@ -61,7 +61,7 @@
     }
 
     @Test
-    void everyFaultIsNamed() {
+    void reportsEveryProblem() {
         assertEquals(
                 List.of(
                         "staged_upgrade.enabled must be true or false",
@@ -74,7 +74,7 @@
                         "balance.moving must be a number from 0.0 to 0.25",
                         "balance.speed is unknown; there are enabled, margin, moving",
                         "upgrade is no feature; there are balance, shared_sockets, staged_upgrade"),
-                faults(
+                problems(
                         """
                         [staged_upgrade]
                         enabled = 1
@@ -91,12 +91,12 @@
                         [upgrade]
                         enabled = true
                         """));
-        assertEquals(List.of("staged_upgrade is not a table"), faults("staged_upgrade = true\n"));
-        assertEquals(1, faults("[staged_upgrade\n").size());
+        assertEquals(List.of("staged_upgrade is not a table"), problems("staged_upgrade = true\n"));
+        assertEquals(1, problems("[staged_upgrade\n").size());
     }
 
     @Test
-    void aFileThatIsNotThereIsAFault() {
+    void rejectsMissingFile() {
         assertThrows(InvalidConfigurationException.class, () -> FeaturesFile.read(dir.resolve("none.toml")));
     }
 }
--- a/src/test/java/garnetscale/config/SettingsTest.java
+++ b/src/test/java/garnetscale/config/SettingsTest.java
@@ -11,10 +11,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The platform's file: what is needed, what is ignored, and how faults are named. */
+/** The settings file: required keys, unknown keys, and the reporting of problems. */
 class SettingsTest {
 
-    private static final String GOOD =
+    private static final String VALID =
             """
         node_name = "hive-0"
         site = "a"
@@ -61,14 +61,14 @@
         return Settings.read(Files.writeString(dir.resolve("s.toml"), text));
     }
 
-    private List<String> faults(String text) {
+    private List<String> problems(String text) {
         return assertThrows(InvalidConfigurationException.class, () -> read(text))
                 .problems();
     }
 
     @Test
-    void readsWhatItNeedsAndIgnoresTheRest() throws IOException, InvalidConfigurationException {
-        Settings settings = read(GOOD);
+    void readsKnownKeysAndIgnoresUnknownKeys() throws IOException, InvalidConfigurationException {
+        Settings settings = read(VALID);
         assertEquals(2, settings.config().controllers().size());
         assertEquals(
                 Double.POSITIVE_INFINITY, settings.config().teams().get("t").cpusMax());
@@ -78,23 +78,24 @@
     }
 
     @Test
-    void theExampleIsGood() throws InvalidConfigurationException {
+    void exampleFileIsValid() throws InvalidConfigurationException {
         Settings example = Settings.read(Path.of("deploy", "settings.example.toml"));
         assertEquals(2, example.config().controllers().size());
     }
 
     @Test
-    void namesEachFaultWithItsKey() {
-        assertEquals(List.of("facts.workers.lease_s is missing"), faults(GOOD.replace("lease_s = 10.0", "")));
-        assertEquals(List.of("facts.state.rps must be above 0"), faults(GOOD.replace("\nrps = 150.0", "\nrps = -1.0")));
+    void reportsEachProblemWithItsKey() {
+        assertEquals(List.of("facts.workers.lease_s is missing"), problems(VALID.replace("lease_s = 10.0", "")));
+        assertEquals(
+                List.of("facts.state.rps must be above 0"), problems(VALID.replace("\nrps = 150.0", "\nrps = -1.0")));
         assertEquals(
                 List.of("facts.workers.cancel_s must be longer than lease_s"),
-                faults(GOOD.replace("cancel_s = 35.0", "cancel_s = 9.0")));
+                problems(VALID.replace("cancel_s = 35.0", "cancel_s = 9.0")));
         assertEquals(
                 List.of("listen is not an address like 10.0.0.1:8080", "members[0].endpoint is missing"),
-                faults(GOOD.replace("listen = \"10.0.0.1:8080\"", "listen = \"here\"")
+                problems(VALID.replace("listen = \"10.0.0.1:8080\"", "listen = \"here\"")
                         .replace("endpoint =", "end =")));
-        assertEquals(List.of("members: a node_name stands twice"), faults(GOOD.replace("hive-1", "hive-0")));
-        assertTrue(faults("node_name = ").get(0).startsWith("not TOML"));
+        assertEquals(List.of("members: a node_name stands twice"), problems(VALID.replace("hive-1", "hive-0")));
+        assertTrue(problems("node_name = ").get(0).startsWith("not TOML"));
     }
 }
