--- a/src/main/java/garnetscale/cli/LoopbackDemo.java
+++ b/src/main/java/garnetscale/cli/LoopbackDemo.java
@@ -31,8 +31,8 @@
 import picocli.CommandLine.Option;
 
 /**
- * Runs two controllers against emulated services on loopback until a job is done. The build runs it to record which classes
- * a serving process loads, since at a small share of a core loading them is most of a restart.
+ * Runs two controllers against emulated services on loopback until a job is done. The build runs it to record the classes that a
+ * serving process loads, because on a small share of a core class loading takes most of the time of a restart.
  */
 @Command(
         name = "rehearse",
@@ -42,10 +42,10 @@
 
     private static final int FIRST_PORT = 12_000;
     private static final int LAST_PORT = 30_000;
-    private static final int PORT_TRIES = 50;
-    private static final int INSPECTION_MS = 5000;
+    private static final int MAX_PORT_ATTEMPTS = 50;
+    private static final int OPERATOR_TIMEOUT_MS = 5000;
 
-    private static final String SETTINGS =
+    private static final String SETTINGS_TEMPLATE =
             """
             node_name = "node-%d"
             site = "a"
@@ -105,6 +105,7 @@
             max_connections = 500
             """;
 
+    // The help text shows the field's name as the label of the option's value.
     @Option(names = "--seconds", defaultValue = "20", description = "Give up after so long (default ${DEFAULT-VALUE}).")
     int seconds;
 
@@ -140,9 +141,9 @@
                 nodes.add(node);
                 node.start();
             }
-            return playJobs(listen) && answersOperator(back[0]) ? 0 : 1;
+            return runJobs(listen) && answersOperator(back[0]) ? 0 : 1;
         } finally {
-            // The controllers first: while they run, they log that the emulated services don't answer any more.
+            // Stops the controllers first: while they run, they would log that the emulated services no longer answer.
             nodes.forEach(node -> node.stop().awaitUninterruptibly());
             loop.shutdownGracefully(0, 0, TimeUnit.SECONDS);
             try (var files = Files.list(dir)) {
@@ -154,44 +155,44 @@
         }
     }
 
-    /** Whether a controller names the leader when an operator asks for its status. */
+    /** Returns whether a controller answers an operator's status request and its answer names the leader. */
     private static boolean answersOperator(String address) throws IOException {
-        PeerMessage.OperatorResponse answer = new OperatorClient(address, INSPECTION_MS)
-                .ask(new PeerMessage.OperatorRequest(PeerMessage.OperatorRequest.Kind.STATUS, ""));
+        PeerMessage.OperatorResponse answer = new OperatorClient(address, OPERATOR_TIMEOUT_MS)
+                .send(new PeerMessage.OperatorRequest(PeerMessage.OperatorRequest.Kind.STATUS, ""));
         return answer.outcome() == PeerMessage.OperatorResponse.Outcome.DONE
                 && answer.json().contains("\"leader\":\"node-");
     }
 
     /**
-     * Finds a port outside the range that systems assign by themselves. From within it, the emulated services and the
-     * controllers' own connections could take the port before the controller that is to listen on it does, and a build
-     * failed.
+     * Finds a free port outside the system's ephemeral port range. A port in that range could be assigned to the emulated
+     * services or to a connection of the controllers before the controller listens on it; a build has failed for this reason.
      *
-     * @throws IOException if every port that was tried is in use
+     * @return the loopback address with the port
+     * @throws IOException if every attempted port is in use
      */
     static String freePort() throws IOException {
-        for (int index = 0; index < PORT_TRIES; index++) {
+        for (int index = 0; index < MAX_PORT_ATTEMPTS; index++) {
             int port = ThreadLocalRandom.current().nextInt(FIRST_PORT, LAST_PORT);
             try (ServerSocket free = new ServerSocket(port)) {
                 return "127.0.0.1:" + free.getLocalPort();
             } catch (BindException e) {
-                // Somebody else's; the next one may be free.
+                // In use by another process; the next port may be free.
             }
         }
         throw new IOException("no free port between " + FIRST_PORT + " and " + LAST_PORT);
     }
 
-    /** The settings file of one of the two controllers. */
+    /** Returns the content of the settings file of one of the two controllers. */
     static String settings(int index, String[] listen, String[] back, String state, String cloud) {
-        return SETTINGS.formatted(index, listen[index], back[index], 1 - index, back[1 - index], cloud, state);
+        return SETTINGS_TEMPLATE.formatted(index, listen[index], back[index], 1 - index, back[1 - index], cloud, state);
     }
 
-    private boolean playJobs(String[] listen)
+    private boolean runJobs(String[] listen)
             throws InterruptedException, ExecutionException, TimeoutException, IOException {
-        long end = System.nanoTime() + seconds * 1_000_000_000L;
+        long deadlineNs = System.nanoTime() + seconds * 1_000_000_000L;
         boolean accepted = false;
         boolean cancelled = false;
-        while (System.nanoTime() < end) {
+        while (System.nanoTime() < deadlineNs) {
             if (!accepted) {
                 accepted = accepted(post(listen[0], "/v2/runs", Cbor.write(job("wk-000001", 3, 0.5))))
                         && accepted(post(listen[1], "/v2/runs", Cbor.write(job("wk-000002", 9, 60))));
@@ -213,7 +214,7 @@
         return false;
     }
 
-    /** A repeated submission of an accepted job is answered with 200. */
+    /** Returns whether a job is accepted: 201 for a new job, 200 for a repeated submission of an accepted job. */
     private static boolean accepted(HttpResult result) {
         return result.status() == 201 || result.status() == 200;
     }
@@ -230,8 +231,12 @@
         return result.get(5, TimeUnit.SECONDS);
     }
 
-    /** A submission as its user sends it. */
-    static Map<String, Object> job(String id, int tasks, double seconds) {
+    /**
+     * Returns the body of a submission before its encoding.
+     *
+     * @param runTimeS the user's estimate of a task's run time, in seconds
+     */
+    static Map<String, Object> job(String id, int tasks, double runTimeS) {
         Map<String, Object> body = new LinkedHashMap<>();
         body.put("id", id);
         body.put("herd", "try");
@@ -249,7 +254,7 @@
         body.put("same_place", false);
         body.put("apart", false);
         body.put("windfall", true);
-        body.put("guess_s", seconds);
+        body.put("guess_s", runTimeS);
         body.put("pin_s", 0.0);
         body.put("stash_s", 0.0);
         body.put("due_s", null);
--- a/src/main/java/garnetscale/cli/Main.java
+++ b/src/main/java/garnetscale/cli/Main.java
@@ -15,7 +15,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** The entry point: starts a controller, or runs one of the other commands. */
+/** The entry point of the process: starts a controller or runs one of the other commands. */
 @Command(
         name = "garnetscale",
         mixinStandardHelpOptions = true,
@@ -77,14 +77,14 @@
                 System.out.println(file + ": good");
                 return true;
             } catch (InvalidConfigurationException e) {
-                print(file, e);
+                printProblems(file, e);
                 return false;
             }
         }
     }
 
-    private static void print(Path file, InvalidConfigurationException faults) {
-        faults.problems().forEach(fault -> System.err.println(file + ": " + fault));
+    private static void printProblems(Path file, InvalidConfigurationException exception) {
+        exception.problems().forEach(problem -> System.err.println(file + ": " + problem));
     }
 
     @Override
@@ -96,7 +96,11 @@
         return serve(config, features);
     }
 
-    /** Serves until the process is killed; {@code features} is null where no feature is to be enabled. */
+    /**
+     * Serves until the process is killed.
+     *
+     * @param features the features file; null to enable no feature
+     */
     private static int serve(Path config, Path features) throws InterruptedException {
         Path currentFile = features;
         Settings settings;
@@ -105,7 +109,7 @@
             currentFile = config;
             settings = Settings.read(config, enabledFeatures);
         } catch (InvalidConfigurationException e) {
-            print(currentFile, e);
+            printProblems(currentFile, e);
             return BAD_INPUT;
         }
         try {
@@ -125,12 +129,12 @@
             System.err.println("garnetscale: LOG_LEVEL is not error, info or debug; taking info");
             level = "info";
         }
-        // Named, so that no start has to look for providers in every file of the jar.
+        // Names the provider, which spares each start a search for providers in every file of the jar.
         System.setProperty("slf4j.internal.verbosity", "WARN");
         System.setProperty("slf4j.provider", "org.slf4j.simple.SimpleServiceProvider");
         System.setProperty("org.slf4j.simpleLogger.defaultLogLevel", level);
         System.setProperty("org.slf4j.simpleLogger.log.io.netty", level.equals("debug") ? "info" : level);
-        // Netty makes its ids from the hardware address and the process id unless it is told some.
+        // Without these properties, Netty derives its ids from the hardware address and the process id.
         System.setProperty("io.netty.machineId", "02:00:00:00:00:01:00:00");
         System.setProperty("io.netty.processId", "1");
         System.setProperty("org.slf4j.simpleLogger.showThreadName", "false");
@@ -138,13 +142,13 @@
     }
 
     /**
-     * Runs the command line; the process ends with the command's exit code: 0, 1 if it can't serve or a controller refuses,
-     * 2 for invalid arguments or files.
+     * Runs the command line and exits with the command's exit code: 0 on success, 1 if the process can't serve or a controller
+     * refuses or doesn't answer, 2 for invalid arguments or files.
      */
     public static void main(String[] args) throws InterruptedException {
         setUpLogging();
-        // The platform's own call, at every restart: the class archive can't hold picocli, and parsing these few
-        // words with it would take a third of the start-up.
+        // The platform's command line at every restart is parsed without picocli: the class archive can't hold picocli,
+        // and parsing these few arguments with it would take a third of the start-up time.
         if (args.length == 2 && args[0].equals("--config")) {
             System.exit(serve(Path.of(args[1]), null));
         }
--- a/src/main/java/garnetscale/cli/OperatorClient.java
+++ b/src/main/java/garnetscale/cli/OperatorClient.java
@@ -8,10 +8,10 @@
 import java.io.IOException;
 import java.net.Socket;
 
-/** Sends one request to one controller over its address for controllers, and waits for the answer. */
+/** Sends a request to a controller at its address for other controllers, and waits for the answer. */
 final class OperatorClient {
 
-    /** Longer than any answer: a job of 100,000 placed tasks. */
+    /** Longer than any answer; the longest is that for a job with 100,000 placed tasks. */
     private static final int MAX_ANSWER_BYTES = 64 << 20;
 
     private final String address;
@@ -23,11 +23,11 @@
     }
 
     /**
-     * Sends the request.
+     * Sends a request and returns the answer.
      *
-     * @throws IOException if the controller is down, doesn't answer in time or answers something else
+     * @throws IOException if the controller is down, doesn't answer in time or sends anything other than an answer
      */
-    PeerMessage.OperatorResponse ask(PeerMessage.OperatorRequest request) throws IOException {
+    PeerMessage.OperatorResponse send(PeerMessage.OperatorRequest request) throws IOException {
         PeerCodec codec = new PeerCodec();
         try (Socket socket = new Socket()) {
             socket.connect(HttpClient.address(address), timeoutMs);
--- a/src/main/java/garnetscale/cli/OperatorCommand.java
+++ b/src/main/java/garnetscale/cli/OperatorCommand.java
@@ -18,14 +18,14 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** What all operators' commands share: which controller they ask, for how long, and how the answer is printed. */
+/** Base class of the operators' commands: holds the controller's address and the timeout, and prints the answer. */
 @Command(mixinStandardHelpOptions = true)
 abstract class OperatorCommand implements Callable<Integer> {
 
     private static final int DONE = 0;
     private static final int FAILED = 1;
-    /** Between two questions about a step that is under way. */
-    private static final long ASK_AGAIN_MS = 200;
+    /** Delay before a request is repeated while its step is under way. */
+    private static final long POLL_INTERVAL_MS = 200;
 
     @Spec
     CommandSpec spec;
@@ -43,18 +43,18 @@
             description = "Give up after so long (default ${DEFAULT-VALUE}).")
     int timeoutS;
 
-    /** The request that the command sends. */
+    /** Returns the request that the command sends. */
     abstract PeerMessage.OperatorRequest request();
 
     @Override
     public Integer call() throws InterruptedException {
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(timeoutS);
+        long deadlineNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(timeoutS);
         OperatorClient client = new OperatorClient(address, Math.max(1, timeoutS) * 1000);
         try {
-            PeerMessage.OperatorResponse answer = client.ask(request());
-            while (answer.outcome() == Outcome.UNDER_WAY && System.nanoTime() < end) {
-                TimeUnit.MILLISECONDS.sleep(ASK_AGAIN_MS);
-                answer = client.ask(request());
+            PeerMessage.OperatorResponse answer = client.send(request());
+            while (answer.outcome() == Outcome.UNDER_WAY && System.nanoTime() < deadlineNs) {
+                TimeUnit.MILLISECONDS.sleep(POLL_INTERVAL_MS);
+                answer = client.send(request());
             }
             return print(answer);
         } catch (IOException e) {
@@ -113,7 +113,7 @@
         return text.toString();
     }
 
-    /** A controller's view of the cluster. */
+    /** Shows a controller's view of the cluster. */
     @Command(name = "status", description = "Show leader, versions, controllers, blocks, teams and budgets.")
     static final class Status extends OperatorCommand {
 
@@ -123,7 +123,7 @@
         }
     }
 
-    /** One job. */
+    /** Shows one job. */
     @Command(name = "job", description = "Show a job's state, why it waits and where it runs.")
     static final class Job extends OperatorCommand {
 
@@ -136,7 +136,7 @@
         }
     }
 
-    /** A step of an upgrade, which only the leader carries out. */
+    /** Base class of the commands for the steps of an upgrade, which only the leader carries out. */
     abstract static class Step extends OperatorCommand {
 
         abstract UpgradeStep step();
@@ -177,7 +177,7 @@
         }
     }
 
-    /** The steps of an upgrade, and the state of it. */
+    /** Groups the commands for the steps and the state of an upgrade; prints the usage if called without a subcommand. */
     @Command(
             name = "upgrade",
             mixinStandardHelpOptions = true,
--- a/src/main/java/garnetscale/config/SettingsReader.java
+++ b/src/main/java/garnetscale/config/SettingsReader.java
@@ -148,8 +148,8 @@
     }
 
     /** Maps the name of an objective's kind; a kind that this version doesn't know is accepted and has no effect. */
-    private static SchedulerConfig.ObjectiveKind objectiveKind(String word) {
-        return switch (word) {
+    private static SchedulerConfig.ObjectiveKind objectiveKind(String value) {
+        return switch (value) {
             case "wait" -> SchedulerConfig.ObjectiveKind.START;
             case "finished" -> SchedulerConfig.ObjectiveKind.COMPLETION;
             case "deadline" -> SchedulerConfig.ObjectiveKind.DEADLINE;
--- a/src/main/java/garnetscale/controller/CloudLink.java
+++ b/src/main/java/garnetscale/controller/CloudLink.java
@@ -100,7 +100,7 @@
         send(HttpMethod.POST, "/machines", CloudCodec.scaleOut(call), new AnswerHandler() {
             @Override
             public void onOk(byte[] body) throws IOException {
-                autoscaler.onScaledOut(EventLoopPacer.now(), call, CloudCodec.scaledOut(body));
+                autoscaler.onScaledOut(EventLoopPacer.now(), call, CloudCodec.newInstances(body));
             }
 
             @Override
--- a/src/main/java/garnetscale/controller/PeerMessageHandler.java
+++ b/src/main/java/garnetscale/controller/PeerMessageHandler.java
@@ -146,7 +146,7 @@
             context.owner().onCancelled(cancelled.job());
             context.pacer().requestCycle();
         } else if (message instanceof PeerMessage.JobTerminated terminated) {
-            jobApi.onTerminated(terminated.job(), terminated.how());
+            jobApi.onTerminated(terminated.job(), terminated.terminalJob());
         } else if (message instanceof PeerMessage.MachineDirectory directory) {
             context.owner().onMachineDirectory(directory.machines(), directory.lateJobs(), directory.suspects());
             context.pacer().requestCycle();
--- a/src/main/java/garnetscale/controller/ReplicaWatch.java
+++ b/src/main/java/garnetscale/controller/ReplicaWatch.java
@@ -158,7 +158,7 @@
                 return;
             }
             try {
-                onChanges(StateCodec.log(result.body()), sentAt);
+                onChanges(StateCodec.changes(result.body()), sentAt);
                 done.accept(!listing.isRunning());
             } catch (IOException e) {
                 done.accept(false);
--- a/src/main/java/garnetscale/controller/SessionLease.java
+++ b/src/main/java/garnetscale/controller/SessionLease.java
@@ -55,7 +55,7 @@
         connection.call(
                 HttpMethod.POST,
                 StateCodec.LEASES_PATH,
-                StateCodec.lease(config.controllerLeaseMs()),
+                StateCodec.leaseRequest(config.controllerLeaseMs()),
                 StateConnection.TIMEOUT_MS,
                 this::onAcquired);
     }
@@ -67,7 +67,7 @@
             return;
         }
         try {
-            lease = StateCodec.lease(result.body());
+            lease = StateCodec.grantedLease(result.body());
             connection.onAnswered();
             register();
         } catch (IOException e) {
--- a/src/main/java/garnetscale/controller/StateReads.java
+++ b/src/main/java/garnetscale/controller/StateReads.java
@@ -64,7 +64,7 @@
             done.accept(
                     result.is(HttpStatus.OK)
                             ? Set.of()
-                            : result.is(HttpStatus.CONFLICT) ? StateCodec.failed(result.body()) : null);
+                            : result.is(HttpStatus.CONFLICT) ? StateCodec.failedGuards(result.body()) : null);
         } catch (IOException e) {
             done.accept(null);
         }
--- a/src/main/java/garnetscale/peer/PeerCodec.java
+++ b/src/main/java/garnetscale/peer/PeerCodec.java
@@ -25,14 +25,14 @@
 import org.apache.avro.io.EncoderFactory;
 
 /**
- * Encodes and decodes peer messages in Avro's binary form. The schema is {@code peer.avsc}, and a test holds this to it by
- * Avro's own generic reader and writer; here its fields are written and read in their order by Avro's encoder and decoder. To
- * parse the schema and make generic records took a third of a starting process's time, and most of what a message costs. Not
- * thread-safe.
+ * Encodes and decodes peer messages in Avro's binary encoding. The schema is {@code peer.avsc}. This class writes and reads the
+ * fields directly, in schema order, with Avro's encoder and decoder; a test checks the result against the schema with Avro's
+ * generic reader and writer. Parsing the schema and building generic records took a third of a process's start-up time and
+ * most of the cost of each message. Not thread-safe.
  */
 public final class PeerCodec {
 
-    /** Positions in the schema's union; those that are left out are records inside other messages. */
+    /** Indexes of the messages in the schema's union; the missing indexes belong to records nested in other messages. */
     private static final int CONTROLLER_HEARTBEAT = 0;
 
     private static final int MACHINE_STATUS = 2;
@@ -42,11 +42,11 @@
     private static final int BIDS = 8;
     private static final int OPERATOR_REQUEST = 9;
     private static final int OPERATOR_RESPONSE = 10;
-    /** Positions in the union of null and a value. */
+    /** Indexes in the union of null and a value. */
     private static final int ABSENT = 0;
 
     private static final int PRESENT = 1;
-    /** The code of a task that has no exit cause; causes and states are coded by their order. */
+    /** Stands for the absence of an exit cause; causes and states are encoded as their ordinals. */
     private static final int NO_CAUSE = -1;
 
     private static final int INITIAL_BUFFER_BYTES = 1024;
@@ -57,19 +57,19 @@
     private BinaryEncoder encoder;
     private BinaryDecoder decoder;
 
-    /** Writes one item of a list. */
+    /** Writes one list item. */
     private interface ItemWriter<T> {
         void write(T item) throws IOException;
     }
 
-    /** Reads one item of a list. */
+    /** Reads one list item. */
     private interface ItemReader<T> {
         T read() throws IOException;
     }
 
     // ---- encoding
 
-    /** Encodes a message. */
+    /** Returns the binary encoding of a message. */
     public byte[] encode(PeerMessage message) {
         bytes.reset();
         encoder = EncoderFactory.get().binaryEncoder(bytes, encoder);
@@ -77,7 +77,7 @@
             write(encoder, message);
             encoder.flush();
         } catch (IOException e) {
-            throw new IllegalStateException("a buffer in memory can't be written", e);
+            throw new IllegalStateException("write to in-memory buffer failed", e);
         }
         return bytes.toByteArray();
     }
@@ -110,7 +110,8 @@
             out.writeString(response.outcome().name());
             out.writeString(response.json());
         } else {
-            throw new IllegalArgumentException("no encoding for " + message);
+            throw new IllegalArgumentException(
+                    "no encoding for message type " + message.getClass().getName());
         }
     }
 
@@ -144,10 +145,10 @@
 
     private static void writeJobTerminated(Encoder out, PeerMessage.JobTerminated terminated) throws IOException {
         out.writeString(terminated.job());
-        out.writeString(terminated.how().state().name());
-        out.writeInt(terminated.how().tasks());
-        out.writeInt(terminated.how().finished());
-        out.writeString(terminated.how().team());
+        out.writeString(terminated.terminalJob().state().name());
+        out.writeInt(terminated.terminalJob().tasks());
+        out.writeInt(terminated.terminalJob().finished());
+        out.writeString(terminated.terminalJob().team());
     }
 
     private static void writeMachineStatus(Encoder out, MachineStatus status) throws IOException {
@@ -202,8 +203,12 @@
 
     // ---- decoding
 
-    /** Decodes a message; an IOException tells that the bytes aren't exactly one. */
-    @SuppressWarnings("IllegalCatch") // Malformed bytes make Avro and the constructors here fail in many ways.
+    /**
+     * Decodes a message.
+     *
+     * @throws IOException if the bytes are malformed or not exactly one message
+     */
+    @SuppressWarnings("IllegalCatch") // Avro and the constructors throw many types on malformed bytes.
     public PeerMessage decode(byte[] message) throws IOException {
         decoder = DecoderFactory.get().binaryDecoder(message, decoder);
         try {
@@ -218,8 +223,8 @@
     }
 
     private static PeerMessage read(Decoder in) throws IOException {
-        int kind = in.readIndex();
-        return switch (kind) {
+        int index = in.readIndex();
+        return switch (index) {
             case CONTROLLER_HEARTBEAT ->
                 new PeerMessage.ControllerHeartbeat(
                         in.readString(), in.readLong(), in.readLong(), in.readLong(), in.readBoolean());
@@ -242,7 +247,7 @@
                 new PeerMessage.OperatorResponse(
                         PeerMessage.OperatorResponse.Outcome.valueOf(in.readString()), in.readString());
             case BIDS -> new PeerMessage.Bids(readBidBatch(in));
-            default -> throw new IOException("unknown kind of peer message: " + kind);
+            default -> throw new IOException("unknown kind of peer message: " + index);
         };
     }
 
--- a/src/main/java/garnetscale/peer/PeerMessage.java
+++ b/src/main/java/garnetscale/peer/PeerMessage.java
@@ -6,33 +6,33 @@
 import garnetscale.core.state.Records;
 import java.util.List;
 
-/** What controllers send each other, and operators send to a controller. Any of them may be lost. */
+/** A message from one controller to another, or between an operator and a controller. Any message may be lost. */
 public sealed interface PeerMessage {
 
     /**
-     * Shows that a controller is up, every second and whenever what it says has changed.
+     * A controller's proof that it is up, sent every second and whenever its content changes.
      *
      * @param node                the sender's name
-     * @param incarnation         the lease that the sender is registered under, or -1
-     * @param leaderTerm          the term that the sender leads under, or -1
-     * @param stateAgeMs          how long ago the sender sent its last request that the state service answered
-     * @param isolatedFromWorkers whether no worker reaches the sender
+     * @param incarnation         the lease under which the sender is registered; -1 if it is not registered
+     * @param leaderTerm          the term in which the sender is leader; -1 if it is not the leader
+     * @param stateAgeMs          milliseconds since the sender sent the latest request that the state service has answered
+     * @param isolatedFromWorkers whether no worker can reach the sender
      */
     record ControllerHeartbeat(
             String node, long incarnation, long leaderTerm, long stateAgeMs, boolean isolatedFromWorkers)
             implements PeerMessage {}
 
     /**
-     * What every controller must know of machines and jobs beyond its own partitions, from the leader.
+     * The leader's information for every controller about machines and jobs outside the controller's own partitions.
      *
-     * @param machines all machines that the cloud lists
-     * @param lateJobs started jobs that the leader takes late bids for
-     * @param suspects jobs that fail wherever they run
+     * @param machines all machines in the cloud's instance list
+     * @param lateJobs ids of started jobs for which the leader accepts late bids
+     * @param suspects ids of jobs that fail on every machine they run on
      */
     record MachineDirectory(List<MachineAddress> machines, List<String> lateJobs, List<String> suspects)
             implements PeerMessage {
 
-        /** Explicit because it is on the hot path; {@link garnetscale.core} says why. */
+        /** Explicit because it is on the hot path; see {@link garnetscale.core}. */
         @Override
         public boolean equals(Object object) {
             return object instanceof MachineDirectory other
@@ -47,28 +47,32 @@
         }
     }
 
-    /** A user's cancellation that the sender has stored. */
+    /** A user's cancellation of a job, which the sender has stored. */
     record JobCancelled(String job) implements PeerMessage {}
 
-    /** A job's end that the leader knows to be stored; it never changes again. */
-    record JobTerminated(String job, Records.TerminalJob how) implements PeerMessage {}
+    /** A job's terminal record, which the leader knows to be stored; it never changes again. */
+    record JobTerminated(String job, Records.TerminalJob terminalJob) implements PeerMessage {}
 
-    /** The status of a machine, from the owner of its partition to the leader. */
+    /** The status of a machine, sent by its partition's owner to the leader. */
     record MachineStatusUpdate(MachineStatus machineStatus) implements PeerMessage {}
 
-    /** The bids of an owner's machines, for the leader. */
+    /** The bids of a partition owner's machines, sent to the leader. */
     record Bids(BidBatch batch) implements PeerMessage {}
 
-    /** What an operator asks a controller on the command line; no controller asks another. */
+    /**
+     * A request that an operator sends to a controller from the command line; controllers send none to each other.
+     *
+     * @param argument the job's id for {@code JOB}, the step's name for {@code UPGRADE}, otherwise empty
+     */
     record OperatorRequest(Kind kind, String argument) implements PeerMessage {
 
-        /** What is asked; all but {@code UPGRADE} only read. */
+        /** The kind of request; all but {@code UPGRADE} are read-only. */
         public enum Kind {
-            /** The controller's view of the cluster. */
+            /** Returns the controller's view of the cluster. */
             STATUS,
-            /** The job that the argument names. */
+            /** Returns the job named by the argument. */
             JOB,
-            /** The step that the argument names. */
+            /** Carries out the upgrade step named by the argument. */
             UPGRADE
         }
     }
@@ -76,13 +80,13 @@
     /** The answer to an {@link OperatorRequest}, in JSON. */
     record OperatorResponse(Outcome outcome, String json) implements PeerMessage {
 
-        /** How the request ended. */
+        /** The outcome of a request. */
         public enum Outcome {
-            /** Answered, or carried out. */
+            /** The request was answered or carried out. */
             DONE,
-            /** It is being carried out: asked for again, it is found done. */
+            /** The request is being carried out; a repeated request returns {@code DONE} once it is complete. */
             UNDER_WAY,
-            /** Nothing was changed; the answer says why. */
+            /** Nothing was changed; the answer gives the reason. */
             REFUSED
         }
     }
--- a/src/main/java/garnetscale/peer/package-info.java
+++ b/src/main/java/garnetscale/peer/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The messages that controllers send each other and that operators send to a controller, and their encoding by
- * {@code peer.avsc}. Values only: no sockets, no clock, no state but the codec's buffers.
+ * The messages between controllers and between operators and controllers, and their encoding by {@code peer.avsc}. This package
+ * uses no sockets and no clock, and its only state is the codec's buffers.
  */
 package garnetscale.peer;
--- a/src/main/java/garnetscale/wire/Cbor.java
+++ b/src/main/java/garnetscale/wire/Cbor.java
@@ -9,8 +9,8 @@
 import java.util.Map;
 
 /**
- * Reads and writes CBOR bodies as plain maps, lists, strings and numbers, by Jackson's streaming parser. No data binding:
- * initialising it would cost a starting process more processor time than everything else together.
+ * Reads and writes CBOR bodies as plain maps, lists, strings and numbers, with Jackson's streaming API. It doesn't use data
+ * binding, whose initialization would cost a starting process more CPU time than everything else together.
  */
 public final class Cbor {
 
@@ -24,7 +24,7 @@
     /**
      * Decodes exactly one value.
      *
-     * @throws IOException if the body is empty, cut short, nested too deeply or followed by more
+     * @throws IOException if the body is empty, truncated, nested too deeply or followed by further bytes
      */
     public static Object read(byte[] body) throws IOException {
         try (JsonParser parser = FACTORY.createParser(body)) {
@@ -44,7 +44,7 @@
         throw new IOException("not a map");
     }
 
-    /** Encodes a value of maps, lists, strings, booleans and numbers. */
+    /** Encodes a value that consists of maps, lists, strings, booleans and numbers. */
     public static byte[] write(Object value) {
         ByteArrayOutputStream out = new ByteArrayOutputStream(256);
         try (JsonGenerator generator = FACTORY.createGenerator(out)) {
--- a/src/main/java/garnetscale/wire/CloudCodec.java
+++ b/src/main/java/garnetscale/wire/CloudCodec.java
@@ -9,11 +9,11 @@
 import java.util.List;
 import java.util.Map;
 
-/** Encodes requests to the cloud and decodes its answers, in the words of PROTOCOL, "The cloud". */
+/** Encodes requests to the cloud and decodes its answers; the field names are those of PROTOCOL, "The cloud". */
 public final class CloudCodec {
 
-    /** Instances per page of the instance list. */
-    public static final int PAGE = 500;
+    /** Maximum number of instances in a page of the instance list. */
+    public static final int PAGE_SIZE = 500;
 
     /**
      * One page of the instance list.
@@ -35,7 +35,7 @@
             Fields type = Fields.of(item, "breed");
             double price = type.amount("rate");
             Double spot = type.amountOrNull("market_price");
-            List<String> zones = type.textsOrNull("fields");
+            List<String> zones = type.textListOrNull("fields");
             list.add(new MachineType(
                     type.text("name"),
                     type.amount("cpus"),
@@ -63,12 +63,13 @@
     }
 
     /**
-     * Decodes the names of the instances that a scale-out request brought; empty if the answer names none.
+     * Decodes the answer to a scale-out request.
      *
+     * @return the ids of the new instances; empty if the answer names none
      * @throws IOException if the body is malformed
      */
-    public static List<String> scaledOut(byte[] body) throws IOException {
-        List<String> ids = new Fields(Cbor.readMap(body)).textsOrNull("hives");
+    public static List<String> newInstances(byte[] body) throws IOException {
+        List<String> ids = new Fields(Cbor.readMap(body)).textListOrNull("hives");
         return ids == null ? List.of() : ids;
     }
 
@@ -77,9 +78,9 @@
         return Cbor.write(Map.of("hives", request.machines()));
     }
 
-    /** The path and query of a page of the instance list. */
+    /** Returns the path and query of a page of the instance list. */
     public static String pagePath(CloudCall.ListInstances request) {
-        return "/machines?limit=" + PAGE + (request.after().isEmpty() ? "" : "&since=" + request.after());
+        return "/machines?limit=" + PAGE_SIZE + (request.after().isEmpty() ? "" : "&since=" + request.after());
     }
 
     /**
--- a/src/main/java/garnetscale/wire/Fields.java
+++ b/src/main/java/garnetscale/wire/Fields.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** Reads the fields of a decoded body; each exception names the field that is malformed. */
+/** Typed access to the fields of a decoded body; the message of each exception names the malformed field. */
 final class Fields {
 
     private final Map<?, ?> map;
@@ -40,7 +40,7 @@
         return Boolean.TRUE.equals(map.get(name));
     }
 
-    /** A finite number of at least zero. */
+    /** Returns a finite number that is at least 0. */
     double amount(String name) throws IOException {
         Double amount = amountOrNull(name);
         if (amount == null) {
@@ -63,7 +63,7 @@
         throw new IOException(name + " is not a finite number of at least 0");
     }
 
-    long whole(String name) throws IOException {
+    long integer(String name) throws IOException {
         Object value = map.get(name);
         if (value instanceof Integer || value instanceof Long) {
             return ((Number) value).longValue();
@@ -71,8 +71,8 @@
         throw new IOException(name + " is not an integer");
     }
 
-    long wholeOr(String name, long other) throws IOException {
-        return map.get(name) == null ? other : whole(name);
+    long integerOrDefault(String name, long defaultValue) throws IOException {
+        return map.get(name) == null ? defaultValue : integer(name);
     }
 
     List<?> list(String name) throws IOException {
@@ -82,7 +82,7 @@
         throw new IOException(name + " is not a list");
     }
 
-    List<String> textsOrNull(String name) throws IOException {
+    List<String> textListOrNull(String name) throws IOException {
         if (map.get(name) == null) {
             return null;
         }
--- a/src/main/java/garnetscale/wire/StateCodec.java
+++ b/src/main/java/garnetscale/wire/StateCodec.java
@@ -11,56 +11,62 @@
 import java.util.Set;
 
 /**
- * Requests to the state service and its answers. The words of the protocol end here: {@code stamp} is a key's modRevision,
- * {@code ledger} the revision of the store, {@code tenure} a lease, {@code /holds} the leases, {@code /multi} transactions.
- * An answer that can't be decoded raises an {@link IOException}.
+ * Encodes requests to the state service and decodes its answers. Maps the protocol's names to the terms of the code:
+ * {@code stamp} is a key's modRevision, {@code ledger} the revision of the store, {@code tenure} a lease, {@code /holds} the
+ * leases and {@code /multi} transactions. Decoding a malformed answer throws an {@link IOException}.
  */
 public final class StateCodec {
 
-    /** Where transactions are sent. */
+    /** The path of transactions. */
     public static final String TRANSACTION_PATH = "/multi";
-    /** Where leases are asked for. */
+    /** The path of requests for a lease. */
     public static final String LEASES_PATH = "/holds";
 
     /**
-     * Keys as of a revision: a page of a listing, or the changes that a watch brings.
+     * Keys as of a revision: one page of a listing, or the changes that a watch returned.
      *
-     * @param more whether there are further pages
+     * @param more whether further pages follow
      */
     public record Batch(List<KeyChange> changes, long revision, boolean more) {}
 
     private StateCodec() {}
 
-    /** Where a lease is kept alive. */
+    /** Returns the path of requests that keep a lease alive. */
     public static String keepAlivePath(long lease) {
         return LEASES_PATH + "/" + lease + "/touch";
     }
 
-    /** Where a single key is read. */
+    /** Returns the path of a single key. */
     public static String keyPath(String key) {
         return "/keys/" + key;
     }
 
     /**
-     * Where a page of the keys under a prefix is listed.
+     * Returns the path and query of one page of the keys with a prefix.
      *
-     * @param since the last key of the page before, empty for the first page
+     * @param limit the maximum number of keys in the page
+     * @param since the last key of the previous page; empty for the first page
      */
     public static String listingPath(String prefix, int limit, String since) {
         return "/keys?starts=" + prefix + "&limit=" + limit + (since.isEmpty() ? "" : "&since=" + since);
     }
 
-    /** Where the changes of keys under a prefix after a revision are read; the service waits for one so long. */
+    /**
+     * Returns the path and query of a watch on the keys with a prefix.
+     *
+     * @param revision the watch returns the changes after this revision
+     * @param waitMs   how long the service waits for a change before it answers, in milliseconds
+     */
     public static String watchPath(String prefix, long revision, long waitMs) {
         return "/follow?starts=" + prefix + "&since=" + revision + "&wait_ms=" + waitMs;
     }
 
-    /** The body of a transaction. */
+    /** Encodes a transaction. */
     public static byte[] transaction(Transaction transaction) {
         return Cbor.write(tree(transaction));
     }
 
-    /** A transaction as the protocol has it, before it is encoded. */
+    /** Returns a transaction as the tree of maps and lists that {@link #transaction} encodes. */
     public static Map<String, Object> tree(Transaction transaction) {
         List<Object> guards = new ArrayList<>();
         transaction.guards().forEach((key, modRevision) -> guards.add(Map.of("key", key, "stamp", modRevision)));
@@ -85,49 +91,49 @@
         return fields;
     }
 
-    /** The revision that a transaction's answer is as of. */
+    /** Decodes the store's revision from the answer to a transaction. */
     public static long revision(byte[] body) throws IOException {
-        return new Fields(Cbor.readMap(body)).whole("ledger");
+        return new Fields(Cbor.readMap(body)).integer("ledger");
     }
 
-    /** The keys whose guards made a transaction fail; at least one. */
-    public static Set<String> failed(byte[] body) throws IOException {
+    /** Decodes the keys whose guards failed from the answer to a transaction; there is at least one. */
+    public static Set<String> failedGuards(byte[] body) throws IOException {
         Set<String> keys = new HashSet<>();
         new Fields(Cbor.readMap(body)).list("failed").forEach(key -> keys.add(String.valueOf(key)));
         if (keys.isEmpty()) {
-            throw new IOException("a failed transaction without a failed key");
+            throw new IOException("answer to a failed transaction names no failed key");
         }
         return keys;
     }
 
-    /** The body of a request for a lease of so many milliseconds. */
-    public static byte[] lease(long ttlMs) {
+    /** Encodes a request for a lease with a time to live of {@code ttlMs} milliseconds. */
+    public static byte[] leaseRequest(long ttlMs) {
         return Cbor.write(Map.of("ttl_ms", ttlMs));
     }
 
-    /** The lease that was granted. */
-    public static long lease(byte[] body) throws IOException {
-        return new Fields(Cbor.readMap(body)).whole("tenure");
+    /** Decodes the lease from the answer to a request for a lease. */
+    public static long grantedLease(byte[] body) throws IOException {
+        return new Fields(Cbor.readMap(body)).integer("tenure");
     }
 
-    /** The value of a single key. */
+    /** Decodes the value of a single key. */
     public static Object value(byte[] body) throws IOException {
         return Cbor.readMap(body).get("v");
     }
 
-    /** A page of a listing. */
+    /** Decodes one page of a listing. */
     public static Batch listing(byte[] body) throws IOException {
         Fields fields = new Fields(Cbor.readMap(body));
         List<KeyChange> listed = new ArrayList<>();
         for (Object element : fields.list("pairs")) {
             Map<?, ?> pair = (Map<?, ?>) element;
-            listed.add(new KeyChange((String) pair.get("key"), pair.get("v"), new Fields(pair).whole("stamp")));
+            listed.add(new KeyChange((String) pair.get("key"), pair.get("v"), new Fields(pair).integer("stamp")));
         }
-        return new Batch(listed, fields.whole("ledger"), fields.flagOrFalse("has_next"));
+        return new Batch(listed, fields.integer("ledger"), fields.flagOrFalse("has_next"));
     }
 
-    /** The changes that a watch brings. */
-    public static Batch log(byte[] body) throws IOException {
+    /** Decodes the changes that a watch returned. */
+    public static Batch changes(byte[] body) throws IOException {
         Fields fields = new Fields(Cbor.readMap(body));
         List<KeyChange> changes = new ArrayList<>();
         for (Object element : fields.list("log")) {
@@ -136,8 +142,8 @@
             changes.add(new KeyChange(
                     (String) change.get(isPut ? "set" : "remove"),
                     isPut ? change.get("v") : null,
-                    new Fields(change).whole("stamp")));
+                    new Fields(change).integer("stamp")));
         }
-        return new Batch(changes, fields.whole("ledger"), false);
+        return new Batch(changes, fields.integer("ledger"), false);
     }
 }
--- a/src/main/java/garnetscale/wire/Trees.java
+++ b/src/main/java/garnetscale/wire/Trees.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** Converts between Jackson's streaming parsers and generators of any format and plain maps, lists, strings and numbers. */
+/** Reads and writes plain maps, lists, strings and numbers with Jackson's streaming parsers and generators of any format. */
 public final class Trees {
 
     private Trees() {}
@@ -17,7 +17,7 @@
     /**
      * Reads exactly one value.
      *
-     * @throws IOException if there is none, it is cut short or followed by more
+     * @throws IOException if there is no value, or it is truncated or followed by another value
      */
     public static Object read(JsonParser parser) throws IOException {
         if (parser.nextToken() == null) {
@@ -97,7 +97,7 @@
         } else if (value == null) {
             generator.writeNull();
         } else {
-            throw new IllegalArgumentException("no form in the protocol for " + value.getClass());
+            throw new IllegalArgumentException("no encoding for values of " + value.getClass());
         }
     }
 }
--- a/src/main/java/garnetscale/wire/UserCodec.java
+++ b/src/main/java/garnetscale/wire/UserCodec.java
@@ -8,33 +8,38 @@
 import java.util.regex.Pattern;
 
 /**
- * Decodes what users submit and encodes what they are answered (PROTOCOL, "Users"). Only here and in the other codecs stand
- * the words of the protocol.
+ * Decodes users' submissions and encodes the answers to users (PROTOCOL, "Users"). The protocol's field names and values appear
+ * only in this and the other codecs.
  */
 public final class UserCodec {
 
-    /** The most tasks that one job may have. */
+    /** Maximum number of tasks in a job. */
     public static final int MAX_TASKS = 100_000;
 
-    private static final int MAX_TEXT = 200;
-    private static final Pattern ID = Pattern.compile("wk-[0-9]{1,18}");
+    private static final int MAX_TEXT_LENGTH = 200;
+    private static final Pattern ID_PATTERN = Pattern.compile("wk-[0-9]{1,18}");
 
     /**
-     * The state of a job as its user is told.
+     * The answer to a user's request, with the state of a job.
      *
-     * @param reason null unless tasks wait, were stopped, or the request was rejected
+     * @param id      the job's id
+     * @param state   the job's state, in the protocol's words
+     * @param done    number of finished tasks
+     * @param running number of placed tasks
+     * @param team    the job's team; null to leave it out of the answer
+     * @param reason  why tasks wait or were stopped, or why the request was rejected; otherwise null
      */
     public record Answer(String id, String state, int done, int running, String team, String reason) {}
 
     private UserCodec() {}
 
-    /** Whether a text has the form of a job id. */
+    /** Returns whether a text is a well-formed job id. */
     public static boolean isId(String id) {
-        return ID.matcher(id).matches();
+        return ID_PATTERN.matcher(id).matches();
     }
 
     /**
-     * Decodes the id of a submission alone: a job that is known already is answered whatever else its body says.
+     * Decodes only the id of a submission. A submission whose id is already known is answered regardless of its other fields.
      *
      * @throws IOException if the id is missing or malformed
      */
@@ -49,7 +54,7 @@
     /**
      * Decodes a submission.
      *
-     * @throws IOException if a field is missing or malformed; the message names it
+     * @throws IOException if a field is missing or malformed; the message names the field
      */
     public static JobSpec job(Map<?, ?> body) throws IOException {
         Fields fields = new Fields(body);
@@ -65,7 +70,7 @@
                     case "low" -> Priority.LOW;
                     default -> throw new IOException("rank is not critical, high, standard or low");
                 };
-        long tasks = fields.whole("chores");
+        long tasks = fields.integer("chores");
         if (tasks < 1 || tasks > MAX_TASKS) {
             throw new IOException("chores is not from 1 to " + MAX_TASKS);
         }
@@ -78,7 +83,7 @@
                 fields.amount("cpus"),
                 fields.amount("gpus"),
                 fields.amount("ram_gb"),
-                fields.textsOrNull("breeds"),
+                fields.textListOrNull("breeds"),
                 fields.textOrNull("field"),
                 fields.flag("same_place"),
                 fields.flag("apart"),
@@ -93,13 +98,13 @@
 
     private static String text(Fields fields, String name) throws IOException {
         String text = fields.text(name);
-        if (text.isEmpty() || text.length() > MAX_TEXT) {
-            throw new IOException(name + " is empty or longer than " + MAX_TEXT);
+        if (text.isEmpty() || text.length() > MAX_TEXT_LENGTH) {
+            throw new IOException(name + " is empty or longer than " + MAX_TEXT_LENGTH);
         }
         return text;
     }
 
-    /** Encodes the state of a job. */
+    /** Encodes an answer with the state of a job. */
     public static byte[] answer(Answer answer) {
         Map<String, Object> body = new LinkedHashMap<>();
         body.put("id", answer.id());
@@ -115,7 +120,7 @@
         return Cbor.write(body);
     }
 
-    /** Encodes an error with its reason. */
+    /** Encodes an error answer. */
     public static byte[] error(String reason) {
         return Cbor.write(Map.of("error", reason));
     }
--- a/src/main/java/garnetscale/wire/WorkerCodec.java
+++ b/src/main/java/garnetscale/wire/WorkerCodec.java
@@ -12,15 +12,15 @@
 import java.util.List;
 import java.util.Map;
 
-/** Decodes heartbeats of workers and encodes answers and commands to them (PROTOCOL, "Workers"). */
+/** Decodes workers' heartbeats, and encodes the answers to them and commands to workers (PROTOCOL, "Workers"). */
 public final class WorkerCodec {
 
     private WorkerCodec() {}
 
     /**
-     * Decodes a heartbeat; states and causes that the protocol doesn't name become {@code UNKNOWN} and {@code OTHER}.
+     * Decodes a heartbeat. A task state that the protocol doesn't define becomes {@code UNKNOWN}, an exit cause {@code OTHER}.
      *
-     * @throws IOException if a field is missing or malformed; the message names it
+     * @throws IOException if a field is missing or malformed; the message names the field
      */
     public static WorkerHeartbeat heartbeat(byte[] body) throws IOException {
         Fields fields = new Fields(Cbor.readMap(body));
@@ -34,7 +34,7 @@
             TaskState state = state(task.text("mood"));
             tasks.add(new TaskStatus(
                     id,
-                    task.whole("try"),
+                    task.integer("try"),
                     state,
                     state == TaskState.EXITED ? cause(task.textOrNull("cause")) : null,
                     task.flagOrFalse("saved")));
@@ -45,15 +45,15 @@
                 fields.text("breed"),
                 fields.text("field"),
                 fields.flagOrFalse("windfall"),
-                fields.whole("shift"),
-                fields.whole("tick"),
-                fields.wholeOr("baton", 0),
+                fields.integer("shift"),
+                fields.integer("tick"),
+                fields.integerOrDefault("baton", 0),
                 fields.amountOrNull("warning_s"),
                 List.copyOf(tasks));
     }
 
-    private static TaskState state(String word) {
-        return switch (word) {
+    private static TaskState state(String value) {
+        return switch (value) {
             case "fetching" -> TaskState.FETCHING;
             case "running" -> TaskState.RUNNING;
             case "saving" -> TaskState.CHECKPOINTING;
@@ -62,8 +62,8 @@
         };
     }
 
-    private static ExitCause cause(String word) {
-        return switch (word == null ? "" : word) {
+    private static ExitCause cause(String value) {
+        return switch (value == null ? "" : value) {
             case "done" -> ExitCause.DONE;
             case "halted" -> ExitCause.STOPPED;
             case "error" -> ExitCause.ERROR;
@@ -79,12 +79,16 @@
         return Cbor.write(Map.of("baton", fencingToken, "orders", commands(commands)));
     }
 
-    /** Encodes commands that are sent directly, outside of a heartbeat. */
+    /** Encodes commands sent directly to a worker, rather than in the answer to a heartbeat. */
     public static byte[] commands(long fencingToken, long agentEpoch, List<WorkerCommand> commands) {
         return Cbor.write(Map.of("baton", fencingToken, "shift", agentEpoch, "orders", commands(commands)));
     }
 
-    /** Encodes the answer to a heartbeat that another controller is to get; {@code node} is null when none is known. */
+    /**
+     * Encodes an answer that redirects a heartbeat to another controller.
+     *
+     * @param node the other controller's name; null if no such controller is known
+     */
     public static byte[] redirect(String node) {
         return Cbor.write(node == null ? Map.of() : Map.of("steward", node));
     }
--- a/src/main/java/garnetscale/wire/package-info.java
+++ b/src/main/java/garnetscale/wire/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The codecs of the published protocol: users, workers, the cloud and the state service. The protocol's own words stand here
- * and nowhere else; the codecs map them to the terms of the code. Everything here is stateless and may be used by any thread.
+ * The codecs of the published protocol for users, workers, the cloud and the state service. The protocol's own field names and
+ * values appear only in this package; the codecs map them to the terms of the code. All classes are stateless and thread-safe.
  */
 package garnetscale.wire;
--- a/src/test/java/garnetscale/ExpectedForms.java
+++ b/src/test/java/garnetscale/ExpectedEncodings.java
@@ -12,10 +12,10 @@
 import java.util.stream.Collectors;
 
 /**
- * Expected encodings, kept in a file with one line an item: {@code name = text}. {@code -Dencoded=renew} writes the file anew
- * instead of comparing, which is right only when an encoding is meant to change; the file's difference then shows how.
+ * Expected encodings in a file with one line per item: {@code name = text}. {@code -Dencoded=renew} rewrites the file instead of
+ * comparing. Use it only when an encoding is meant to change; the diff of the file then shows the change.
  */
-public final class ExpectedForms {
+public final class ExpectedEncodings {
 
     private static final Path DIRECTORY = Path.of("src/test/resources/encoded");
     private static final String SEPARATOR = " = ";
@@ -23,11 +23,11 @@
 
     private final Path file;
 
-    public ExpectedForms(String fileName) {
+    public ExpectedEncodings(String fileName) {
         this.file = DIRECTORY.resolve(fileName);
     }
 
-    /** Compares a text with the one that the file has under the name. */
+    /** Checks a text against the item with the given name. */
     public void check(String name, String actual) {
         try {
             if (RENEW) {
@@ -44,12 +44,12 @@
         check(name, HexFormat.of().formatHex(actual));
     }
 
-    /** Compares several encodings that stand in one line, so that none can be left out. */
+    /** Checks several encodings against one item, so that none can be left out. */
     public void check(String name, List<byte[]> actual) {
         check(name, actual.stream().map(HexFormat.of()::formatHex).collect(Collectors.joining(" ")));
     }
 
-    /** Compares a tree of maps, lists, texts and numbers. */
+    /** Checks a tree of maps, lists, strings and numbers. */
     public void checkTree(String name, Object actual) {
         check(name, canonical(actual));
     }
@@ -73,7 +73,10 @@
         Files.writeString(file, lines);
     }
 
-    /** JSON with sorted keys, since {@code Map.of} has no fixed order; a long is marked by L, a double has a point. */
+    /**
+     * Returns a value as JSON with sorted keys, because {@code Map.of} has no fixed order. A long has the suffix L, a double has a
+     * decimal point.
+     */
     public static String canonical(Object value) {
         if (value instanceof Map<?, ?> map) {
             Map<String, String> sorted = new TreeMap<>();
@@ -83,7 +86,7 @@
                     .collect(Collectors.joining(",", "{", "}"));
         }
         if (value instanceof List<?> list) {
-            return list.stream().map(ExpectedForms::canonical).collect(Collectors.joining(",", "[", "]"));
+            return list.stream().map(ExpectedEncodings::canonical).collect(Collectors.joining(",", "[", "]"));
         }
         if (value instanceof String text) {
             return quoted(text);
@@ -91,7 +94,7 @@
         boolean isPlain =
                 value == null || value instanceof Integer || value instanceof Double || value instanceof Boolean;
         if (!isPlain && !(value instanceof Long)) {
-            throw new IllegalArgumentException("no form for " + value.getClass());
+            throw new IllegalArgumentException("no canonical text for values of " + value.getClass());
         }
         return value + (value instanceof Long ? "L" : "");
     }
--- a/src/test/java/garnetscale/cli/LoopbackDemoTest.java
+++ b/src/test/java/garnetscale/cli/LoopbackDemoTest.java
@@ -5,11 +5,11 @@
 import org.junit.jupiter.api.Test;
 import picocli.CommandLine;
 
-/** Two whole controllers, a state service, a cloud and two workers over loopback sockets, until a job is done. */
+/** Runs two complete controllers, a state service, a cloud and two workers over loopback sockets until a job is done. */
 class LoopbackDemoTest {
 
     @Test
-    void runsAJobToDoneAndCancelsAnother() {
+    void completesOneJobAndCancelsAnother() {
         assertEquals(0, new CommandLine(new LoopbackDemo()).execute("--seconds", "120"));
     }
 }
--- a/src/test/java/garnetscale/cli/MixedVersionsTest.java
+++ b/src/test/java/garnetscale/cli/MixedVersionsTest.java
@@ -36,8 +36,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Two whole controllers over loopback sockets, one of them restarted with other ranges of versions, while jobs come and run: an
- * upgrade, a rollback and an upgrade again, by what operators may ask.
+ * Upgrades, rolls back and upgrades again, by operators' requests, while users submit jobs and jobs run. Two complete controllers
+ * run over loopback sockets; one of them is restarted with other ranges of supported versions.
  */
 class MixedVersionsTest {
 
@@ -58,19 +58,19 @@
     private String state;
     private String cloud;
 
-    private void startOutside() throws IOException {
+    private void startEmulatedServices() throws IOException {
         for (int i = 0; i < 2; i++) {
             listen[i] = LoopbackDemo.freePort();
             back[i] = LoopbackDemo.freePort();
         }
-        EmulatedServices outside = new EmulatedServices(loop, Map.of("node-0", listen[0], "node-1", listen[1]), 300);
-        state = outside.startState("127.0.0.1:0");
-        cloud = outside.startCloud("127.0.0.1:0");
-        outside.startWorker("m-000001", WORKER_LEASE_MS);
-        outside.startWorker("m-000002", WORKER_LEASE_MS);
+        EmulatedServices services = new EmulatedServices(loop, Map.of("node-0", listen[0], "node-1", listen[1]), 300);
+        state = services.startState("127.0.0.1:0");
+        cloud = services.startCloud("127.0.0.1:0");
+        services.startWorker("m-000001", WORKER_LEASE_MS);
+        services.startWorker("m-000002", WORKER_LEASE_MS);
     }
 
-    /** Starts a controller with a program that supports these versions; the one before it ends. */
+    /** Starts a controller that supports the given versions; stops its previous instance first, if there is one. */
     private void start(int node, VersionRange layouts) throws Exception {
         if (nodes[node] != null) {
             nodes[node].stop().awaitUninterruptibly();
@@ -96,7 +96,7 @@
 
     private PeerMessage.OperatorResponse ask(int node, PeerMessage.OperatorRequest.Kind kind, String argument) {
         try {
-            return new OperatorClient(back[node], TIMEOUT_MS).ask(new PeerMessage.OperatorRequest(kind, argument));
+            return new OperatorClient(back[node], TIMEOUT_MS).send(new PeerMessage.OperatorRequest(kind, argument));
         } catch (IOException e) {
             return new PeerMessage.OperatorResponse(Outcome.REFUSED, "{}");
         }
@@ -114,22 +114,22 @@
         }
     }
 
-    /** Asks a controller until it shows what is waited for; the test's time limit ends it otherwise. */
-    private void await(int node, Predicate<Map<?, ?>> shown) {
+    /** Requests a controller's status until it meets the condition; the test's time limit bounds the wait. */
+    private void await(int node, Predicate<Map<?, ?>> condition) {
         Map<?, ?> status = status(node);
-        while (!shown.test(status)) {
+        while (!condition.test(status)) {
             status = status(node);
         }
     }
 
-    /** Asks both controllers for a step until the leader among them calls it done. */
+    /** Requests a step from both controllers in turn until one, the leader, answers that it is done. */
     private void awaitDone(UpgradeStep step) {
         await(step, answer -> answer.outcome() == Outcome.DONE);
     }
 
-    private void await(UpgradeStep step, Predicate<PeerMessage.OperatorResponse> wanted) {
+    private void await(UpgradeStep step, Predicate<PeerMessage.OperatorResponse> condition) {
         for (int i = 0; ; i = 1 - i) {
-            if (wanted.test(ask(i, PeerMessage.OperatorRequest.Kind.UPGRADE, step.name()))) {
+            if (condition.test(ask(i, PeerMessage.OperatorRequest.Kind.UPGRADE, step.name()))) {
                 return;
             }
         }
@@ -151,14 +151,14 @@
         return result.join();
     }
 
-    /** A user submits a job, to either controller, until one takes it. */
+    /** Submits a job to both controllers in turn until one accepts it. */
     private void submit() {
         String id = String.format("wk-%06d", jobs.size() + 1);
         jobs.add(id);
         byte[] body = Cbor.write(LoopbackDemo.job(id, 3, 0.3));
-        HttpResult taken = call(0, HttpMethod.POST, "/v2/runs", body);
-        for (int i = 1; !taken.is(201) && !taken.is(200); i = 1 - i) {
-            taken = call(i, HttpMethod.POST, "/v2/runs", body);
+        HttpResult result = call(0, HttpMethod.POST, "/v2/runs", body);
+        for (int i = 1; !result.is(201) && !result.is(200); i = 1 - i) {
+            result = call(i, HttpMethod.POST, "/v2/runs", body);
         }
     }
 
@@ -167,7 +167,7 @@
             Object mood = null;
             for (int i = 0; !"done".equals(mood); i = 1 - i) {
                 HttpResult result = call(i, HttpMethod.GET, "/v2/runs/" + id, null);
-                assertTrue(!result.is(404), id + " is forgotten");
+                assertTrue(!result.is(404), id + " is unknown after it was accepted");
                 mood = result.is(200) ? Cbor.readMap(result.body()).get("mood") : mood;
             }
         }
@@ -176,7 +176,7 @@
     @Test
     @Timeout(120)
     void upgradesRollsBackAndUpgradesAgain() throws Exception {
-        startOutside();
+        startEmulatedServices();
         start(0, NEW);
         start(1, OLD);
         submit();
@@ -186,10 +186,12 @@
         awaitDone(UpgradeStep.ACTIVATE);
         await(0, status -> Integer.valueOf(2).equals(active(status)));
 
-        // Rolled back alone, a controller stands aside and says so, and the other one serves.
+        // Only this controller is rolled back: it stops serving and reports why, while the other one serves.
         start(1, OLD);
         await(1, status -> status.containsKey("unreadable"));
-        assertFalse(call(1, HttpMethod.GET, "/ready", null).is(200), "it takes no users");
+        assertFalse(
+                call(1, HttpMethod.GET, "/ready", null).is(200),
+                "a controller that can't read the active version accepts users' requests");
         submit();
         awaitJobs();
         awaitDone(UpgradeStep.DEACTIVATE);
--- a/src/test/java/garnetscale/cli/OperatorCommandTest.java
+++ b/src/test/java/garnetscale/cli/OperatorCommandTest.java
@@ -38,10 +38,10 @@
 import org.junit.jupiter.api.Test;
 import picocli.CommandLine;
 
-/** The operators' commands over loopback, against the inspector of a controller whose store the test writes. */
+/** Runs the operators' commands over loopback against a controller's inspector; the test writes the stored state. */
 class OperatorCommandTest {
 
-    private static final long LONG_AGO = 1_000_000;
+    private static final long LONGER_THAN_ACTIVATION_DELAY_MS = 1_000_000;
 
     private final SchedulerConfig config = TestConfig.small()
             .controllers(List.of(
@@ -90,9 +90,9 @@
         ChannelFuture listening = new PeerLinks(
                         loop,
                         message -> {},
-                        (inquiry, answer) -> {
+                        (request, answer) -> {
                             if (!silent) {
-                                inspector.answer(inquiry, answer);
+                                inspector.answer(request, answer);
                             }
                         },
                         node -> {},
@@ -133,14 +133,14 @@
                 "  block a/0  holder n0  term 17",
                 "  block a/1  holder none  term 0",
                 "  team red  jobs 1  waiting 5  placed 0  cpus 0.0  cpus_guaranteed 8.0  cpus_max 64.0  gpus 0.0  gpus_max none")) {
-            assertTrue(out.toString().lines().anyMatch(line::equals), line + " isn't in\n" + out);
+            assertTrue(out.toString().lines().anyMatch(line::equals), line + " is missing in\n" + out);
         }
         assertEquals(0, run("status", address, "--json"));
         assertTrue(out.toString().startsWith("{\"node\":\"n0\",\"complete\":true,"), out.toString());
     }
 
     @Test
-    void jobsAreShownWhetherTheyLiveOrNot() {
+    void showsLiveAndTerminalJobs() {
         assertEquals(0, run("job", address, "wk-1"));
         assertTrue(out.toString().contains("why: 5 tasks wait for room"), out.toString());
         assertEquals(0, run("job", address, "wk-0"));
@@ -150,12 +150,12 @@
     }
 
     @Test
-    void stepsAreCarriedOutByTheLeaderAlone() {
+    void onlyTheLeaderCarriesOutUpgradeSteps() {
         leader.plan(now);
         assertEquals(1, run("upgrade", "activate", address));
         assertTrue(
                 err.toString().startsWith("garnetscale: refused: controller n0 has been there for "), err.toString());
-        now += LONG_AGO;
+        now += LONGER_THAN_ACTIVATION_DELAY_MS;
         assertEquals(1, run("upgrade", "activate", address, "--timeout", "0"));
         assertEquals("garnetscale: not carried out yet; ask again\n", err.toString());
         commit(leader.plan(now));
@@ -170,7 +170,7 @@
     }
 
     @Test
-    void aControllerThatStandsAsideSaysSo() {
+    void controllerReportsUnsupportedActiveVersion() {
         commit(new Transaction().put(Keys.VERSION, Records.version(new ClusterVersion(9, 1))));
         assertEquals(0, run("upgrade", "status", address));
         assertTrue(out.toString().contains("version 9, and this controller supports " + new VersionRange(1, 2)));
@@ -179,7 +179,7 @@
     }
 
     @Test
-    void deadAndSilentControllersAndBadAddressesEndWithOneLine() {
+    void unreachableControllersAndInvalidAddressesPrintOneLine() {
         silent = true;
         assertEquals(1, run("status", address, "--timeout", "1"));
         assertEquals(1, err.toString().lines().count());
--- a/src/test/java/garnetscale/cli/OperatorSurfaceTest.java
+++ b/src/test/java/garnetscale/cli/OperatorSurfaceTest.java
@@ -2,7 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import garnetscale.ExpectedForms;
+import garnetscale.ExpectedEncodings;
 import garnetscale.config.InvalidConfigurationException;
 import garnetscale.config.Settings;
 import java.io.IOException;
@@ -18,14 +18,14 @@
 import picocli.CommandLine;
 
 /**
- * The settings' keys, and the command line's verbs, options and codes for bad input. {@link FeaturesFileTest} holds already
- * all keys of the features file, {@link SettingsTest} the other faults of settings, and {@link OperatorCommandTest} the
- * codes of the verbs that ask a controller.
+ * Pins the keys of the settings file and the command line's verbs, options and exit codes for invalid input. All keys of the
+ * features file are checked by {@code FeaturesFileTest}, the other problems of settings by {@code SettingsTest}, and the exit
+ * codes of the verbs that send a request to a controller by {@link OperatorCommandTest}.
  */
 class OperatorSurfaceTest {
 
-    private static final ExpectedForms EXPECTED = new ExpectedForms("operator.txt");
-    /** Every key that is read, one a line, each with a value unlike the one that stands for a missing key. */
+    private static final ExpectedEncodings EXPECTED = new ExpectedEncodings("operator.txt");
+    /** Every key that is read, one per line, each with a value other than the default of a missing key; one key is unknown. */
     private static final String COMPLETE =
             """
             node_name = "n-0"
@@ -80,16 +80,16 @@
         return Files.writeString(directory.resolve("settings.toml"), text);
     }
 
-    /** What becomes of the complete settings without one of their lines. */
-    private String without(int number) throws IOException, InvalidConfigurationException {
+    /** Returns the problems of the settings without one line, "optional" if it changes the result, or "ignored" if it doesn't. */
+    private String resultWithoutLine(int number) throws IOException, InvalidConfigurationException {
         List<String> lines = new ArrayList<>(COMPLETE.lines().toList());
         lines.remove(number);
         Settings complete = Settings.read(file(COMPLETE));
         try {
-            Settings rest = Settings.read(file(String.join("\n", lines)));
-            return rest.equals(complete) ? "ignored" : "optional";
-        } catch (InvalidConfigurationException faults) {
-            return String.join("; ", faults.problems());
+            Settings reduced = Settings.read(file(String.join("\n", lines)));
+            return reduced.equals(complete) ? "ignored" : "optional";
+        } catch (InvalidConfigurationException e) {
+            return String.join("; ", e.problems());
         }
     }
 
@@ -103,7 +103,7 @@
                 table = line.replaceAll("[\\[\\]]", "") + ".";
             } else {
                 String key = table + line.substring(0, line.indexOf(' '));
-                EXPECTED.check("settings key " + key, without(number));
+                EXPECTED.check("settings key " + key, resultWithoutLine(number));
             }
         }
     }
@@ -112,18 +112,18 @@
     void missingSettings() throws IOException {
         try {
             Settings.read(file("[[members]]\n[[facts.teams]]\n"));
-        } catch (InvalidConfigurationException faults) {
-            EXPECTED.check("settings missing", String.join("; ", faults.problems()));
+        } catch (InvalidConfigurationException e) {
+            EXPECTED.check("settings missing", String.join("; ", e.problems()));
             return;
         }
         throw new AssertionError("settings without a single key were read");
     }
 
-    /** An option's names, whether it takes a value, and its default. */
+    /** Describes an option by its names, whether it takes a value, and its default. */
     private static String describe(CommandLine.Model.OptionSpec option) {
         String value = option.arity().max() > 0 ? " VALUE" : "";
-        String otherwise = option.defaultValue() == null ? "" : " " + option.defaultValue();
-        return String.join("|", option.names()) + value + otherwise;
+        String defaultValue = option.defaultValue() == null ? "" : " " + option.defaultValue();
+        return String.join("|", option.names()) + value + defaultValue;
     }
 
     private static void describe(String parent, CommandLine command) {
@@ -154,14 +154,15 @@
 
     @Test
     void exitCodes() throws IOException {
-        String good = file(COMPLETE).toString();
-        String bad = Files.writeString(directory.resolve("bad.toml"), "x = 1\n").toString();
-        assertEquals(0, run("check", "--config", good));
-        assertEquals(2, run("check", "--config", bad));
-        assertEquals(2, run("check", "--features", bad));
+        String valid = file(COMPLETE).toString();
+        String invalid =
+                Files.writeString(directory.resolve("bad.toml"), "x = 1\n").toString();
+        assertEquals(0, run("check", "--config", valid));
+        assertEquals(2, run("check", "--config", invalid));
+        assertEquals(2, run("check", "--features", invalid));
         assertEquals(2, run("check"));
-        assertEquals(2, run("--config", bad));
-        assertEquals(2, run("--features", good));
+        assertEquals(2, run("--config", invalid));
+        assertEquals(2, run("--features", valid));
         assertEquals(2, run("upgrade"));
         assertEquals(2, run("unknown-verb"));
         assertEquals(0, run("--help"));
--- a/src/test/java/garnetscale/core/state/StoredFormsTest.java
+++ b/src/test/java/garnetscale/core/state/StoredFormsTest.java
@@ -2,7 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import garnetscale.ExpectedForms;
+import garnetscale.ExpectedEncodings;
 import garnetscale.core.cluster.ControllerInfo;
 import garnetscale.core.cluster.LeaderInfo;
 import garnetscale.core.cluster.PartitionLease;
@@ -27,7 +27,7 @@
 /** The exact keys and values of every record in the state service, and that each value is read back as it was. */
 class StoredFormsTest {
 
-    private static final ExpectedForms EXPECTED = new ExpectedForms("stored.txt");
+    private static final ExpectedEncodings EXPECTED = new ExpectedEncodings("stored.txt");
     private static final String JOB = "wk-000412";
     private static final long ATTEMPT = 1L << 40;
 
--- a/src/test/java/garnetscale/core/state/StoredLogTest.java
+++ b/src/test/java/garnetscale/core/state/StoredLogTest.java
@@ -1,6 +1,6 @@
 package garnetscale.core.state;
 
-import garnetscale.ExpectedForms;
+import garnetscale.ExpectedEncodings;
 import garnetscale.core.job.TaskId;
 import garnetscale.core.job.TestJob;
 import garnetscale.core.machine.Placement;
@@ -16,7 +16,7 @@
 /** What the log writer puts into transactions, entry by entry, for a small store that is the same in every run. */
 class StoredLogTest {
 
-    private static final ExpectedForms EXPECTED = new ExpectedForms("log.txt");
+    private static final ExpectedEncodings EXPECTED = new ExpectedEncodings("log.txt");
     private static final int VALUE_BYTES = 16 * 1024;
     private static final int OPS = 24;
     private static final int MACHINES = 40;
--- a/src/test/java/garnetscale/peer/PeerBytesTest.java
+++ b/src/test/java/garnetscale/peer/PeerBytesTest.java
@@ -1,6 +1,6 @@
 package garnetscale.peer;
 
-import garnetscale.ExpectedForms;
+import garnetscale.ExpectedEncodings;
 import garnetscale.core.bidding.Bid;
 import garnetscale.core.bidding.BidBatch;
 import garnetscale.core.job.JobState;
@@ -18,12 +18,12 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The exact bytes of every peer message and of every enum value in one. That messages are read back as written and agree
- * with the Avro schema is held by {@link PeerCodecTest}.
+ * Pins the exact bytes of every peer message, with every value of the enums in them. {@link PeerCodecTest} checks that
+ * decoding returns the encoded message and that the encoding agrees with the Avro schema.
  */
 class PeerBytesTest {
 
-    private static final ExpectedForms EXPECTED = new ExpectedForms("peer.txt");
+    private static final ExpectedEncodings EXPECTED = new ExpectedEncodings("peer.txt");
     private static final TaskId TASK = new TaskId("wk-000412", 3);
     private static final long ATTEMPT = 16_777_217;
 
@@ -31,7 +31,7 @@
         return new PeerCodec().encode(message);
     }
 
-    private static byte[] machineStatus(Double noticeSeconds, List<TaskStatus> tasks, List<Long> terminated) {
+    private static byte[] machineStatus(Double evictionNoticeS, List<TaskStatus> tasks, List<Long> terminated) {
         return encode(new PeerMessage.MachineStatusUpdate(new MachineStatus(
                 "n-0",
                 4,
@@ -43,7 +43,7 @@
                 "b",
                 true,
                 2,
-                noticeSeconds,
+                evictionNoticeS,
                 false,
                 tasks,
                 terminated)));
@@ -61,7 +61,7 @@
     }
 
     @Test
-    void observationWithAndWithoutOptionalFields() {
+    void machineStatusWithAndWithoutOptionalFields() {
         EXPECTED.check("observation minimal", machineStatus(null, List.of(), List.of()));
         TaskStatus running = new TaskStatus(TASK, ATTEMPT, TaskState.RUNNING, null, false);
         TaskStatus exited = new TaskStatus(TASK, ATTEMPT + 1, TaskState.EXITED, ExitCause.STOPPED, true);
@@ -87,7 +87,7 @@
     }
 
     @Test
-    void machineList() {
+    void machineDirectory() {
         EXPECTED.check("machine list empty", encode(new PeerMessage.MachineDirectory(List.of(), List.of(), List.of())));
         EXPECTED.check(
                 "machine list full",
@@ -100,12 +100,12 @@
     }
 
     @Test
-    void cancellation() {
+    void jobCancelled() {
         EXPECTED.check("cancellation", encode(new PeerMessage.JobCancelled("wk-000412")));
     }
 
     @Test
-    void endOfAJobInEachState() {
+    void jobTerminatedInEachState() {
         EXPECTED.check(
                 "end of a job",
                 Arrays.stream(JobState.values())
@@ -128,7 +128,7 @@
     }
 
     @Test
-    void inquiries() {
+    void operatorRequests() {
         EXPECTED.check(
                 "inquiries",
                 Arrays.stream(PeerMessage.OperatorRequest.Kind.values())
@@ -147,7 +147,7 @@
     }
 
     @Test
-    void answers() {
+    void operatorResponses() {
         EXPECTED.check(
                 "answers",
                 Arrays.stream(PeerMessage.OperatorResponse.Outcome.values())
--- a/src/test/java/garnetscale/peer/PeerCodecTest.java
+++ b/src/test/java/garnetscale/peer/PeerCodecTest.java
@@ -31,10 +31,10 @@
 import org.apache.avro.io.EncoderFactory;
 import org.junit.jupiter.api.Test;
 
-/** Messages are decoded as they were encoded, and cut short they are refused. */
+/** Round trips, agreement with the Avro schema, and rejection of truncated messages and trailing bytes. */
 class PeerCodecTest {
 
-    /** The names that the schema, which is the form on the wire, has for the messages. */
+    /** Names of the messages in the schema; the schema defines the encoding between controllers. */
     private static final Map<Class<? extends PeerMessage>, String> SCHEMA_NAMES = Map.of(
             PeerMessage.ControllerHeartbeat.class, "Heartbeat",
             PeerMessage.JobTerminated.class, "Over",
@@ -78,31 +78,31 @@
                     PeerMessage.OperatorResponse.Outcome.REFUSED, "{\"reason\":\"no job wk-000412\"}"));
 
     @Test
-    void everyMessageComesOutAsItWentIn() throws IOException {
+    void decodingReturnsTheEncodedMessage() throws IOException {
         PeerCodec codec = new PeerCodec();
         for (PeerMessage message : MESSAGES) {
             assertEquals(message, codec.decode(codec.encode(message)));
         }
     }
 
-    /** The schema is what a message is: Avro's own reader finds it whole by it, and its writer gives the same bytes. */
+    /** Avro's generic reader decodes each message completely by the schema, and its generic writer produces the same bytes. */
     @Test
-    void everyMessageIsWhatTheSchemaSays() throws IOException {
+    void everyEncodingAgreesWithTheSchema() throws IOException {
         Schema schema;
         try (InputStream in = PeerCodec.class.getResourceAsStream("/peer.avsc")) {
             schema = new Schema.Parser().parse(in);
         }
         PeerCodec codec = new PeerCodec();
         for (PeerMessage message : MESSAGES) {
-            byte[] ours = codec.encode(message);
-            BinaryDecoder in = DecoderFactory.get().binaryDecoder(ours, null);
+            byte[] encoded = codec.encode(message);
+            BinaryDecoder in = DecoderFactory.get().binaryDecoder(encoded, null);
             GenericRecord read = new GenericDatumReader<GenericRecord>(schema).read(null, in);
-            assertTrue(in.isEnd(), message + " has more than the schema says");
+            assertTrue(in.isEnd(), message + " has bytes after the end of the schema's record");
             ByteArrayOutputStream out = new ByteArrayOutputStream();
             BinaryEncoder encoder = EncoderFactory.get().directBinaryEncoder(out, null);
             new GenericDatumWriter<GenericRecord>(schema).write(read, encoder);
             encoder.flush();
-            assertArrayEquals(ours, out.toByteArray(), message.toString());
+            assertArrayEquals(encoded, out.toByteArray(), message.toString());
             String name = SCHEMA_NAMES.get(message.getClass());
             assertEquals(name, read.getSchema().getName());
             for (Schema.Field field : read.getSchema().getFields()) {
@@ -111,9 +111,9 @@
         }
     }
 
-    /** The fields of one message, by their names in the schema. */
+    /** Checks each field of one message under its name in the schema. */
     @Test
-    void fieldsStandWhereTheSchemaHasThem() throws IOException {
+    void fieldsAreEncodedInSchemaOrder() throws IOException {
         Schema schema;
         try (InputStream in = PeerCodec.class.getResourceAsStream("/peer.avsc")) {
             schema = new Schema.Parser().parse(in);
@@ -133,20 +133,23 @@
     }
 
     @Test
-    void moreThanOneMessageIsRefused() {
+    void rejectsTrailingBytes() {
         PeerCodec codec = new PeerCodec();
-        byte[] one = codec.encode(MESSAGES.get(2));
-        assertThrows(IOException.class, () -> codec.decode(Arrays.copyOf(one, one.length + 1)));
+        byte[] complete = codec.encode(MESSAGES.get(2));
+        assertThrows(IOException.class, () -> codec.decode(Arrays.copyOf(complete, complete.length + 1)));
     }
 
     @Test
-    void aMessageCutShortIsRefused() {
+    void rejectsTruncatedMessages() {
         PeerCodec codec = new PeerCodec();
         for (PeerMessage message : MESSAGES) {
-            byte[] whole = codec.encode(message);
-            for (int cut = 0; cut < whole.length; cut++) {
-                byte[] part = Arrays.copyOf(whole, cut);
-                assertThrows(IOException.class, () -> codec.decode(part), message + " cut at " + cut);
+            byte[] complete = codec.encode(message);
+            for (int length = 0; length < complete.length; length++) {
+                byte[] truncated = Arrays.copyOf(complete, length);
+                assertThrows(
+                        IOException.class,
+                        () -> codec.decode(truncated),
+                        message + " truncated to " + length + " bytes");
             }
         }
     }
--- a/src/test/java/garnetscale/wire/CodecExamplesTest.java
+++ b/src/test/java/garnetscale/wire/CodecExamplesTest.java
@@ -20,7 +20,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** The protocol's own examples of what workers, the cloud and the state service say and are told. */
+/** Codecs of workers, the cloud and the state service, against the examples in the protocol. */
 class CodecExamplesTest {
 
     private static Map<String, Object> map(Object... pairs) {
@@ -31,7 +31,7 @@
         return body;
     }
 
-    private static Map<String, Object> hello() {
+    private static Map<String, Object> heartbeatBody() {
         return map(
                 "hive",
                 "m-000231",
@@ -58,7 +58,7 @@
     }
 
     @Test
-    void heartbeat() throws IOException {
+    void decodesHeartbeat() throws IOException {
         assertEquals(
                 new WorkerHeartbeat(
                         "m-000231",
@@ -74,23 +74,23 @@
                                 new TaskStatus(new TaskId("wk-000412", 3), 2, TaskState.RUNNING, null, false),
                                 new TaskStatus(
                                         new TaskId("wk-000398", 0), 1, TaskState.EXITED, ExitCause.DONE, false))),
-                WorkerCodec.heartbeat(Cbor.write(hello())));
+                WorkerCodec.heartbeat(Cbor.write(heartbeatBody())));
     }
 
     @Test
-    void reportsThatAreNotReports() {
+    void rejectsMalformedHeartbeats() {
         for (String field : List.of("hive", "shift", "tick", "chores")) {
-            Map<String, Object> body = hello();
+            Map<String, Object> body = heartbeatBody();
             body.remove(field);
             assertThrows(IOException.class, () -> WorkerCodec.heartbeat(Cbor.write(body)), field);
         }
-        Map<String, Object> body = hello();
+        Map<String, Object> body = heartbeatBody();
         body.put("chores", List.of(map("chore", "wk-1", "try", 1, "mood", "running")));
         assertThrows(IOException.class, () -> WorkerCodec.heartbeat(Cbor.write(body)));
     }
 
     @Test
-    void answerToAReport() throws IOException {
+    void heartbeatAnswers() throws IOException {
         byte[] body = WorkerCodec.answer(
                 41,
                 List.of(
@@ -112,7 +112,7 @@
     }
 
     @Test
-    void cloud() throws IOException {
+    void cloudRequestsAndAnswers() throws IOException {
         assertEquals(
                 List.of(new MachineType("g8", 96, 8, 768, 200, 1, 12, 4.5, 45, List.of("a", "b"))),
                 CloudCodec.types(Cbor.write(map(
@@ -141,7 +141,7 @@
         assertEquals(
                 map("ask", "r-17", "breed", "g8", "field", "a", "windfall", true, "how_many", 12),
                 Cbor.readMap(CloudCodec.scaleOut(new CloudCall.ScaleOut("r-17", "g8", "a", true, 12))));
-        assertEquals(List.of("m-000231"), CloudCodec.scaledOut(Cbor.write(map("hives", List.of("m-000231")))));
+        assertEquals(List.of("m-000231"), CloudCodec.newInstances(Cbor.write(map("hives", List.of("m-000231")))));
         CloudCodec.Page page = CloudCodec.page(Cbor.write(map(
                 "hives",
                 List.of(map(
@@ -168,7 +168,7 @@
     }
 
     @Test
-    void stateService() throws IOException {
+    void stateServiceRequestsAndAnswers() throws IOException {
         Transaction transaction =
                 new Transaction().guard("a/b", 0).put("a/b", Map.of("x", 1), 7).delete("c/d");
         assertEquals(
@@ -178,14 +178,14 @@
                         "then",
                         List.of(map("set", "a/b", "v", map("x", 1), "tenure", 7), map("remove", "c/d"))),
                 Cbor.readMap(StateCodec.transaction(transaction)));
-        StateCodec.Batch log = StateCodec.log(Cbor.write(map(
+        StateCodec.Batch watched = StateCodec.changes(Cbor.write(map(
                 "ledger",
                 433,
                 "log",
                 List.of(map("set", "c/9", "v", map("x", 1), "stamp", 433), map("remove", "c/d", "stamp", 432)))));
         assertEquals(
-                List.of(new KeyChange("c/9", Map.of("x", 1), 433), new KeyChange("c/d", null, 432)), log.changes());
-        assertEquals(433, log.revision());
+                List.of(new KeyChange("c/9", Map.of("x", 1), 433), new KeyChange("c/d", null, 432)), watched.changes());
+        assertEquals(433, watched.revision());
         StateCodec.Batch page = StateCodec.listing(Cbor.write(map(
                 "pairs", List.of(map("key", "c/9", "v", map("x", 1), "stamp", 5)), "has_next", true, "ledger", 431)));
         assertEquals(List.of(new KeyChange("c/9", Map.of("x", 1), 5)), page.changes());
--- a/src/test/java/garnetscale/wire/UserCodecTest.java
+++ b/src/test/java/garnetscale/wire/UserCodecTest.java
@@ -15,10 +15,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Submissions as the protocol shows them, and the ways in which they can be malformed. */
+/** Decoding of the protocol's example of a submission, and rejection of malformed submissions. */
 class UserCodecTest {
 
-    private static Map<String, Object> example() {
+    private static Map<String, Object> exampleBody() {
         Map<String, Object> body = new LinkedHashMap<>();
         body.put("id", "wk-000412");
         body.put("herd", "train");
@@ -43,12 +43,12 @@
         return body;
     }
 
-    private static JobSpec read(Map<String, Object> body) throws IOException {
+    private static JobSpec decode(Map<String, Object> body) throws IOException {
         return UserCodec.job(Cbor.readMap(Cbor.write(body)));
     }
 
     @Test
-    void readsTheProtocolsExample() throws IOException {
+    void decodesProtocolExample() throws IOException {
         assertEquals(
                 new JobSpec(
                         "wk-000412",
@@ -70,16 +70,16 @@
                         30,
                         4,
                         900.0),
-                read(example()));
+                decode(exampleBody()));
     }
 
     @Test
-    void nullAndMissingAreTheSameWhereNullIsAllowed() throws IOException {
-        Map<String, Object> body = example();
+    void missingNullableFieldsAreNullAndUnknownFieldsIgnored() throws IOException {
+        Map<String, Object> body = exampleBody();
         body.remove("breeds");
         body.remove("due_s");
         body.put("unheard_of", "ignored");
-        JobSpec job = read(body);
+        JobSpec job = decode(body);
         assertNull(job.types());
         assertNull(job.deadlineS());
     }
@@ -104,10 +104,10 @@
         "herd,",
         "pin_s,-0.1"
     })
-    void namesTheFieldThatIsAtFault(String field, String value) {
-        Map<String, Object> body = example();
+    void exceptionNamesMalformedField(String field, String value) {
+        Map<String, Object> body = exampleBody();
         body.put(field, typed(value));
-        IOException exception = assertThrows(IOException.class, () -> read(body));
+        IOException exception = assertThrows(IOException.class, () -> decode(body));
         assertEquals(field, exception.getMessage().split(" ")[0]);
     }
 
@@ -122,19 +122,19 @@
     }
 
     @Test
-    void anythingButOneWholeMapIsMalformed() {
-        byte[] good = Cbor.write(example());
-        List<byte[]> bad = new ArrayList<>();
-        bad.add(new byte[0]);
-        bad.add("{\"id\":1}".getBytes(java.nio.charset.StandardCharsets.UTF_8));
-        bad.add(Cbor.write(List.of(1)));
-        bad.add(new byte[] {(byte) 0x41, 0x00});
-        for (int cut = 1; cut < good.length; cut += 7) {
-            bad.add(java.util.Arrays.copyOf(good, cut));
+    void rejectsBodiesOtherThanOneCompleteMap() {
+        byte[] valid = Cbor.write(exampleBody());
+        List<byte[]> malformed = new ArrayList<>();
+        malformed.add(new byte[0]);
+        malformed.add("{\"id\":1}".getBytes(java.nio.charset.StandardCharsets.UTF_8));
+        malformed.add(Cbor.write(List.of(1)));
+        malformed.add(new byte[] {(byte) 0x41, 0x00});
+        for (int cut = 1; cut < valid.length; cut += 7) {
+            malformed.add(java.util.Arrays.copyOf(valid, cut));
         }
-        byte[] twice = java.util.Arrays.copyOf(good, good.length + 1);
-        bad.add(twice);
-        for (byte[] body : bad) {
+        byte[] withTrailingByte = java.util.Arrays.copyOf(valid, valid.length + 1);
+        malformed.add(withTrailingByte);
+        for (byte[] body : malformed) {
             assertThrows(IOException.class, () -> Cbor.readMap(body));
         }
     }
--- a/src/test/java/garnetscale/wire/WireBytesTest.java
+++ b/src/test/java/garnetscale/wire/WireBytesTest.java
@@ -2,7 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import garnetscale.ExpectedForms;
+import garnetscale.ExpectedEncodings;
 import garnetscale.core.autoscaling.CloudCall;
 import garnetscale.core.job.TaskId;
 import garnetscale.core.machine.TaskStatus;
@@ -17,14 +17,14 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * What the codecs of the outer protocol write: exact bytes where the order of keys is fixed, else the decoded tree and the
- * number of bytes. {@link CodecExamplesTest} holds already the decoded trees of an answer to a report, a redirect, a rental
- * and a transaction, and how reports, machine types, machine lists, logs and listings are read; {@link UserCodecTest} how
- * submissions are read.
+ * Pins the encodings of the published protocol: the exact bytes where the order of keys is fixed, otherwise the decoded tree and
+ * the number of bytes. {@link CodecExamplesTest} already checks the decoded trees of a heartbeat answer, a redirect, a scale-out
+ * request and a transaction, and the decoding of heartbeats, machine types, instance lists, watch answers and listings;
+ * {@link UserCodecTest} checks the decoding of submissions.
  */
 class WireBytesTest {
 
-    private static final ExpectedForms EXPECTED = new ExpectedForms("wire.txt");
+    private static final ExpectedEncodings EXPECTED = new ExpectedEncodings("wire.txt");
     private static final List<String> STATES = List.of("fetching", "running", "saving", "exited", "other");
     private static final List<String> CAUSES = List.of("done", "halted", "error", "full", "in_use", "no_such", "other");
     private static final List<WorkerCommand> COMMANDS = List.of(
@@ -33,7 +33,7 @@
             new WorkerCommand.Clear(new TaskId("wk-000398", 0), 1));
 
     private static void checkDecoded(String name, byte[] body) throws IOException {
-        EXPECTED.check(name, body.length + " bytes " + ExpectedForms.canonical(Cbor.read(body)));
+        EXPECTED.check(name, body.length + " bytes " + ExpectedEncodings.canonical(Cbor.read(body)));
     }
 
     @Test
@@ -45,7 +45,7 @@
         EXPECTED.check("redirect to nobody", WorkerCodec.redirect(null));
     }
 
-    private static TaskStatus reported(String state, String cause) throws IOException {
+    private static TaskStatus decodeTaskStatus(String state, String cause) throws IOException {
         Map<String, Object> task = Map.of("chore", "wk-1/0", "try", 1, "mood", state, "cause", cause, "saved", true);
         return WorkerCodec.heartbeat(Cbor.write(Map.of(
                         "hive",
@@ -68,17 +68,17 @@
                 .get(0);
     }
 
-    /** The numbers are those that peer messages carry. */
+    /** Pins the ordinals of states and causes, by which peer messages encode them. */
     @Test
-    void reportedStatesAndCauses() throws IOException {
+    void taskStatesAndExitCauses() throws IOException {
         List<Object> states = new ArrayList<>();
         for (String state : STATES) {
-            states.add(reported(state, "done").state().ordinal());
+            states.add(decodeTaskStatus(state, "done").state().ordinal());
         }
         EXPECTED.checkTree("reported states", states);
         List<Object> causes = new ArrayList<>();
         for (String cause : CAUSES) {
-            causes.add(reported("exited", cause).cause().ordinal());
+            causes.add(decodeTaskStatus("exited", cause).cause().ordinal());
         }
         EXPECTED.checkTree("reported causes", causes);
     }
@@ -91,9 +91,9 @@
         EXPECTED.check("next page", CloudCodec.pagePath(new CloudCall.ListInstances("m-2")));
     }
 
-    /** A machine's state in the cloud's list, by its place among the states. */
+    /** Pins the ordinals of the machine states in the cloud's instance list. */
     @Test
-    void listedStates() throws IOException {
+    void instanceStates() throws IOException {
         List<Object> states = new ArrayList<>();
         for (String state : List.of("failed", "running", "booting", "other")) {
             Map<String, Object> machine = Map.of("id", "m-1", "breed", "g8", "field", "a", "mood", state, "age_s", 1.5);
@@ -114,14 +114,15 @@
         checkDecoded("transaction", StateCodec.transaction(transaction));
         EXPECTED.checkTree("transaction before encoding", StateCodec.tree(transaction));
         checkDecoded("transaction that only guards", StateCodec.transaction(new Transaction().guard("g/term", 5)));
-        EXPECTED.check("lease", StateCodec.lease(10_000));
+        EXPECTED.check("lease", StateCodec.leaseRequest(10_000));
     }
 
     @Test
     void answersOfTheStateService() throws IOException {
         assertEquals(433, StateCodec.revision(Cbor.write(Map.of("ledger", 433))));
-        assertEquals(Set.of("g/a", "g/b"), StateCodec.failed(Cbor.write(Map.of("failed", List.of("g/a", "g/b")))));
-        assertEquals(7, StateCodec.lease(Cbor.write(Map.of("tenure", 7))));
+        assertEquals(
+                Set.of("g/a", "g/b"), StateCodec.failedGuards(Cbor.write(Map.of("failed", List.of("g/a", "g/b")))));
+        assertEquals(7, StateCodec.grantedLease(Cbor.write(Map.of("tenure", 7))));
         assertEquals(Map.of("t", 3), StateCodec.value(Cbor.write(Map.of("v", Map.of("t", 3)))));
     }
 
@@ -132,7 +133,7 @@
         EXPECTED.check("error", UserCodec.error("id is missing"));
     }
 
-    /** The place of each rank in the order of urgency. */
+    /** Pins the ordinals of the priorities, that is, the order of the ranks from the most to the least urgent. */
     @Test
     void ranks() throws IOException {
         Map<String, Object> job = new LinkedHashMap<>(
