--- a/src/test/java/garnetscale/core/partition/WorkerRequestLimiterTest.java
+++ b/src/test/java/garnetscale/core/partition/WorkerRequestLimiterTest.java
@@ -7,7 +7,7 @@
 import garnetscale.core.machine.MachineAddress;
 import org.junit.jupiter.api.Test;
 
-/** Direct requests are bounded, and a process that lags sends one probe at a time. */
+/** Direct requests are limited, and a process that lags sends one probe at a time. */
 class WorkerRequestLimiterTest {
 
     private static final int MAX = 8;
@@ -22,27 +22,28 @@
         return started;
     }
 
-    private void enqueueEight() {
+    private void enqueueProbes() {
         for (int i = 0; i < MAX; i++) {
             requests.enqueueProbe(new MachineAddress("m-" + i, "h:" + i, "a"));
         }
     }
 
     @Test
-    void probesHaveHalfOfTheBound() {
-        enqueueEight();
+    void probesMayUseHalfOfTheLimit() {
+        enqueueProbes();
         assertEquals(MAX / 2, startAllProbes());
         requests.onProbeEnded();
         assertEquals(1, startAllProbes());
     }
 
     /**
-     * After the end of all controllers a new owner probed every machine of its partitions while their heartbeats and the users
-     * waited. Never none at all: a machine that sends no heartbeat has to be probed some day however long the lag lasts.
+     * Guards against probes that delay heartbeats and user requests: after all controllers had ended, a new owner probed every
+     * machine of its partitions while these waited. One probe is always allowed, since a machine that sends no heartbeat has
+     * to be probed eventually, however long the lag lasts.
      */
     @Test
     void aLaggingProcessProbesOneAtATime() {
-        enqueueEight();
+        enqueueProbes();
         requests.setLagging(true);
         assertNotNull(requests.nextProbe(machine -> true));
         assertNull(requests.nextProbe(machine -> true));
@@ -53,7 +54,7 @@
     }
 
     @Test
-    void commandsHaveTheWholeBound() {
+    void commandsMayUseTheWholeLimit() {
         requests.setLagging(true);
         for (int i = 0; i < MAX; i++) {
             assertEquals(true, requests.tryStartCommand());
