--- a/src/main/java/garnetscale/core/leader/UpgradePlanner.java
+++ b/src/main/java/garnetscale/core/leader/UpgradePlanner.java
@@ -73,7 +73,7 @@
             return null;
         }
         activationCheckedAt = now;
-        Transaction activation = coordinator.automatic(now);
+        Transaction activation = coordinator.automaticActivation(now);
         if (activation != null) {
             log.accept(
                     "activating cluster version: the active version will soon be too small for the stored data, version="
