--- a/src/main/java/garnetscale/controller/ClusterInspector.java
+++ b/src/main/java/garnetscale/controller/ClusterInspector.java
@@ -50,12 +50,12 @@
      * The state of the process that answers.
      *
      * @param ready      whether it takes requests
-     * @param stateAgeMs milliseconds since it sent the newest request as of which its replica is complete
-     * @param rateLimits how much it may send to the state service now and in a second, by kind of request
+     * @param stateAgeMs age of its replica in milliseconds: it contains everything that was stored at least this long ago
+     * @param rateLimits what it may send to the state service now and per second, by kind of request
      */
     public record ProcessView(boolean ready, long stateAgeMs, Map<String, Object> rateLimits) {}
 
-    /** Looks up the end of jobs that the replica doesn't contain. */
+    /** Looks up the terminal records of jobs that the replica doesn't contain. */
     public interface TerminalJobs {
         /** Looks up a job, and calls back exactly once on the event loop, immediately or later. */
         void lookUp(String job, TerminalJobCallback done);
--- a/src/main/java/garnetscale/controller/ControllerNode.java
+++ b/src/main/java/garnetscale/controller/ControllerNode.java
@@ -133,8 +133,8 @@
     // ---- start and stop
 
     /**
-     * Starts the process. The address for users and workers is opened only once the replica is complete: before that no request
-     * can be answered, and after all controllers have stopped every worker sends a request once a second.
+     * Starts the process. The address for users and workers is opened only once the replica is loaded: before that no request can
+     * be served, and there may be many: after all controllers have stopped, each worker sends one a second.
      *
      * @throws IOException if an address is in use
      */
@@ -144,9 +144,9 @@
         eventLoop.execute(() -> {
             state.start();
             peers.connect();
-            // With a fixed delay: after a stall, a fixed rate would make up for every missed run.
+            // Fixed delay, not fixed rate: after a stall, a fixed rate would catch up on every missed run.
             every(EventLoopPacer.TICK_MS, this::runCycle);
-            every(PeerHeartbeats.INTERVAL_MS, peers::sendHeartbeats);
+            every(PeerHeartbeats.INTERVAL_MS, peers::checkPeersAndSendHeartbeat);
             every(PROFILE_INTERVAL_MS, () -> LOG.info("event loop profile, {}", profile.takeSummary()));
         });
     }
--- a/src/main/java/garnetscale/controller/EventLoopPacer.java
+++ b/src/main/java/garnetscale/controller/EventLoopPacer.java
@@ -16,8 +16,8 @@
     static final long TICK_MS = 250;
 
     /**
-     * Events within a 300th of a heartbeat interval are handled in one cycle, and plans are at least an 80th of it apart. New
-     * information arrives by heartbeats, and the work of each cycle and plan grows with the number of machines.
+     * Events within a 300th of a worker's heartbeat interval are handled in one cycle, and plans are at least an 80th of it
+     * apart. New information arrives by heartbeats, and the work of each cycle and plan grows with the number of machines.
      */
     private static final long CYCLES_PER_HEARTBEAT_INTERVAL = 300;
 
@@ -25,14 +25,14 @@
     private static final long MIN_CYCLE_DELAY_MS = 4;
     /** Limit on the plans in a bidding window; each plan goes through all waiting jobs. */
     private static final int PLANS_PER_WINDOW = 10;
-    /** After an empty plan, the interval to the next one is multiplied by this: batches rarely arrive alone. */
+    /** After an empty plan, the interval to the next one is multiplied by this: batches of bids rarely arrive alone. */
     private static final long IDLE_BACKOFF = 3;
     /** Length of the pause after a cycle, as a multiple of the cycle's duration. */
     private static final long PAUSE_FACTOR = 3;
 
     private static final long MAX_PAUSE_MS = TICK_MS / 2;
-    /** The process lags when a cycle is late by more than a heartbeat interval divided by this. */
-    private static final long MAX_LAGS_PER_HEARTBEAT_INTERVAL = 50;
+    /** The process lags when a requested cycle starts late by more than a worker's heartbeat interval divided by this. */
+    private static final long MAX_LAG_DIVISOR = 50;
 
     /** The action to run when a requested cycle is due. */
     interface Cycle {
@@ -58,7 +58,7 @@
         this.cycleDelayMs = Math.max(MIN_CYCLE_DELAY_MS, heartbeatMs / CYCLES_PER_HEARTBEAT_INTERVAL);
         this.planIntervalMs =
                 Math.max(config.bidWindowMs() / PLANS_PER_WINDOW, heartbeatMs / PLANS_PER_HEARTBEAT_INTERVAL);
-        this.maxLagMs = heartbeatMs / MAX_LAGS_PER_HEARTBEAT_INTERVAL;
+        this.maxLagMs = heartbeatMs / MAX_LAG_DIVISOR;
     }
 
     /** Returns the milliseconds of the process's steady clock; all times within the process are of this clock. */
@@ -82,7 +82,7 @@
         }
     }
 
-    /** Requests a cycle at a time when something becomes due without any message. */
+    /** Requests a cycle at a given time, for work that becomes due without a message. */
     void requestCycleAt(long at) {
         if (wakeAt < now() || wakeAt > at) {
             wakeAt = at;
--- a/src/main/java/garnetscale/controller/EventLoopProfile.java
+++ b/src/main/java/garnetscale/controller/EventLoopProfile.java
@@ -4,8 +4,9 @@
 import java.util.Locale;
 
 /**
- * Measures the event loop's time by activity. It is always on and logged periodically. The time of Netty, the garbage collector
- * and the JIT compiler, which is the rest of the process's time, isn't included. Confined to the event loop.
+ * Measures the event loop's wall time by activity; a pause of the process counts for the activity that it interrupts. The profile
+ * is always on and logged periodically. It doesn't include the rest of the process's time, which is that of Netty, the garbage
+ * collector and the JIT compiler. Confined to the event loop.
  */
 final class EventLoopProfile {
 
--- a/src/main/java/garnetscale/controller/JobApi.java
+++ b/src/main/java/garnetscale/controller/JobApi.java
@@ -15,7 +15,7 @@
 
 /**
  * The job API for users: submit, look up and cancel. No answer shows an older state than an earlier answer of any controller: a
- * state that isn't final is answered only from a replica that was synced after the request arrived. A request for which that
+ * state that isn't terminal is answered only from a replica that was synced after the request arrived. A request for which that
  * isn't possible is refused at once with 503. Confined to the event loop.
  */
 final class JobApi {
@@ -96,12 +96,12 @@
         return JobReplies.error(HttpStatus.METHOD_NOT_ALLOWED, "only " + allowed);
     }
 
-    /** Looks up the end of a job that the replica doesn't contain. */
+    /** Looks up the terminal record of a job that the replica doesn't contain. */
     void lookUpTerminal(String id, TerminalJobCallback done) {
         lookup.lookUpTerminalRecord(id, done);
     }
 
-    /** Caches the end of a job, which the leader saw stored: its users needn't wait for the state service any more. */
+    /** Caches a job's terminal record once the leader has stored it: look-ups of the job needn't wait for the state service. */
     void onTerminated(String id, Records.TerminalJob job) {
         terminalJobs.remember(id, job);
     }
--- a/src/main/java/garnetscale/controller/JobDetails.java
+++ b/src/main/java/garnetscale/controller/JobDetails.java
@@ -12,7 +12,7 @@
  * @param placed   number of tasks with a placement
  * @param waiting  number of unfinished tasks without a placement
  * @param reason   why tasks wait, or null when none does
- * @param moves    recent stops of its tasks in order to run them elsewhere; left out of the answer when empty
+ * @param moves    recent moves, each of which stops one of its tasks to run it elsewhere; left out of the answer when empty
  */
 record JobDetails(
         String id,
@@ -41,7 +41,7 @@
      */
     record MoveRow(int task, String from, String to, String beneficiary, long gainCpuS, long disruptionCpuS) {
 
-        /** The moves of one job's tasks, in the given order. */
+        /** Returns the moves of one job's tasks, in the given order. */
         static List<MoveRow> ofJob(List<Move> moves, String job) {
             List<MoveRow> rows = new ArrayList<>();
             for (Move move : moves) {
--- a/src/main/java/garnetscale/controller/JobLookup.java
+++ b/src/main/java/garnetscale/controller/JobLookup.java
@@ -127,7 +127,7 @@
         });
     }
 
-    /** Looks up, for an operator, the end of a job that the replica doesn't contain. */
+    /** Looks up, for an operator, the terminal record of a job that the replica doesn't contain. */
     void lookUpTerminalRecord(String id, TerminalJobCallback done) {
         Records.TerminalJob cached = terminalJobs.cached(id);
         if (cached != null) {
--- a/src/main/java/garnetscale/controller/LeadershipLoop.java
+++ b/src/main/java/garnetscale/controller/LeadershipLoop.java
@@ -26,14 +26,19 @@
     private static final Logger LOG = LoggerFactory.getLogger(LeadershipLoop.class);
     /** Minimum interval between runs of the autoscaler while it has no call to make. */
     private static final long AUTOSCALER_INTERVAL_MS = 2 * EventLoopPacer.TICK_MS;
-    /** Extra pause after a run of the autoscaler, as a multiple of the run's duration. */
+    /**
+     * Extra pause after a run of the autoscaler without a call, as a multiple of the run's duration; at most
+     * {@link #AUTOSCALER_INTERVAL_MS}.
+     */
     private static final long AUTOSCALER_PAUSE_FACTOR = 200;
-    /** The autoscaler doesn't run from a replica of this age or older. */
+    /** The autoscaler runs only while the replica is younger than this. */
     private static final long AUTOSCALER_MAX_STATE_AGE_MS = 3000;
-    /** Candidates wait for a random time below this, so that usually only one of them writes first. */
+    /** Candidates wait for a random time below this, so that usually one is elected before the others send their transaction. */
     private static final long MAX_ELECTION_DELAY_MS = 150;
 
+    /** Pauses before the leader's next transaction; a conflict counts as a success here. */
     private static final long PAUSE_AFTER_SUCCESS_MS = 10;
+
     private static final long MIN_PAUSE_AFTER_FAILURE_MS = 100;
     private static final long PAUSE_JITTER_MS = 100;
 
@@ -52,7 +57,7 @@
 
     private boolean electionPending;
     private long autoscaledAt = Times.NEVER;
-    /** The machine types that the cloud listed; stored by the first transaction that finds none stored. */
+    /** The machine types that the cloud offers, empty until it has listed them; stored while the replica has none. */
     private List<MachineType> cloudTypes = List.of();
 
     private PeerMessage.MachineDirectory publishedDirectory;
@@ -136,7 +141,7 @@
         pipeline.restart();
         autoscaler.start(now, leadingTerm);
         publishedDirectory = null;
-        peers.sendHeartbeats();
+        peers.checkPeersAndSendHeartbeat();
         context.owner().resynchronize(now);
         effects.drain();
     }
@@ -184,7 +189,7 @@
         publishMachineDirectory();
     }
 
-    /** Publishes where all machines are, so that partition owners can take over from a dead controller at once. */
+    /** Publishes the addresses of all machines, so that partition owners can take over from a dead controller at once. */
     private void publishMachineDirectory() {
         PeerMessage.MachineDirectory directory = peers.machineDirectory();
         if (!directory.equals(publishedDirectory)) {
--- a/src/main/java/garnetscale/controller/LoadView.java
+++ b/src/main/java/garnetscale/controller/LoadView.java
@@ -13,7 +13,7 @@
  * The load of all machines as operators see it, from one consistent snapshot.
  *
  * @param ageMs      age of the snapshot in milliseconds
- * @param peakToMean the largest utilization of a group over the mean of all, rounded to hundredths
+ * @param peakToMean the largest utilization of a group divided by the mean of all groups, rounded to hundredths
  * @param groups     load of each machine group, sorted by name
  * @param demand     demand of each team, sorted by team
  */
@@ -49,7 +49,7 @@
     /** The demand of a team's jobs, waiting and placed, in whole CPU-seconds. */
     record TeamDemand(String team, long waitingCpuS, long placedCpuS) {}
 
-    /** Returns the load by group and by team; {@code now} is in milliseconds of the clock that the snapshot was made by. */
+    /** Returns the load by group and by team; {@code now} is in milliseconds of the snapshot's clock. */
     static LoadView of(LoadSnapshot load, long now) {
         return new LoadView(
                 now - load.at(),
--- a/src/main/java/garnetscale/controller/PeerHeartbeats.java
+++ b/src/main/java/garnetscale/controller/PeerHeartbeats.java
@@ -12,9 +12,9 @@
     static final long INTERVAL_MS = 1000;
     /** A peer is silent after this many intervals without a heartbeat. */
     private static final long SILENT_INTERVALS = 4;
-    /** What a heartbeat says about its sender's connection to the state service is valid for this many intervals. */
+    /** The state age in a heartbeat is valid for this many intervals after the heartbeat's arrival. */
     private static final long VALID_INTERVALS = 3;
-    /** A controller reaches the state service if its state is younger than this. */
+    /** A controller counts as reaching the state service if its replica is younger than this. */
     private static final long MAX_STATE_AGE_MS = 3 * StateLink.CONFIRM_INTERVAL_MS;
 
     /** A heartbeat and when it arrived, in milliseconds of the steady clock. */
@@ -27,7 +27,7 @@
         return latest.put(heartbeat.node(), new Received(heartbeat, now));
     }
 
-    /** Counts silence from now on, after a stall of this process: heartbeats that arrived meanwhile are still to be read. */
+    /** Measures silence from {@code now} on, after a stall of this process: heartbeats that arrived meanwhile aren't read yet. */
     void restartTimers(long now) {
         latest.replaceAll((peer, received) -> new Received(received.heartbeat(), now));
     }
@@ -55,7 +55,7 @@
     /**
      * Returns whether a controller reaches the state service.
      *
-     * @param stateAgeMs milliseconds since the controller sent the newest request as of which its replica is complete
+     * @param stateAgeMs age of the controller's replica in milliseconds; see {@link StateLink#ageMs}
      */
     static boolean reachesState(long stateAgeMs) {
         return stateAgeMs < MAX_STATE_AGE_MS;
--- a/src/main/java/garnetscale/controller/PeerMessageHandler.java
+++ b/src/main/java/garnetscale/controller/PeerMessageHandler.java
@@ -18,8 +18,8 @@
 
     private static final Logger LOG = LoggerFactory.getLogger(PeerMessageHandler.class);
     /**
-     * A gap of this many heartbeat intervals or more counts as a stall: of this process if its own heartbeat is late, otherwise
-     * of the peer.
+     * Heartbeats at least this many intervals apart mean a stall: of this process if they are its own, of the peer if they were
+     * received. The first heartbeat after a peer's stall doesn't make the peer reachable yet.
      */
     private static final long STALL_INTERVALS = 2;
 
@@ -81,7 +81,7 @@
     // ---- heartbeats
 
     /** Reports silent peers to the leader role, and sends a heartbeat to all peers. */
-    void sendHeartbeats() {
+    void checkPeersAndSendHeartbeat() {
         long now = EventLoopPacer.now();
         long gapMs = now - heartbeatsSentAt;
         if (gapMs > MAX_GAP_MS) {
--- a/src/main/java/garnetscale/controller/ProcessStatus.java
+++ b/src/main/java/garnetscale/controller/ProcessStatus.java
@@ -31,7 +31,7 @@
         return PeerHeartbeats.reachesState(state.ageMs()) || !peerHeartbeats.anyReachesState(EventLoopPacer.now());
     }
 
-    /** Returns the state of this process that operators are shown. */
+    /** Returns the state of this process as operators see it. */
     ClusterInspector.ProcessView view() {
         return new ClusterInspector.ProcessView(ready(), state.ageMs(), state.rateLimits());
     }
--- a/src/main/java/garnetscale/controller/ReplicaListing.java
+++ b/src/main/java/garnetscale/controller/ReplicaListing.java
@@ -14,7 +14,7 @@
 
 /**
  * Loads the replica by listing all replicated keys in pages, and repeats this until a listing is consistent and readable. While
- * it is running the replica isn't complete, even if a watch that was sent earlier is answered.
+ * it is running, the answer to a watch that was sent earlier doesn't confirm the replica.
  */
 final class ReplicaListing {
 
@@ -100,7 +100,7 @@
         running = false;
         LOG.info("replica is loaded, keys={} revision={}", keys, firstRevision);
         // A negative revision means that the first page was the only one. Several pages are read at different
-        // moments: the replica isn't complete until the watch has brought the changes in between.
+        // moments: the replica isn't confirmed until the watch has brought the changes in between.
         if (revision < 0) {
             listener.onConfirmed(sentAt);
         }
--- a/src/main/java/garnetscale/controller/ReplicaWatch.java
+++ b/src/main/java/garnetscale/controller/ReplicaWatch.java
@@ -63,7 +63,7 @@
         return connection.describe(bucket);
     }
 
-    /** Opens the watch and reopens it until a listing is running; to be called again after each listing. */
+    /** Opens the watch and reopens it after each answer, until a listing starts; to be called again after each listing. */
     void watch() {
         if (listing.isRunning()) {
             return;
@@ -140,13 +140,14 @@
      * Requests the changes since the replica's revision and applies them.
      *
      * @param waitMs how long the service waits for a change before it answers, in milliseconds
-     * @param done   receives whether the replica is complete as of this request
+     * @param done   receives whether the replica contains everything that was stored when this request was sent
      */
     private void fetchChanges(long waitMs, long timeoutMs, Consumer<Boolean> done) {
         long sentAt = connection.now();
         String path = StateCodec.watchPath(Keys.REPLICATED, replica.revision(), waitMs);
         connection.call(HttpMethod.GET, path, null, timeoutMs, result -> {
-            // The revision is too old, or the answer is longer than this process accepts; a listing comes in pages.
+            // The service no longer has all changes since the revision, or the answer is longer than this process
+            // accepts. A listing helps in both cases: it needs no old changes and comes in pages.
             if (result.is(GONE) || result.outcome() == HttpResult.Outcome.TOO_LONG) {
                 if (!listing.isRunning()) {
                     listing.start();
--- a/src/main/java/garnetscale/controller/RequestAdmission.java
+++ b/src/main/java/garnetscale/controller/RequestAdmission.java
@@ -14,9 +14,9 @@
     /** Share of the limit that look-ups may use, so that submissions and cancellations are still admitted. */
     static final double LOOKUP_SHARE = 0.75;
 
-    /** How many connections the process may have for each request that may wait. */
+    /** The limit on waiting requests is the limit on connections divided by this. */
     private static final int CONNECTIONS_PER_WAITING_REQUEST = 8;
-    /** The least value of the limit on waiting requests. */
+    /** Lower bound of the limit on waiting requests. */
     private static final int MIN_LIMIT = 8;
 
     private final StateReplica replica;
@@ -40,7 +40,7 @@
         waiting++;
     }
 
-    /** Records that a request has been answered by the state service, or can't be. */
+    /** Records that a request no longer waits for the state service, whether or not it was answered. */
     void end() {
         waiting--;
     }
--- a/src/main/java/garnetscale/controller/SessionLease.java
+++ b/src/main/java/garnetscale/controller/SessionLease.java
@@ -16,8 +16,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Keeps this process's lease alive, and with it the process's record among the live controllers, which is attached to the lease.
- * The lease counts as granted once the replica shows that record. The lease's number is the process's incarnation.
+ * Acquires and renews this process's lease. The process's record among the live controllers is attached to the lease; the
+ * listener is notified of the lease once the replica shows that record. The lease's number is the process's incarnation.
  */
 final class SessionLease {
 
@@ -144,12 +144,15 @@
         }
     }
 
-    /** Returns whether the last announced lease is the current one; false from its expiry until the next is announced. */
+    /**
+     * Returns whether the listener knows of the current lease. True also before the first lease is acquired; false from a
+     * lease's expiry until the next one is announced.
+     */
     boolean isAnnounced() {
         return announcedLease == lease;
     }
 
-    /** Announces the lease to the listener once the replica shows the registration, or registers again. */
+    /** Announces the lease to the listener if the replica shows the registration; registers again if it doesn't. */
     void onReplicaAdvanced() {
         boolean registered = lease >= 0 && isRegistered();
         if (registered && announcedLease != lease) {
--- a/src/main/java/garnetscale/controller/StateConnection.java
+++ b/src/main/java/garnetscale/controller/StateConnection.java
@@ -62,7 +62,7 @@
         });
     }
 
-    /** Returns how much a token bucket allows now and its rate in a second, for operators. */
+    /** Returns what a token bucket allows now and its rate per second, in requests or write operations, for operators. */
     Map<String, Object> describe(TokenBucket bucket) {
         return Map.of("available", bucket.available(now()), "per_s", bucket.ratePerS());
     }
--- a/src/main/java/garnetscale/controller/StateLink.java
+++ b/src/main/java/garnetscale/controller/StateLink.java
@@ -16,7 +16,7 @@
 
 /**
  * Owns all communication of this process with the state service. Keeps the process's lease and its replica, and sends all other
- * requests within this controller's share of the service's rate limits. Each of these duties has a module of its own; all modules
+ * requests within this controller's share of the service's rate limits. Each of these duties has a class of its own; all of them
  * run on the controller's event loop.
  */
 final class StateLink implements JobApi.Store, ReplicaListener {
@@ -56,7 +56,10 @@
     /** Interval of the periodic syncs, which confirm the replica even if nothing else requests a sync. */
     static final long CONFIRM_INTERVAL_MS = 500;
 
-    /** Shares of this controller's request rate for watches and reads: all controllers together stay below the limit. */
+    /**
+     * Shares of watches and of reads in this controller's even part of the limit on requests: all controllers together stay
+     * below the limit.
+     */
     private static final double WATCH_SHARE = 0.45;
 
     private static final double READ_SHARE = 0.25;
@@ -100,7 +103,7 @@
         connection.stop();
     }
 
-    /** Returns how much may be sent now and at which rate, by kind of request, for operators. */
+    /** Returns the rate limits by kind of request, for operators; see {@link StateConnection#describe}. */
     Map<String, Object> rateLimits() {
         Map<String, Object> limits = new LinkedHashMap<>();
         limits.put("watches", watch.rateLimit());
@@ -109,12 +112,15 @@
         return limits;
     }
 
-    /** Returns the milliseconds since the sending of the newest request as of which the replica is complete. */
+    /**
+     * Returns the age of the replica in milliseconds: it contains everything that was stored at least this long ago. Before the
+     * first confirmation the age is at least {@link #UNCONFIRMED_AGE_MS}.
+     */
     long ageMs() {
         return connection.now() - confirmedAt;
     }
 
-    // ---- callbacks of the replica's modules
+    // ---- callbacks of the listing and the watch
 
     @Override
     public void onConfirmed(long sentAt) {
--- a/src/main/java/garnetscale/controller/StateReads.java
+++ b/src/main/java/garnetscale/controller/StateReads.java
@@ -13,7 +13,7 @@
 import java.util.function.BiConsumer;
 import java.util.function.Consumer;
 
-/** Reads keys that aren't replicated, which are those of terminal jobs, within this controller's share of the limit. */
+/** Reads the keys of terminal jobs, which aren't replicated, within this controller's share of the limit on requests. */
 final class StateReads {
 
     private static final long READ_TIMEOUT_MS = 1500;
--- a/src/main/java/garnetscale/controller/StateTransactions.java
+++ b/src/main/java/garnetscale/controller/StateTransactions.java
@@ -23,7 +23,7 @@
 final class StateTransactions {
 
     private static final Logger LOG = LoggerFactory.getLogger(StateTransactions.class);
-    /** Capacities of the token buckets, in seconds at their rates. */
+    /** Capacities of the token buckets, as the seconds in which an empty bucket fills at its rate. */
     private static final double LEADER_BURST_S = 0.8;
 
     private static final double SUBMISSIONS_BURST_S = 1.6;
@@ -79,9 +79,9 @@
     }
 
     /**
-     * Sends a transaction at once. Like every change, it is guarded by the active version of the stored state, and fails if
-     * another version has become active than the replica shows. A controller that can't read a stored record, or whose replica
-     * isn't loaded for another reason, doesn't send it; the outcome is then {@code REFUSED}.
+     * Sends a transaction at once. Like every change, it is guarded by the active version of the stored state: it fails if the
+     * active version is no longer the one in the replica. It isn't sent while the replica isn't loaded, for example because a
+     * stored record can't be read; the outcome is then {@code REFUSED}.
      *
      * @param done receives the outcome, and the revision of the answer or a negative number if it has none
      */
--- a/src/main/java/garnetscale/controller/StatusView.java
+++ b/src/main/java/garnetscale/controller/StatusView.java
@@ -8,9 +8,9 @@
  * The answer to the operators' command {@code status}: the cluster as one controller sees it.
  *
  * @param controller   the name of the controller that answers
- * @param complete     whether its replica contains everything that is stored
+ * @param complete     whether its replica is loaded
  * @param unreadable   the stored record that this version of the program can't read, and why; null if it reads all
- * @param leader       the leader by the replica, or null if there is none
+ * @param leader       the leader according to the replica, or null if there is none
  * @param machinesWithRecords number of machines that the state service has a record of
  * @param load         the load of all machines, or null unless this controller leads and rebalancing is on
  */
--- a/src/main/java/garnetscale/controller/TerminalJobIndex.java
+++ b/src/main/java/garnetscale/controller/TerminalJobIndex.java
@@ -23,7 +23,7 @@
     /** Limit on the guards of a transaction, as a multiple of the limit on its operations. */
     private static final int GUARDS_PER_OPERATION = 4;
     /** Limit on queued look-ups, as a multiple of the batch size; look-ups beyond it are refused at once. */
-    private static final int MAX_QUEUED_REQUESTS = 2;
+    private static final int MAX_QUEUED_BATCHES = 2;
 
     private static final int INITIAL_CAPACITY = 64;
     private static final float LOAD_FACTOR = 0.75f;
@@ -93,7 +93,7 @@
         return cache.get(id);
     }
 
-    /** Caches a job whose end is known to be stored. */
+    /** Caches a job whose terminal record is known to be stored. */
     void remember(String id, Records.TerminalJob job) {
         cache.put(id, job);
     }
@@ -105,7 +105,7 @@
             callback.accept(true, job);
             return;
         }
-        if (!queued.containsKey(id) && queued.size() + toRead.size() >= MAX_QUEUED_REQUESTS * batchSize) {
+        if (!queued.containsKey(id) && queued.size() + toRead.size() >= MAX_QUEUED_BATCHES * batchSize) {
             callback.accept(false, null);
             return;
         }
@@ -175,7 +175,7 @@
         });
     }
 
-    /** Queues a look-up again: the answer needn't name all keys that exist, so the rest is checked without those it named. */
+    /** Queues a look-up again: the answer may name only some of the existing keys, so the others are checked without these. */
     private void requeue(Lookup lookup) {
         queued.merge(lookup.id(), lookup, (newer, older) -> {
             older.callbacks().addAll(newer.callbacks());
--- a/src/main/java/garnetscale/controller/WriteRateAllocator.java
+++ b/src/main/java/garnetscale/controller/WriteRateAllocator.java
@@ -7,9 +7,9 @@
  */
 final class WriteRateAllocator {
 
-    /** Share of the limit that is used at all. */
+    /** Share of the limit that the leader and submissions may use together. */
     private static final double USED_SHARE = 0.9;
-    /** Shares of submissions and of the leader. Their sum may exceed 1, since both seldom need theirs at once. */
+    /** Shares of submissions and of the leader in the usable rate. Their sum may exceed 1: both seldom need theirs at once. */
     private static final double SUBMISSION_SHARE = 0.55;
 
     private static final double LEADER_MIN_SHARE = 0.45;
--- a/src/main/java/garnetscale/controller/package-info.java
+++ b/src/main/java/garnetscale/controller/package-info.java
@@ -4,6 +4,6 @@
  *
  * <p>{@link garnetscale.controller.ControllerNode} wires the parts and runs their cycles. Each part owns its own state and is
  * confined to the one event loop. Decisions are made in {@code garnetscale.core}, which the parts call and whose effects they
- * carry out. Nothing here may block, or keep a copy of data in the replica.
+ * carry out. Nothing here may block, or hold a second copy of data that the replica holds.
  */
 package garnetscale.controller;
--- a/src/test/java/garnetscale/controller/AnswerHistory.java
+++ b/src/test/java/garnetscale/controller/AnswerHistory.java
@@ -12,14 +12,14 @@
 /** The answers of all controllers about each job; detects answers that contradict earlier ones. */
 final class AnswerHistory {
 
-    /** A job's progress by the newest answer; later answers may not show less. */
+    /** The furthest progress of a job that answers have shown; later answers may not show less. */
     enum Progress {
         NOTHING,
         ACCEPTED,
         TERMINAL
     }
 
-    /** What earlier answers said about a job when a request was sent; {@code terminalState} is null unless they said one. */
+    /** What the answers before a request have said about its job; {@code terminalState} is null if none showed one. */
     record KnownState(Progress progress, String terminalState) {}
 
     private final Map<String, Progress> progress = new HashMap<>();
--- a/src/test/java/garnetscale/controller/JobApiRoutesTest.java
+++ b/src/test/java/garnetscale/controller/JobApiRoutesTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The status by path and method that the job API answers before any request to the state service. */
+/** The statuses that the job API answers by path and method alone, without a request to the state service. */
 class JobApiRoutesTest {
 
     private final ScriptedCluster cluster = new ScriptedCluster(1);
--- a/src/test/java/garnetscale/controller/JobApiTest.java
+++ b/src/test/java/garnetscale/controller/JobApiTest.java
@@ -19,7 +19,7 @@
     private static final int SEEDS = 20;
 
     /**
-     * Simulates one seed: jobs are submitted, end, are cancelled and looked up.
+     * Simulates the scenario of one seed: jobs are submitted, end, are cancelled and looked up.
      *
      * @param answerLost share of transactions that are applied but whose answer is lost
      * @param late       share of transactions that are applied late, without an answer
@@ -86,7 +86,7 @@
         assertOccurred(occurrences, 50, "applied late", "late and rejected", "cancellation answered withdrawn");
     }
 
-    /** The state service is down twice, which interrupts requests at any point: they are refused rather than guessed. */
+    /** The state service is down twice, which interrupts requests at any point: they are refused rather than answered wrongly. */
     @Test
     void outagesLeadToRefusalsNotToWrongAnswers() {
         Map<String, Integer> occurrences = simulateSeeds(0.1, 0.1, cluster -> {
--- a/src/test/java/garnetscale/controller/ManualIo.java
+++ b/src/test/java/garnetscale/controller/ManualIo.java
@@ -49,7 +49,7 @@
         return calls.stream().anyMatch(call -> call.path().startsWith(prefix));
     }
 
-    /** Advances the clock and runs each timer that is set once. */
+    /** Advances the clock past all timers and runs each of them once; timers that they set wait for the next call. */
     void runTimers() {
         now += TIMERS_STEP_MS;
         List<Runnable> due = timers;
--- a/src/test/java/garnetscale/controller/ScriptedCluster.java
+++ b/src/test/java/garnetscale/controller/ScriptedCluster.java
@@ -22,7 +22,7 @@
 import java.util.function.Consumer;
 
 /**
- * Simulates users of all controllers in one simulated time and from one seed. The job APIs and their links to the state service,
+ * Simulates users of all controllers in simulated time, from one seed. The job APIs and their links to the state service,
  * with the replicas that the links keep, are the real ones; the scripted service loses answers, applies transactions late and
  * refuses requests. A simulated leader ends jobs. Each answer is checked against the answers that came before its request.
  */
@@ -45,7 +45,7 @@
     double answerLost;
     /** Share of transactions that are applied late, without an answer. */
     double late;
-    /** Until this time the state service refuses every request. */
+    /** Until this time, in milliseconds of simulated time, the state service refuses every request. */
     long failingUntil;
 
     ScriptedCluster(long seed) {
--- a/src/test/java/garnetscale/controller/ScriptedController.java
+++ b/src/test/java/garnetscale/controller/ScriptedController.java
@@ -13,7 +13,7 @@
 /** One controller of a {@link ScriptedCluster}: the real link to the state service with its replica, and the real job API. */
 final class ScriptedController implements StateLink.Io, StateLink.Listener {
 
-    private static final long MAX_DELAY_MS = 10_000;
+    private static final long MAX_EXTRA_DELAY_MS = 10_000;
 
     final String name;
     final StateReplica replica = new StateReplica();
@@ -42,7 +42,7 @@
         state.start();
     }
 
-    /** Makes the state service refuse only this controller for some milliseconds. */
+    /** Makes the state service refuse this controller's requests, and no others, for {@code ms} milliseconds. */
     void refuse(long ms) {
         refusalBegan = cluster.now;
         refusedUntil = cluster.now + ms;
@@ -86,7 +86,7 @@
         boolean lost = draw < cluster.answerLost;
         boolean delayed = !lost && draw < cluster.answerLost + cluster.late;
         cluster.at(
-                delayed ? 2000 + cluster.random.nextInt((int) MAX_DELAY_MS) : cluster.networkDelay(),
+                delayed ? 2000 + cluster.random.nextInt((int) MAX_EXTRA_DELAY_MS) : cluster.networkDelay(),
                 () -> arrive(method, path, body, reply -> {
                     if (delayed) {
                         cluster.countOccurrence(reply.status() == 200 ? "applied late" : "late and rejected");
--- a/src/test/java/garnetscale/controller/StateLinkRelistTest.java
+++ b/src/test/java/garnetscale/controller/StateLinkRelistTest.java
@@ -17,8 +17,8 @@
 
 /**
  * A replica that is being listed again, because its revision was too old for a watch, isn't complete: an older watch that is
- * answered meanwhile must neither confirm nor change it. Otherwise an owner goes on answering workers from a replica that lacks a
- * cancellation, for as long as the owner's grace.
+ * answered meanwhile must neither confirm nor change it. Otherwise an owner, for its whole grace period, goes on answering
+ * workers from a replica that lacks a cancellation.
  */
 class StateLinkRelistTest {
 
--- a/src/test/java/garnetscale/controller/StateLinkTest.java
+++ b/src/test/java/garnetscale/controller/StateLinkTest.java
@@ -13,17 +13,17 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The time from which an owner's grace runs. A replica may be confirmed only as of the sending of a request whose answer made it
- * complete. If a keep-alive, a watch that was open during a refusal, or a page of a listing confirmed it, a cancellation that
- * another controller confirmed meanwhile would be missed for longer than the grace.
+ * An owner's grace period runs from the time as of which its replica is confirmed: the sending of a request whose answer made the
+ * replica complete. If a keep-alive, a watch that was open during a refusal, or a page of a listing confirmed the replica, a
+ * cancellation that another controller confirmed meanwhile would be missed for longer than the grace period.
  */
 class StateLinkTest {
 
     private static final int SEEDS = 15;
 
     /**
-     * Enough jobs that a listing takes several pages and changes while it is read, with seconds without changes in which watches
-     * stay open.
+     * Stores enough jobs that a listing takes several pages, and changes them while it is read. Of every 9 s, 1.2 s are without
+     * changes, so that watches stay open.
      */
     private static ScriptedCluster scenario(long seed) {
         ScriptedCluster cluster = new ScriptedCluster(seed);
@@ -59,7 +59,7 @@
     }
 
     @Test
-    void replicaIsCompleteAsOfTheSendingOfTheConfirmingRequest() {
+    void replicaContainsWhatWasStoredWhenTheConfirmingRequestWasSent() {
         Map<String, Integer> occurrences = new TreeMap<>();
         for (long seed = 1; seed <= SEEDS; seed++) {
             ScriptedCluster cluster = scenario(seed);
--- a/src/test/java/garnetscale/controller/StateLinkVersionTest.java
+++ b/src/test/java/garnetscale/controller/StateLinkVersionTest.java
@@ -24,7 +24,10 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** Every change is guarded by the active version; a controller that doesn't support it decides nothing until it does. */
+/**
+ * Every change is guarded by the active version. A controller that doesn't support the active version decides nothing until a
+ * version that it supports is active again.
+ */
 class StateLinkVersionTest {
 
     private static final long MOD_REVISION = 7;
--- a/src/test/java/garnetscale/controller/TerminalJobIndexTest.java
+++ b/src/test/java/garnetscale/controller/TerminalJobIndexTest.java
@@ -26,7 +26,7 @@
     private static final int CACHE_SIZE = 50;
     private static final Records.TerminalJob DONE = new Records.TerminalJob(JobState.DONE, 3, 3, "red");
 
-    /** Answers when a test says so. It names only the first of the existing keys, the least that the protocol promises. */
+    /** Holds reads until {@link #answerAll}. Names only the first of the existing keys, the least that the protocol promises. */
     private static final class Store implements TerminalJobIndex.Store {
         final Map<String, Object> values = new HashMap<>();
         final Deque<Runnable> pending = new ArrayDeque<>();
--- a/src/test/java/garnetscale/controller/WriteRateAllocatorTest.java
+++ b/src/test/java/garnetscale/controller/WriteRateAllocatorTest.java
@@ -5,7 +5,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Fifteen submissions a second for a minute, at a limit of forty writes a second. */
+/** Guards against refused submissions when users submit 15 jobs a second for a minute, at a limit of 40 writes a second. */
 class WriteRateAllocatorTest {
 
     private static final double LIMIT = 40;
