--- a/src/main/java/garnetscale/emulator/EmulatedServices.java
+++ b/src/main/java/garnetscale/emulator/EmulatedServices.java
@@ -57,7 +57,7 @@
     /**
      * Creates the services; none is started yet.
      *
-     * @param controllers the addresses of the controllers, to which the workers send heartbeats, by name
+     * @param controllers the addresses to which the workers send heartbeats, by controller name
      */
     public EmulatedServices(EventLoopGroup loop, Map<String, String> controllers, long heartbeatIntervalMs) {
         this.loop = loop;
--- a/src/main/java/garnetscale/emulator/EmulatedWorker.java
+++ b/src/main/java/garnetscale/emulator/EmulatedWorker.java
@@ -17,7 +17,7 @@
 /** A worker on loopback: sends heartbeats to the controllers and serves direct commands, based on a {@link WorkerModel}. */
 final class EmulatedWorker {
 
-    /** A worker that received a higher fencing token confirms it with its next heartbeat after at most this time. */
+    /** The longest delay of the heartbeat by which a worker confirms that it received a higher fencing token. */
     private static final long TOKEN_CHANGE_HEARTBEAT_MS = 500;
 
     private static final long REDIRECT_DELAY_MS = 10;
@@ -83,8 +83,8 @@
                         ? Math.min(heartbeatIntervalMs, TOKEN_CHANGE_HEARTBEAT_MS)
                         : heartbeatIntervalMs;
             }
-            // The answer may name no owner: an immutable list throws when it is searched for null, which would end the
-            // worker's heartbeats for good.
+            // The answer may name no owner. Without the check by instanceof, the search of the immutable list for null
+            // would throw, which would end the worker's heartbeats for good.
             if (result.is(421)
                     && Cbor.readMap(result.body()).get("steward") instanceof String owner
                     && controllers.contains(owner)) {
@@ -99,7 +99,7 @@
     }
 
     /** Serves a direct request: commands on the path {@code /commands}, and a request for the worker's status on any other. */
-    @SuppressWarnings("IllegalCatch") // A malformed body fails in casts all over its decoding; each is a 400.
+    @SuppressWarnings("IllegalCatch") // Any cast in the decoding of a malformed body may fail; each failure is a 400.
     void handle(String path, byte[] body, Consumer<Reply> answer) {
         int status = 200;
         try {
--- a/src/main/java/garnetscale/emulator/StateService.java
+++ b/src/main/java/garnetscale/emulator/StateService.java
@@ -13,10 +13,15 @@
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
 
-/** Serves the requests of the state service by its published protocol, from a {@link StateModel}. */
+/** Emulates the HTTP interface of the state service by its published protocol, on top of a {@link StateModel}. */
 public final class StateService {
 
-    /** A pending request for changes of keys with the prefix after revision {@code since}, answered by its deadline. */
+    /**
+     * A pending request for the changes of keys with a prefix. Answered at the first change or at the deadline.
+     *
+     * @param since    the revision after which changes are reported
+     * @param deadline the time in milliseconds at which the request is answered even without changes
+     */
     private record Watch(String prefix, long since, long deadline, Consumer<Reply> answer) {}
 
     private static final String LEASES = "/holds/";
@@ -41,7 +46,7 @@
     }
 
     /** Serves a request. A malformed request is answered with 400. */
-    @SuppressWarnings("IllegalCatch") // A malformed body fails in casts all over its decoding; each is a 400.
+    @SuppressWarnings("IllegalCatch") // Any cast in the decoding of a malformed body may fail; each failure is a 400.
     public void handle(String method, String uri, byte[] body, Consumer<Reply> answer) {
         QueryStringDecoder query = new QueryStringDecoder(uri);
         String path = query.path();
--- a/src/main/java/garnetscale/emulator/WorkerMessages.java
+++ b/src/main/java/garnetscale/emulator/WorkerMessages.java
@@ -22,9 +22,9 @@
             Map<String, Object> row = new LinkedHashMap<>();
             row.put("chore", task.task().toString());
             row.put("try", task.attempt());
-            row.put("mood", mood(task.state()));
+            row.put("mood", stateName(task.state()));
             if (task.cause() != null) {
-                row.put("cause", cause(task.cause()));
+                row.put("cause", causeName(task.cause()));
             }
             tasks.add(row);
         }
@@ -42,7 +42,7 @@
         return body;
     }
 
-    private static String mood(TaskState state) {
+    private static String stateName(TaskState state) {
         return switch (state) {
             case FETCHING -> "fetching";
             case RUNNING -> "running";
@@ -52,7 +52,7 @@
         };
     }
 
-    private static String cause(ExitCause cause) {
+    private static String causeName(ExitCause cause) {
         return switch (cause) {
             case DONE -> "done";
             case STOPPED -> "halted";
--- a/src/main/java/garnetscale/emulator/WorkerModel.java
+++ b/src/main/java/garnetscale/emulator/WorkerModel.java
@@ -24,12 +24,16 @@
  */
 public final class WorkerModel {
 
-    /** Is notified of every start and end of a task on the machine, so that a test can check the protocol's rules. */
+    /** A listener for the starts and ends of tasks on a machine, with which a test can check the protocol's rules. */
     public interface TaskListener {
         /** Called when a task has started to run. */
         void onStarted(String machine, TaskId task, long attempt);
 
-        /** Called when a task has stopped running; {@code completed} is false if it was stopped or failed. */
+        /**
+         * Called when a task has stopped running.
+         *
+         * @param completed false if the task was stopped or failed, or if the worker's lease expired
+         */
         void onEnded(String machine, TaskId task, long attempt, boolean completed);
     }
 
@@ -38,6 +42,7 @@
         final TaskId id;
         final long attempt;
         TaskState state;
+        /** Why the attempt ended; null unless the state is {@code EXITED}. */
         ExitCause cause;
         /** When the current state ends by itself, that is, when the image is fetched or the task completes. */
         long endsAt;
@@ -61,7 +66,7 @@
     private final Map<Long, TaskAttempt> tasks = new LinkedHashMap<>();
 
     private final Set<String> cachedImages = new HashSet<>();
-    /** Tasks that have completed here; run again, they complete at once. */
+    /** Tasks that have completed on this machine. A further attempt of such a task completes at once. */
     private final Set<TaskId> completedTasks = new HashSet<>();
 
     private long agentEpoch = 1;
@@ -70,7 +75,7 @@
     private long leaseStartedAt;
     private double slowdownFactor = 1;
     private Predicate<TaskId> failingTasks = task -> false;
-    /** Seconds until the cloud takes the machine away; null without eviction notice. */
+    /** Seconds until the cloud takes the machine away; null if there is no eviction notice. */
     private Double evictionNoticeS;
 
     /**
@@ -203,8 +208,10 @@
     }
 
     /**
-     * Executes commands that a controller sent directly. Returns false, which is answered with 409, and executes none if their
-     * fencing token is lower than the highest one seen or their agent epoch isn't the current one.
+     * Executes commands that a controller sent directly, unless their fencing token is lower than the highest one seen or their
+     * agent epoch isn't the current one.
+     *
+     * @return whether the commands were executed; if not, the request is answered with 409
      */
     public boolean onDirectCommands(long now, long commandToken, long commandEpoch, List<WorkerCommand> commands) {
         advance(now);
--- a/src/main/java/garnetscale/net/ConnectionLimiter.java
+++ b/src/main/java/garnetscale/net/ConnectionLimiter.java
@@ -6,26 +6,31 @@
 import java.util.Set;
 
 /**
- * Limits the connections of one process and decides which idle ones to close for new ones. A process that reaches its limit of
- * sockets gets no more of them, not even for the state service, and one controller may be the only one left to serve all workers.
- * A part of the sockets is therefore reserved for connections that the process can't do without. The rest goes to workers before
- * users: when it is used up, idle connections to workers are closed first, which costs a handshake later, and then idle
- * connections of users, each time the longest idle. A new connection is refused only when no idle one is left. Confined to one
- * event loop, like all code that opens or accepts connections.
+ * Limits the connections of one process and decides which idle ones to close for new ones. A process at its limit of sockets
+ * can't open another, not even to the state service. Some sockets are therefore reserved for connections that the process can't
+ * do without.
+ *
+ * <p>For the other sockets, workers have priority over users, since one controller may be the only one left to serve all workers.
+ * A connection on which a worker has sent a heartbeat is never closed for a new one. At the limit, idle connections that this
+ * process opened to workers are closed first, which costs only a handshake later, and then idle connections of users, in both
+ * cases the longest idle first. A new connection is refused only when no idle one is left.
+ *
+ * <p>Confined to one event loop, like all code that opens or accepts connections.
  */
 public final class ConnectionLimiter {
 
     /**
-     * One in this many sockets is reserved for listeners, the state service, the cloud and peers, and for connections that are
-     * closed here but not yet at the other end: a machine behind a network partition doesn't answer while the partition lasts.
+     * The number of reserved sockets is the maximum number of sockets divided by this, but at least {@link #MIN_RESERVED}. They
+     * are for listeners, the state service, the cloud and peers, and for connections that are closed here but not yet at the
+     * other end: a machine behind a network partition doesn't answer while the partition lasts.
      */
     private static final int RESERVED_DIVISOR = 8;
 
     private static final int MIN_RESERVED = 8;
-    /** One in this many sockets may be an idle connection to a worker. */
+    /** The limit of idle connections to workers is the maximum number of sockets divided by this. */
     private static final int IDLE_TO_WORKERS_DIVISOR = 8;
 
-    /** The most connections that may be open and counted; the reserved sockets are already subtracted. */
+    /** The maximum number of counted connections: the maximum number of sockets without the reserved ones. */
     private final int limit;
 
     private final int idleToWorkersLimit;
@@ -46,8 +51,8 @@
      * Creates a limiter.
      *
      * @param maxConnections    the most sockets that the process may use, including those reserved
-     * @param scarcityThreshold the share of the sockets in use, without the reserved ones, from which on {@link #isScarce} makes
-     *     workers take turns; infinite for never
+     * @param scarcityThreshold the share of the unreserved sockets, as a fraction, that must be in use for {@link #isScarce} to
+     *     return true, which makes workers take turns; infinity for never
      */
     public ConnectionLimiter(int maxConnections, double scarcityThreshold) {
         this.scarcityThreshold = scarcityThreshold;
@@ -71,9 +76,10 @@
     }
 
     /**
-     * Removes a connection from the count, unless this limiter closed it and has already done so.
+     * Removes a closed connection from the count and from the idle ones. A connection that this limiter closed has already been
+     * removed from both.
      *
-     * @param channel the closed connection; null if it was counted but never established
+     * @param channel the connection; null if it was counted but never established
      */
     void onClosed(Channel channel) {
         if (channel == null || !closing.remove(channel)) {
--- a/src/main/java/garnetscale/net/HttpClient.java
+++ b/src/main/java/garnetscale/net/HttpClient.java
@@ -31,8 +31,8 @@
 public final class HttpClient {
 
     /**
-     * The body of an answer may be as large as the heap divided by this. Decoded, it takes several times its size, in addition to
-     * the data that it replaces.
+     * The size limit of an answer's body is the heap size divided by this. A decoded body takes several times its encoded size,
+     * while the data that it replaces is still in memory.
      */
     private static final int HEAP_TO_BODY_RATIO = 20;
     /** The size limit of an answer's body on small heaps: twice the largest page of a listing. */
@@ -52,7 +52,7 @@
 
     private final Map<String, Deque<Channel>> idle = new HashMap<>();
 
-    /** Creates a client for a few hosts, whose connections use reserved sockets and aren't counted. */
+    /** Creates a client for a few hosts. Its connections use reserved sockets and aren't counted. */
     public HttpClient(EventLoopGroup loop, int maxIdlePerHost, long connectTimeoutMs) {
         this(loop, maxIdlePerHost, null, connectTimeoutMs);
     }
@@ -92,11 +92,12 @@
     }
 
     /**
-     * Sends a request over an idle connection to the host, or over a new one. The callback runs on the event loop, before this
-     * method returns if the limiter allows no new connection.
+     * Sends a request over an idle connection to the host, or over a new one. The callback runs on the event loop. If the limiter
+     * allows no new connection, it runs before this method returns.
      *
-     * @param host the server's address, such as {@code 10.0.0.1:8080}
-     * @param body CBOR, or null for none
+     * @param host      the server's address, such as {@code 10.0.0.1:8080}
+     * @param body      CBOR, or null for none
+     * @param timeoutMs the time limit of the whole call, including the time to connect
      */
     public void call(
             String host, HttpMethod method, String path, byte[] body, long timeoutMs, Consumer<HttpResult> callback) {
--- a/src/main/java/garnetscale/net/HttpResult.java
+++ b/src/main/java/garnetscale/net/HttpResult.java
@@ -1,21 +1,24 @@
 package garnetscale.net;
 
 /**
- * The result of a request. If no answer was received, what matters is whether the request may be carried out: a request that was
- * never written can't be; one that was written and not answered may be, even after this result.
+ * The result of a request. Without an answer, the caller needs to know whether the server may carry out the request. The server
+ * can't if the request was never written. If it was written, the server may have carried it out, or may do so after this result.
  *
  * @param status the HTTP status code; 0 unless the outcome is {@code ANSWERED}
  * @param body   the body of the answer; empty unless the outcome is {@code ANSWERED}
  */
 public record HttpResult(Outcome outcome, int status, byte[] body) {
 
-    /** Whether a request was answered, and if not, whether it may be carried out. */
+    /** Whether a request was answered, and if not, whether it was written. */
     public enum Outcome {
         /** An answer was received, with any status. */
         ANSWERED,
-        /** The request wasn't written, so it isn't carried out. */
+        /** The request wasn't written, so the server can't carry it out. */
         NOT_SENT,
-        /** The request was written and no answer was received in time: it may be carried out. */
+        /**
+         * The request was written, but no answer was received before the timeout or the loss of the connection. The server may
+         * carry out the request.
+         */
         NO_ANSWER,
         /** The request was answered, but the answer exceeded the client's size limit and was dropped. */
         TOO_LONG
@@ -42,7 +45,10 @@
         return outcome == Outcome.ANSWERED && status == expected;
     }
 
-    /** Returns whether the request may be carried out, now or later, without an answer that confirms it. */
+    /**
+     * Returns whether the server may have carried out the request, or may still do so, without an answer that confirms it. Of the
+     * server errors, only 503 rules this out.
+     */
     public boolean mayHaveBeenApplied() {
         return outcome == Outcome.NO_ANSWER
                 || outcome == Outcome.TOO_LONG
--- a/src/main/java/garnetscale/net/HttpServer.java
+++ b/src/main/java/garnetscale/net/HttpServer.java
@@ -19,8 +19,8 @@
  * heartbeat, and as a worker's from then on. {@link ConnectionLimiter} ensures that workers, the state service and peers get a
  * connection however many users connect. Confined to one event loop.
  *
- * <p>The pipeline consists of Netty's codec and one handler. An aggregator, an idle handler and a timer for each connection would
- * do the same at the cost of three more handlers for every read and a timer for every connection.
+ * <p>The pipeline consists of Netty's codec and one handler. Netty's handlers for aggregation, idle connections and timeouts
+ * would do the same, but add three handlers to every read and a timer to every connection.
  */
 public final class HttpServer {
 
@@ -29,7 +29,12 @@
 
     /** Handles requests. */
     public interface Handler {
-        /** Answers a request by calling {@code answer} once on the event loop, immediately or later. */
+        /**
+         * Answers a request by calling {@code answer} once on the event loop, immediately or later.
+         *
+         * @param path the request target, including its query
+         * @param body the body of the request; empty if it has none
+         */
         void handle(String method, String path, byte[] body, Consumer<Reply> answer);
     }
 
@@ -41,6 +46,7 @@
     private final ConnectionLimiter limiter;
     private final int backlog;
     private final Set<HttpServerConnection> connections = new LinkedHashSet<>();
+    /** The nano time of the last sweep. */
     private long sweptAt;
 
     /**
@@ -80,7 +86,7 @@
     /** Closes the connections that have been idle for too long or deliver a request too slowly. */
     private void sweep() {
         long now = System.nanoTime();
-        // After a stall of this process, data that arrived meanwhile is still to be read.
+        // Skips the first sweep after a stall of this process: data that arrived during the stall hasn't been read yet.
         boolean late = now - sweptAt > 2 * SWEEP_INTERVAL_NANOS;
         sweptAt = now;
         if (late) {
--- a/src/main/java/garnetscale/net/HttpServerConnection.java
+++ b/src/main/java/garnetscale/net/HttpServerConnection.java
@@ -26,7 +26,7 @@
 final class HttpServerConnection extends ChannelInboundHandlerAdapter {
 
     private static final int MAX_BODY_BYTES = 64 * 1024;
-    /** The most requests that may wait on a connection behind one that isn't answered yet. */
+    /** The most complete requests that may wait for the one being served. A further request closes the connection. */
     private static final int MAX_PIPELINED = 4;
 
     private static final long NANOS_PER_S = 1_000_000_000L;
@@ -64,6 +64,7 @@
     /** The nano time at which an incomplete request began to arrive; 0 if there is none. */
     private long arrivingSince;
 
+    /** Whether a request has been served since the last {@link #channelReadComplete}. */
     private boolean servedInThisRead;
 
     HttpServerConnection(HttpServer.Handler handler, ConnectionLimiter limiter, Set<HttpServerConnection> connections) {
@@ -160,15 +161,18 @@
 
     @Override
     public void channelReadComplete(ChannelHandlerContext ctx) {
-        // The read ended inside a request: inside its body if its head is complete, otherwise possibly inside its head,
-        // since no request was served.
+        // Starts the arrival timeout if the read may have ended inside a request: inside its body if there is a
+        // head, or inside its head if no request was served in this read.
         if (!serving && arrivingSince == 0 && (head != null || !servedInThisRead)) {
             arrivingSince = System.nanoTime();
         }
         servedInThisRead = false;
     }
 
-    /** Returns 400: PROTOCOL counts a body that is too long as malformed, and such a request must not be repeated. */
+    /**
+     * Returns a reply with status 400. PROTOCOL counts a body that is too long as malformed, and such a request must not be
+     * repeated.
+     */
     private static Reply bodyTooLong() {
         return Reply.of(HttpStatus.BAD_REQUEST, UserCodec.error("body over 64 KiB"));
     }
--- a/src/main/java/garnetscale/net/HttpStatus.java
+++ b/src/main/java/garnetscale/net/HttpStatus.java
@@ -10,7 +10,10 @@
 
     public static final int NOT_FOUND = 404;
     public static final int METHOD_NOT_ALLOWED = 405;
-    /** From the state service: a guarded key has another revision. From a worker: it has seen a newer fencing token. */
+    /**
+     * From the state service: a guarded key has another revision. From a worker: it has seen a higher fencing token than that of
+     * the commands, or their agent epoch isn't its current one.
+     */
     public static final int CONFLICT = 409;
     /** Another controller owns the worker's partition. */
     public static final int MISDIRECTED = 421;
--- a/src/main/java/garnetscale/net/PeerLinks.java
+++ b/src/main/java/garnetscale/net/PeerLinks.java
@@ -73,8 +73,8 @@
      *
      * @param receiver      receives the messages of peers
      * @param onLinkUp      receives a peer's name each time a link to it is established
-     * @param onLinkRefused receives a peer's name when its link broke and the attempt to reconnect is refused at once. This is
-     *     what happens while the peer's process is down, but occasionally there are other causes.
+     * @param onLinkRefused receives a peer's name when its link broke and the first attempt to reconnect is refused or times
+     *     out. A refusal usually means that the peer's process is down, but occasionally there are other causes.
      */
     public PeerLinks(
             EventLoopGroup loop,
@@ -141,8 +141,8 @@
     /**
      * Starts one attempt to connect.
      *
-     * @param afterBreak whether this is the first attempt since the link broke, when a refusal is the strongest sign that the
-     *     peer's process is down
+     * @param afterBreak whether this is the first attempt since the link broke. Only then is a refusal reported, since it is the
+     *     strongest sign that the peer's process is down.
      */
     private void connect(String peer, String hostPort, boolean afterBreak) {
         new Bootstrap()
@@ -195,8 +195,8 @@
     }
 
     /**
-     * Sends a message to a peer. Returns false, and the message is lost, if the link is down, or is closed now because too many
-     * bytes wait to be written.
+     * Sends a message to a peer. Returns false and drops the message if the link is down or too many bytes wait to be written to
+     * it. In the latter case, also closes the link.
      */
     public boolean send(String peer, PeerMessage message) {
         Channel link = links.get(peer);
--- a/src/main/java/garnetscale/net/TokenBucket.java
+++ b/src/main/java/garnetscale/net/TokenBucket.java
@@ -13,6 +13,7 @@
     /** The available tokens; negative after more were taken than were available. */
     private double tokens;
 
+    /** The time of the last refill, in milliseconds. */
     private long refilledAt;
 
     /**
--- a/src/test/java/garnetscale/net/HttpServerTest.java
+++ b/src/test/java/garnetscale/net/HttpServerTest.java
@@ -126,17 +126,17 @@
     /** Users above the limit replace idle connections of other users; a worker's connection stays open. */
     @Test
     void excessUsersDoNotReplaceWorkers() throws IOException {
-        byte[] hello =
+        byte[] heartbeat =
                 "POST /hello HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
         List<Socket> users = new ArrayList<>();
         try (Socket worker = connect()) {
-            worker.getOutputStream().write(hello);
+            worker.getOutputStream().write(heartbeat);
             assertEquals("HTTP/1.1 200 OK", firstLine(worker));
             for (int i = 0; i < 8; i++) {
                 users.add(connect());
             }
             assertEquals(-1, users.get(0).getInputStream().read());
-            worker.getOutputStream().write(hello);
+            worker.getOutputStream().write(heartbeat);
             assertTrue(worker.getInputStream().read() > 0);
         } finally {
             for (Socket socket : users) {
@@ -148,11 +148,11 @@
     /** There may be more workers than sockets: each is answered, and its connection closed to free the socket for the next. */
     @Test
     void workersTakeTurnsWhenSocketsAreScarce() throws IOException {
-        int sharing = listen(new ConnectionLimiter(12, 0.5));
+        int scarcePort = listen(new ConnectionLimiter(12, 0.5));
         List<Socket> open = new ArrayList<>();
         try {
             for (int i = 0; i < 40; i++) {
-                Socket worker = new Socket("127.0.0.1", sharing);
+                Socket worker = new Socket("127.0.0.1", scarcePort);
                 worker.setSoTimeout(20_000);
                 open.add(worker);
                 worker.getOutputStream()
