--- a/src/test/java/garnetscale/core/sim/BalanceMeasurement.java
+++ b/src/test/java/garnetscale/core/sim/BalanceMeasurement.java
@@ -16,8 +16,8 @@
 
 /**
  * Measures load balancing on and off in simulated time, with the same seeds: {@code mvn test -Dtest=BalanceMeasurement}. The load
- * of two teams peaks four times at once; in the runs with failures a controller crashes in each peak. Its name keeps it out of
- * builds.
+ * of both teams peaks together, four times in a run; in the runs with failures, a controller crashes in each peak. The name of
+ * this class keeps it out of default builds.
  */
 class BalanceMeasurement {
 
@@ -27,7 +27,7 @@
     private static final long FIRST_PEAK_MS = 50_000;
     private static final long END_MS = FIRST_PEAK_MS + PEAKS * PEAK_INTERVAL_MS;
     private static final int SAMPLE_MS = 500;
-    /** Least mean utilization of a sample that counts; the ratio of peak to mean says little below it. */
+    /** Mean utilization below which a sample is ignored, because the ratio of peak to mean says little there. */
     private static final double MIN_MEAN_UTILIZATION = 0.1;
 
     private final Map<String, Double> figures = new TreeMap<>();
@@ -38,12 +38,13 @@
             Map<String, double[]> off = measureAll(false, failures);
             Map<String, double[]> on = measureAll(true, failures);
             System.out.println("failures " + failures);
-            on.forEach((name, values) ->
-                    System.out.printf(Locale.ROOT, "  %-28s off %s  on %s%n", name, show(off.get(name)), show(values)));
+            on.forEach((name, values) -> System.out.printf(
+                    Locale.ROOT, "  %-28s off %s  on %s%n", name, summarize(off.get(name)), summarize(values)));
         }
     }
 
-    private static String show(double[] values) {
+    /** Formats the minimum, the median and the maximum of the values, and the value for each seed. */
+    private static String summarize(double[] values) {
         double[] sorted = values.clone();
         Arrays.sort(sorted);
         return String.format(
@@ -78,9 +79,9 @@
         List<Double> boundWaits = new ArrayList<>();
         List<Double> flexibleWaits = new ArrayList<>();
         Set<TaskId> started = new HashSet<>();
-        var began = cluster.rules.onStarted;
+        var previousListener = cluster.rules.onStarted;
         cluster.rules.onStarted = (machine, task) -> {
-            began.accept(machine, task);
+            previousListener.accept(machine, task);
             if (!started.add(task)) {
                 return;
             }
@@ -162,6 +163,7 @@
         return Integer.parseInt(worker.id.substring("m-".length()));
     }
 
+    /** Returns the machine group of a machine, which is its zone and type. */
     private static String group(SimulatedCluster cluster, String machine) {
         return cluster.zoneOf(machine) + "/" + cluster.typeOf(machine);
     }
--- a/src/test/java/garnetscale/core/sim/BalanceSimulationTest.java
+++ b/src/test/java/garnetscale/core/sim/BalanceSimulationTest.java
@@ -14,9 +14,10 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Load peaks of two teams on machines of two types: the tasks of one team fit both types and have filled them, while those of the
- * other, which has a higher priority, fit only the large type. Controllers, machines and the state service fail during the moves
- * that follow, and {@link ProtocolRules} checks PROTOCOL's rules. A scenario fails if its failure did not coincide with a move.
+ * Load peaks of two teams on machines of two types. The tasks of team blue run on both types and leave too little room on the
+ * large type; then team red submits tasks of a higher priority, which fit only that type. Controllers, machines and the state
+ * service fail during the moves that follow, and {@link ProtocolRules} checks PROTOCOL's rules. A scenario fails if its failure
+ * did not coincide with a move.
  */
 class BalanceSimulationTest {
 
@@ -27,10 +28,10 @@
     static final ClusterShape SHAPE = new ClusterShape(3, List.of("a", "b"), 24, 16 * 1024)
             .withTypes(List.of(SMALL, LARGE))
             .withBalance(new BalanceSettings(true, BalanceSettings.MARGIN, BalanceSettings.MOVING));
-    /** A new leader moves no task before four worker leases have passed. */
-    private static final long NO_MOVES_MS = 4 * SimulatedCluster.LEASE_MS;
+    /** Window of the move budget: four worker leases, in which a new leader moves no task. */
+    private static final long MOVE_WINDOW_MS = 4 * SimulatedCluster.LEASE_MS;
 
-    private static final long PEAK_START_MS = NO_MOVES_MS + 10_000;
+    private static final long PEAK_START_MS = MOVE_WINDOW_MS + 10_000;
     private static final int FLEXIBLE_ESTIMATE_S = 120;
 
     /** A simulated cluster, with the moves that were made in it. */
@@ -66,7 +67,7 @@
         return new Scenario(cluster, new MoveHistory(cluster));
     }
 
-    /** Submits a flexible job that fills both types, and ten seconds later a bound job that fits only the large type. */
+    /** Submits a flexible job, which runs on both types, and ten seconds later a bound job that fits only the large type. */
     static void submitPeak(SimulatedCluster cluster) {
         cluster.at(PEAK_START_MS, () -> cluster.users.submit("wk-flexible", "blue", 40, 4, FLEXIBLE_ESTIMATE_S));
         cluster.at(
@@ -91,7 +92,7 @@
         assertEquals(new TreeSet<>(), scenario.history().lostTasks(), "seed " + seed);
     }
 
-    /** Runs the load peak with a failure for each seed; returns the scenarios that were run. */
+    /** Runs the load peak with a failure for each seed; asserts that each failure coincided with a move. */
     private static List<Scenario> play(Consumer<Scenario> failure) {
         List<Scenario> scenarios = new ArrayList<>();
         for (long seed = 1; seed <= SEEDS; seed++) {
@@ -159,10 +160,10 @@
                     scenario.cluster().occurrences.get("leader changed") >= 8,
                     scenario.cluster().occurrences.toString());
             assertTrue(
-                    scenario.history().maxMovesWithin(NO_MOVES_MS) <= 16,
+                    scenario.history().maxMovesWithin(MOVE_WINDOW_MS) <= 16,
                     scenario.history().moves.toString());
             assertTrue(
-                    scenario.history().minIntervalBetweenMovesMs() >= NO_MOVES_MS,
+                    scenario.history().minIntervalBetweenMovesMs() >= MOVE_WINDOW_MS,
                     scenario.history().moves.toString());
         }
     }
@@ -242,8 +243,8 @@
     }
 
     /**
-     * No move gains anything: in a balanced cluster, in one that is full everywhere, and in a peak that ends before a move pays
-     * off.
+     * Three cases in which no move has a gain: the cluster is balanced, all machines are full, or the load peak ends before a
+     * move pays off.
      */
     @Test
     void nothingMovesWithoutGain() {
@@ -273,7 +274,7 @@
         }
     }
 
-    /** A task that has run for long without checkpoints stays; a task beside it that has just started moves. */
+    /** Tasks that have run for long without checkpoints stay; tasks that have just started move instead. */
     @Test
     void theCheapTaskMovesAndTheCostlyOneStays() {
         for (long seed = 1; seed <= SEEDS; seed++) {
--- a/src/test/java/garnetscale/core/sim/ClusterShape.java
+++ b/src/test/java/garnetscale/core/sim/ClusterShape.java
@@ -11,11 +11,12 @@
 import java.util.List;
 
 /**
- * The size and settings of a simulated cluster, whose controllers and workers are spread over the zones in turn.
+ * The size and settings of a simulated cluster. Controllers and workers are assigned to the zones in turn.
  *
  * @param nodes      number of controllers
- * @param valueBytes largest value that the state service takes
- * @param types      machine types, which the machines of each zone have in turn
+ * @param workers    number of machines, each with one worker
+ * @param valueBytes size of the largest value that the state service accepts, in bytes
+ * @param types      machine types, assigned in turn to the machines of each zone
  * @param red        CPU limit of team red
  * @param blue       CPU limit of team blue
  */
@@ -36,7 +37,7 @@
     static final ClusterShape THREE_ZONES = new ClusterShape(3, List.of("a", "b", "c"), 300, VALUE_BYTES);
     static final ClusterShape FIVE_NODES = new ClusterShape(5, List.of("a", "b"), 300, VALUE_BYTES);
     static final ClusterShape FOUR_THOUSAND = new ClusterShape(5, List.of("a", "b"), 4000, VALUE_BYTES);
-    /** Values are so small that the placements of a few dozen machines exceed a shard. */
+    /** The limit for values is so low that the placements of a few dozen machines exceed a shard. */
     static final ClusterShape SMALL_VALUES = new ClusterShape(3, List.of("a", "b"), 160, 4 * 1024);
 
     ClusterShape(int nodes, List<String> zones, int workers, int valueBytes) {
--- a/src/test/java/garnetscale/core/sim/ConcurrentFailures.java
+++ b/src/test/java/garnetscale/core/sim/ConcurrentFailures.java
@@ -14,8 +14,8 @@
 
 /**
  * Fixture of the {@code Concurrent…Test}s: scenarios in which two failures coincide. Each scenario counts the events that it is
- * meant to produce, and its test fails if they occurred too seldom. docs/meetings.md lists the scenarios, each with the guard in
- * the code without which it was seen to fail.
+ * meant to produce, and its test fails if they occurred too seldom. docs/meetings.md lists the scenarios, and for each the guard
+ * in the code whose removal made it fail.
  */
 final class ConcurrentFailures {
 
@@ -29,7 +29,7 @@
     private static final long END_MS = 700_000;
 
     private static final long POLL_MS = 5000;
-    /** How long the scenario goes on after the last job became terminal; no terminal state may change in that time. */
+    /** Time that a scenario runs on once all jobs are terminal; no terminal state may change in that time. */
     private static final long QUIET_MS = 30_000;
 
     /** Runs a scenario with {@link #SEEDS} seeds; returns how often each event occurred, summed over all seeds. */
@@ -55,7 +55,10 @@
         return occurred;
     }
 
-    /** Runs until every accepted job is terminal, and then checks that all stay so; adds a violation for each that is not. */
+    /**
+     * Runs until all submitted jobs are terminal, and checks that they stay so for {@link #QUIET_MS}. Adds a violation for each
+     * job that isn't terminal by {@link #END_MS}.
+     */
     private static void settle(SimulatedCluster cluster) {
         for (long time = cluster.now; time < END_MS; time += POLL_MS) {
             cluster.run(time);
@@ -101,8 +104,12 @@
         }
     }
 
-    /** Cancels all jobs that run on matching machines, at a controller other than {@code notAt}; counts each as {@code event}. */
-    static void cancelRunning(SimulatedCluster cluster, String notAt, Predicate<String> machines, String event) {
+    /**
+     * Cancels all jobs that run on matching machines, and counts each as {@code event}.
+     *
+     * @param excludedNode controller at which no job is cancelled; an empty string excludes none
+     */
+    static void cancelRunning(SimulatedCluster cluster, String excludedNode, Predicate<String> machines, String event) {
         Set<String> jobs = new HashSet<>();
         cluster.rules.running().forEach((task, machine) -> {
             if (machines.test(machine)) {
@@ -112,7 +119,8 @@
         for (String id : new TreeSet<>(jobs)) {
             if (!cluster.rules.isCancelled(id)
                     && cluster.nodes.stream()
-                            .anyMatch(node -> !node.name.equals(notAt) && cluster.users.cancelAt(node.name, id))) {
+                            .anyMatch(
+                                    node -> !node.name.equals(excludedNode) && cluster.users.cancelAt(node.name, id))) {
                 cluster.countOccurrence(event);
             }
         }
--- a/src/test/java/garnetscale/core/sim/ConcurrentLateHeartbeatTest.java
+++ b/src/test/java/garnetscale/core/sim/ConcurrentLateHeartbeatTest.java
@@ -56,7 +56,7 @@
         }
     }
 
-    /** Copies of heartbeats arrive 1 s to 41 s late, longer than a worker lease and also from earlier agent epochs. */
+    /** Copies of heartbeats arrive 1 s to 41 s late: some after more than a worker lease, some from an earlier agent epoch. */
     @Test
     void oldHeartbeatsArriveAfterNewerOnes() {
         Map<String, Integer> occurred = play(2 * SEEDS, cluster -> {
--- a/src/test/java/garnetscale/core/sim/ConcurrentLateTransactionTest.java
+++ b/src/test/java/garnetscale/core/sim/ConcurrentLateTransactionTest.java
@@ -43,7 +43,7 @@
         });
     }
 
-    /** Machines that join within two seconds get tasks at once while transactions are late, and the leader crashes. */
+    /** Four machines join within 2 s and get tasks while transactions get no answer or are late, and the leader crashes. */
     @Test
     void newMachinesGetTasksWhileTransactionsAreLateAndTheLeaderCrashes() {
         Map<String, Integer> occurred = play(cluster -> {
--- a/src/test/java/garnetscale/core/sim/ConcurrentOutageTest.java
+++ b/src/test/java/garnetscale/core/sim/ConcurrentOutageTest.java
@@ -51,8 +51,8 @@
     }
 
     /**
-     * As {@link #anOutageFollowsARefusalOfTheLeader}, with a second outage right after the first one; the end of each renews
-     * every lease in full.
+     * As {@link #anOutageFollowsARefusalOfTheLeader}, with a second outage right after the first one. At the end of each outage,
+     * every lease is renewed in full.
      */
     @Test
     void twoOutagesFollowARefusalOfTheLeader() {
@@ -81,8 +81,8 @@
     }
 
     /**
-     * Jobs are cancelled as the state service starts to refuse the leader, a second before the outage; the notice to the peers
-     * arrives.
+     * Jobs of the leader's machines are cancelled at another controller when the state service starts to refuse the leader, 1 s
+     * before an outage. The cancellation notice reaches the leader, which must stop the tasks.
      */
     @Test
     void aCancellationNoticeFromAPeerStopsTasksInAnOutage() {
--- a/src/test/java/garnetscale/core/sim/DecisionDigest.java
+++ b/src/test/java/garnetscale/core/sim/DecisionDigest.java
@@ -109,7 +109,8 @@
     }
 
     /**
-     * Watches besides short requests, limited write rates, transactions without an answer, machines that hang or are reclaimed.
+     * Controllers also watch the state service for changes, and its write rate is limited. Some transactions get no answer, a
+     * machine hangs, another one gets an eviction notice, and the state service has an outage.
      */
     private static void playWatch(SimulatedCluster cluster) {
         cluster.watches = true;
--- a/src/test/java/garnetscale/core/sim/DecisionObserver.java
+++ b/src/test/java/garnetscale/core/sim/DecisionObserver.java
@@ -10,12 +10,12 @@
     /** An observer that ignores all decisions. */
     DecisionObserver NONE = new DecisionObserver() {};
 
-    /** A controller sends a transaction to the state service, which may store it, refuse it or never receive it. */
+    /** Called when a controller sends a transaction to the state service, which may apply it, refuse it or never receive it. */
     default void onTransaction(long now, String node, Transaction transaction) {}
 
-    /** A partition owner returns an effect, such as a command to send. */
+    /** Called when a partition owner returns an effect, such as a command to send. */
     default void onEffect(long now, String node, OwnerEffect effect) {}
 
-    /** A partition owner replies to a heartbeat. */
+    /** Called when a partition owner replies to a heartbeat. */
     default void onReply(long now, String node, String machine, HeartbeatReply reply) {}
 }
--- a/src/test/java/garnetscale/core/sim/MoveHistory.java
+++ b/src/test/java/garnetscale/core/sim/MoveHistory.java
@@ -12,27 +12,31 @@
 import java.util.regex.Pattern;
 
 /**
- * What became of each moved task, derived only from what the workers really ran and from the log lines of the leaders. A move is
- * needless if no task of a job with a higher priority started on the machine that the moved task left before the time at which
- * the moved task would have completed there.
+ * Records the moves in a simulated cluster and their results, derived only from what the workers really ran and from the log
+ * lines of the leaders.
+ *
+ * <p>A move is useful if a task of a job with a higher priority started on the machine before the moved task would have completed
+ * there. Otherwise it is needless.
  */
 final class MoveHistory {
 
     /**
-     * The log line of a stored move; {@code for_job} is the job that gets the room, or none if the moved task itself completes
-     * earlier.
+     * The log line of a stored move; {@code for_job} is the beneficiary, or none if the gain is that the moved task itself
+     * completes earlier.
      */
     private static final Pattern MOVED = Pattern.compile(
             "moving task, task=(\\S+)/(\\d+) machine=(\\S+) from=.* for_job=(?:none|(\\S+)) gain_cpu_s=.*");
 
     /**
-     * A stop of a task on a machine.
+     * A move, which stops a task so that it starts again elsewhere.
      *
-     * @param beneficiary the job that gets the room; null if the moved task itself completes earlier elsewhere
-     * @param at          time of the stop
-     * @param endsAt      time at which the task would have completed on the machine, by its real start and its estimate
+     * @param machine       the machine that the task leaves
+     * @param beneficiary   the job that gets the freed capacity; null if the gain is that the moved task completes earlier
+     * @param at            time at which the leader logged the move, in milliseconds
+     * @param expectedEndAt time at which the task would have completed on the machine, in milliseconds: its estimate after its
+     *                      real start, or after {@code at} if it doesn't run there
      */
-    record Move(TaskId task, String machine, String beneficiary, long at, long endsAt) {}
+    record Move(TaskId task, String machine, String beneficiary, long at, long expectedEndAt) {}
 
     private record Start(TaskId task, String machine, long at) {}
 
@@ -66,15 +70,17 @@
     }
 
     /**
-     * Returns moved tasks that neither started again nor completed and whose job wasn't cancelled; empty once all jobs are
-     * terminal.
+     * Returns the moved tasks that neither started again nor completed and whose job wasn't cancelled. There must be none once
+     * all jobs are terminal.
      */
     Set<TaskId> lostTasks() {
         Set<TaskId> lost = new LinkedHashSet<>();
         for (Move move : moves) {
             boolean restarted =
                     starts.stream().anyMatch(start -> start.task().equals(move.task()) && start.at() > move.at());
-            if (!restarted && !cluster.rules.isCancelled(move.task().job()) && !cluster.rules.isDone(move.task())) {
+            if (!restarted
+                    && !cluster.rules.isCancelled(move.task().job())
+                    && !cluster.rules.hasCompleted(move.task())) {
                 lost.add(move.task());
             }
         }
@@ -101,16 +107,16 @@
         return starts.stream()
                 .anyMatch(start -> start.machine().equals(move.machine())
                         && start.at() > move.at()
-                        && start.at() < move.endsAt()
+                        && start.at() < move.expectedEndAt()
                         && cluster.rules.jobs.get(start.task().job()).priority().compareTo(moved.priority()) < 0);
     }
 
-    /** Returns the CPU-seconds of work that moves lost: what moved tasks had run without a checkpoint. */
+    /** Returns the CPU-seconds that moved tasks had run. All of it is lost, because the simulated tasks save no checkpoints. */
     double lostCpuS() {
         double lost = 0;
         for (Move move : moves) {
             JobSpec job = cluster.rules.jobs.get(move.task().job());
-            double remainingS = (move.endsAt() - move.at()) / 1000.0;
+            double remainingS = (move.expectedEndAt() - move.at()) / 1000.0;
             lost += Math.max(0, job.estimateS() - remainingS) * job.cpus();
         }
         return lost;
@@ -131,7 +137,7 @@
         return shortest;
     }
 
-    /** Returns the largest number of moves within any period of {@code ms}. */
+    /** Returns the largest number of moves within any period of {@code ms} milliseconds. */
     int maxMovesWithin(long ms) {
         int max = 0;
         for (Move first : moves) {
--- a/src/test/java/garnetscale/core/sim/ProtocolRules.java
+++ b/src/test/java/garnetscale/core/sim/ProtocolRules.java
@@ -16,20 +16,22 @@
 import java.util.function.LongSupplier;
 import java.util.stream.IntStream;
 
-/** Checks PROTOCOL's rules by what the workers really run, independently of the state that the controllers hold. */
+/** Checks PROTOCOL's rules against what the workers really run, independently of the state that the controllers hold. */
 final class ProtocolRules implements WorkerModel.Watcher {
 
     final List<String> violations = new ArrayList<>();
     final Map<String, JobSpec> jobs = new HashMap<>();
     private final Map<TaskId, String> running = new HashMap<>();
     private final Map<String, Long> cancelledAt = new HashMap<>();
+    /** The state that was last reported to a user, by job. */
     private final Map<String, String> reportedStates = new HashMap<>();
+
     private final Set<TaskId> completed = new HashSet<>();
     private final Map<String, Double> limits;
     private final long cancelMs;
     private final LongSupplier clock;
     private final Map<String, String> zones;
-    /** Tests whether a stored placement names an attempt on a machine; no task may run without one. */
+    /** Tests whether a placement of an attempt on a machine is stored; no attempt may start without its placement. */
     BiPredicate<String, Long> hasPlacement = (machine, attempt) -> true;
     /** Receives each task that started to run, with its machine. */
     BiConsumer<String, TaskId> onStarted = (machine, task) -> {};
@@ -37,11 +39,19 @@
     Consumer<TaskId> onCompleted = task -> {};
 
     int starts;
-    /** Starts of tasks of jobs that were already cancelled, within the cancellation deadline or after it. */
+    /** Number of starts of tasks whose job was already cancelled, within the cancellation deadline or after it. */
     int startsAfterCancel;
     /** Number of starts by job. */
     final Map<String, Integer> startsByJob = new HashMap<>();
 
+    /**
+     * Creates rules for a cluster without jobs.
+     *
+     * @param limits   CPU limit by team
+     * @param zones    zone by machine; machines may be added later
+     * @param cancelMs the cancellation deadline in milliseconds
+     * @param clock    the simulated time in milliseconds
+     */
     ProtocolRules(Map<String, Double> limits, Map<String, String> zones, long cancelMs, LongSupplier clock) {
         this.limits = limits;
         this.zones = zones;
@@ -49,8 +59,8 @@
         this.clock = clock;
     }
 
-    private void violated(String rule, String what) {
-        violations.add(clock.getAsLong() + " " + rule + ": " + what);
+    private void violated(String rule, String details) {
+        violations.add(clock.getAsLong() + " " + rule + ": " + details);
     }
 
     @Override
@@ -107,7 +117,7 @@
     }
 
     /** Returns whether the task has completed on any machine. */
-    boolean isDone(TaskId task) {
+    boolean hasCompleted(TaskId task) {
         return completed.contains(task);
     }
 
@@ -125,7 +135,10 @@
                 .sum();
     }
 
-    /** Records a job state that was reported to a user; a terminal state must not change afterwards. */
+    /**
+     * Records a job state that was reported to a user. A terminal state must not change afterwards, and all tasks of a job that
+     * is reported done must have completed.
+     */
     void onStateReported(String job, String state) {
         String before = reportedStates.put(job, state);
         if (before != null && !before.equals(state) && !before.equals("LIVE")) {
@@ -144,12 +157,12 @@
         }
     }
 
-    /** Checks that no task still runs later than the cancellation deadline after its job was cancelled. */
-    void check() {
-        for (TaskId other : running.keySet()) {
-            Long cancelled = cancelledAt.get(other.job());
+    /** Checks that no task of a cancelled job still runs after the cancellation deadline. */
+    void checkCancellations() {
+        for (TaskId task : running.keySet()) {
+            Long cancelled = cancelledAt.get(task.job());
             if (cancelled != null && clock.getAsLong() - cancelled > cancelMs) {
-                violated("ran_cancelled", other + " is on " + running.get(other));
+                violated("ran_cancelled", task + " is on " + running.get(task));
             }
         }
     }
--- a/src/test/java/garnetscale/core/sim/SimulatedCluster.java
+++ b/src/test/java/garnetscale/core/sim/SimulatedCluster.java
@@ -23,9 +23,9 @@
 import java.util.function.BiConsumer;
 
 /**
- * A cluster in simulated time: the cores of the controllers, workers, users and a state service. Messages are delayed, lost,
- * repeated and held for minutes, controllers crash and restart, and any process can be isolated. The seed determines the whole
- * run.
+ * A cluster in simulated time: controllers, of which only the core is run, and models of the workers, the users and the state
+ * service. Messages are delayed, lost, repeated and held for minutes, controllers crash and restart, and any process can be
+ * isolated. The seed determines the whole run.
  */
 final class SimulatedCluster extends Timeline {
 
@@ -64,11 +64,13 @@
     private final Map<String, String> zones = new HashMap<>();
     /** A replica that {@link #stored} brings up to date. */
     private final StateReplica storedReplica = new StateReplica();
-    /** Copies of heartbeats for {@link #deliverHeldHeartbeats}. */
+    /** Copies of heartbeats that {@link #deliverHeldHeartbeats} delivers at the next election. */
     final List<WorkerHeartbeat> heldHeartbeats = new ArrayList<>();
 
     private final Map<String, Long> partitionTerms = new HashMap<>();
+    /** Time at which each partition last got a new term, in milliseconds. */
     private final Map<String, Long> partitionMovedAt = new HashMap<>();
+
     final Fault fault;
     final ClusterShape shape;
     /** Time until which late copies of heartbeats are sent to random controllers. */
@@ -155,7 +157,7 @@
                 worker.model.advance(now);
             }
         }
-        rules.check();
+        rules.checkCancellations();
         StateReplica stored = stored();
         if (stored.leader() != null && stored.leader().term() != lastLeaderTerm) {
             lastLeaderTerm = stored.leader().term();
@@ -213,12 +215,15 @@
         return nodes.get(byId.get(worker).target() % nodes.size()).name;
     }
 
-    /** Gives a machine notice that the cloud will reclaim it, which its heartbeats report from now on. */
+    /** Gives a machine notice that the cloud will reclaim it in {@code noticeS} seconds; its heartbeats report it from now on. */
     void giveEvictionNotice(String worker, double noticeS) {
         byId.get(worker).model.evictionNotice(noticeS);
     }
 
-    /** Freezes a machine unless it is frozen already; its tasks resume afterwards where they stopped. */
+    /**
+     * Freezes a machine unless it is frozen already. Afterwards its tasks resume where they stopped, unless the worker lease has
+     * expired meanwhile.
+     */
     void hang(String worker, long ms) {
         if (!network.isFrozen(worker)) {
             byId.get(worker).model.advance(now);
--- a/src/test/java/garnetscale/core/sim/SimulatedNetwork.java
+++ b/src/test/java/garnetscale/core/sim/SimulatedNetwork.java
@@ -9,9 +9,10 @@
 final class SimulatedNetwork {
 
     private final SimulatedCluster cluster;
-    /** Ends of cuts, by process or by link direction ({@code from>to}). */
+    /** Times until which links are cut, by process or by direction of a link ({@code from>to}). */
     private final Map<String, Long> cutUntil = new HashMap<>();
 
+    /** Time until which a controller or worker is frozen, by process. */
     final Map<String, Long> frozenUntil = new HashMap<>();
     /** Time until which a machine's heartbeats reach no controller, while direct requests reach the machine; by machine. */
     final Map<String, Long> heartbeatsBlockedUntil = new HashMap<>();
@@ -23,8 +24,8 @@
     }
 
     /** Cuts all links of a controller or worker, or one direction of a link ({@code from>to}). */
-    void cut(String what, long ms) {
-        cutUntil.put(what, cluster.now + ms);
+    void cut(String processOrLink, long ms) {
+        cutUntil.put(processOrLink, cluster.now + ms);
     }
 
     /** Isolates a controller from the state service and its peers, in both directions, but not from workers. */
@@ -100,7 +101,7 @@
 
     /**
      * Sends a message in one direction. During a cut, half of the messages are lost and the others are held and delivered
-     * afterwards. Otherwise few are lost, and one in 200 arrives twice, the second time up to a minute later.
+     * afterwards. Otherwise the share {@link #loss} is lost, and one in 200 arrives twice, the second time up to a minute later.
      */
     void send(String from, String to, Runnable receive) {
         Runnable deliver = () -> runWhenThawed(to, receive);
--- a/src/test/java/garnetscale/core/sim/SimulatedNode.java
+++ b/src/test/java/garnetscale/core/sim/SimulatedNode.java
@@ -165,7 +165,7 @@
         }
     }
 
-    /** Passes status messages to the leader that declare all tasks of some machines terminated, without any proof. */
+    /** Passes the leader status messages that declare all tasks of some machines terminated, without any proof. */
     private void reportFalseTermination(List<MachineStatus> statuses) {
         for (int i = 0; i < statuses.size(); i += 20) {
             MachineStatus status = statuses.get(cluster.random.nextInt(statuses.size()));
--- a/src/test/java/garnetscale/core/sim/SimulatedStateLink.java
+++ b/src/test/java/garnetscale/core/sim/SimulatedStateLink.java
@@ -17,7 +17,9 @@
 
     private final SimulatedCluster cluster;
     private final SimulatedNode node;
+    /** Id of the lease; -1 without a lease. */
     private long lease = -1;
+    /** Whether a listing of all keys is in progress. */
     private boolean listing;
 
     SimulatedStateLink(SimulatedCluster cluster, SimulatedNode node) {
@@ -29,7 +31,12 @@
         return lease >= 0;
     }
 
-    /** Sends a request; the answer is dropped if the process has crashed meanwhile or 2 s have passed. */
+    /**
+     * Sends a request; the answer is dropped if the process has crashed meanwhile or 2 s have passed.
+     *
+     * @param refused the answer if the state service refuses the request
+     * @param lost    runs when there is no answer after 2 s
+     */
     private <T> void send(Supplier<T> request, T refused, Consumer<T> receiver, Runnable lost) {
         int process = node.processNumber;
         boolean[] ended = new boolean[1];
@@ -92,7 +99,7 @@
         }
     }
 
-    /** Requests a lease, or renews the one that is held; drops it when it has expired. */
+    /** Requests a lease, or renews the present one; drops a lease that has expired. */
     void renewLease() {
         if (node.replica.unreadable() != null) {
             cluster.countOccurrence("stored layout not supported");
@@ -158,6 +165,7 @@
     /**
      * Reads a page of a listing; keys may change between two pages.
      *
+     * @param sentAt        time at which the listing began, in milliseconds
      * @param after         the last key of the page before, or null for the first page
      * @param entries       the entries of all pages so far
      * @param firstRevision the revision of the first page, or -1 before it was read
@@ -188,7 +196,10 @@
                 () -> listing = false);
     }
 
-    /** Registers this process under its lease, so that it can own partitions and stand for election. */
+    /**
+     * Registers this process under its lease, so that it can own partitions and stand for election. Passes the lease to the
+     * roles once the replica shows the registration.
+     */
     void register() {
         ControllerInfo registered = node.replica.controller(node.name);
         if (lease >= 0 && (registered == null || registered.incarnation() != lease)) {
@@ -210,7 +221,7 @@
         }
     }
 
-    /** Commits a transaction; {@code done} receives the outcome, and the revision or -1 if that isn't known. */
+    /** Commits a transaction; {@code done} receives the outcome, and the service's revision, or -1 if that isn't known. */
     void commit(Transaction transaction, BiConsumer<TransactionOutcome, Long> done) {
         if (!node.replica.isLoaded()) {
             done.accept(TransactionOutcome.REFUSED, -1L);
--- a/src/test/java/garnetscale/core/sim/SimulatedStateService.java
+++ b/src/test/java/garnetscale/core/sim/SimulatedStateService.java
@@ -48,7 +48,8 @@
     }
 
     /**
-     * Starts to refuse changes beyond the rate per second that the settings allow; leaders limit their own rate from now on, too.
+     * Limits changes to the rate per second that the settings allow. From now on, the service refuses transactions beyond it, and
+     * leaders limit their own rate, too.
      */
     void limitWrites() {
         SchedulerConfig config = cluster.shape.config("n0");
@@ -57,8 +58,8 @@
     }
 
     /**
-     * Applies a transaction of a controller and returns the HTTP status; checks that the controller supports the active layout
-     * version.
+     * Applies a transaction of a controller and returns the HTTP status. Checks that the controller supports the layout version
+     * that was active before, and that all registered controllers support a version that the transaction activates.
      */
     int commit(SimulatedNode by, Transaction transaction) {
         int active = cluster.stored().version().active();
--- a/src/test/java/garnetscale/core/sim/SimulatedUsers.java
+++ b/src/test/java/garnetscale/core/sim/SimulatedUsers.java
@@ -14,7 +14,7 @@
 final class SimulatedUsers {
 
     private final SimulatedCluster cluster;
-    /** Share of cancellations of which the peers receive no notice, as if their links were down. */
+    /** Share of cancellations of which no controller receives a notice, as if the links between them were down. */
     double lostNoticeShare;
 
     SimulatedUsers(SimulatedCluster cluster) {
@@ -61,8 +61,9 @@
     }
 
     /**
-     * Cancels a job at a controller, which notifies its peers as soon as the cancellation is stored. Returns false if the state
-     * service refuses the controller or the job is terminal already.
+     * Cancels a job at a controller, which notifies its own owner role and its peers as soon as the cancellation is stored; a
+     * controller that is down notifies nobody. Returns false if the state service refuses the controller or the job is terminal
+     * already.
      */
     boolean cancelAt(String node, String id) {
         if (cluster.state.refuses(node) || cluster.state.model.get(Keys.job(id)) == null) {
@@ -78,7 +79,8 @@
     }
 
     /**
-     * Queries the state of a job and reports it to the rules; returns whether it is terminal or, which is a violation, unknown.
+     * Queries the state of a job and reports it to the rules; returns whether the job is terminal. An unknown job is a violation
+     * and counts as terminal.
      */
     boolean poll(String id) {
         StateModel.Entry terminal = cluster.state.model.get(Keys.terminalJob(id));
--- a/src/test/java/garnetscale/core/sim/SimulatedWorker.java
+++ b/src/test/java/garnetscale/core/sim/SimulatedWorker.java
@@ -14,6 +14,7 @@
     final String id;
     private final SimulatedCluster cluster;
     private int target;
+    /** Grows when a heartbeat is sent, answered or given up, so that late replies and time-outs are detected. */
     private long generation;
 
     SimulatedWorker(SimulatedCluster cluster, String id, MachineType type, String zone) {
@@ -25,7 +26,7 @@
         cluster.at(cluster.random.nextInt(1000), this::sendHeartbeat);
     }
 
-    /** Sends a heartbeat. One is in flight at a time, and its reply is dropped after 4 s. */
+    /** Sends a heartbeat; only one is in flight at a time. Without a reply for 4 s, the worker tries another controller. */
     private void sendHeartbeat() {
         if (cluster.network.isFrozen(id)) {
             cluster.network.runWhenThawed(id, this::sendHeartbeat);
@@ -62,8 +63,8 @@
     }
 
     /**
-     * Schedules a late copy of the heartbeat to any controller, whose reply is dropped, and holds another copy, if the scenario
-     * says so.
+     * Schedules a late copy of the heartbeat to a random controller, whose reply is dropped, and holds another copy for the next
+     * election. Does each only during the time that the scenario has set for it.
      */
     private void copyOrHold(WorkerHeartbeat heartbeat) {
         if (cluster.now < cluster.lateCopiesUntil && cluster.random.nextInt(3) == 0) {
--- a/src/test/java/garnetscale/core/sim/SimulationTest.java
+++ b/src/test/java/garnetscale/core/sim/SimulationTest.java
@@ -80,7 +80,7 @@
         }
     }
 
-    /** Runs until all jobs are reported terminal to users, and 65 to 70 s longer, in which no reported state may change. */
+    /** Runs until all jobs are reported terminal to users, and 70 s longer, in which no reported state may change. */
     private static void runUntilTerminal(SimulatedCluster cluster, List<String> jobs) {
         for (long time = FAILURES_END_MS; time < FAILURES_END_MS + 500_000; time += 5000) {
             cluster.run(time);
@@ -178,7 +178,8 @@
     }
 
     /**
-     * Guards against a job that fails on every machine: all its tasks were started again after each pause until it was cancelled.
+     * Guards against endless restarts of a job that fails on every machine: all its tasks were started again after each pause,
+     * until the job was cancelled.
      */
     @Test
     void jobsThatFailEverywhereCostFewStarts() {
--- a/src/test/java/garnetscale/core/sim/UpgradeMeasurement.java
+++ b/src/test/java/garnetscale/core/sim/UpgradeMeasurement.java
@@ -79,7 +79,7 @@
         lastStartAt = cluster.now;
     }
 
-    /** Requests a step until it is done; returns the milliseconds since it was first requested. */
+    /** Requests a step until it is done; returns the milliseconds since {@code requestedAt}. */
     private long perform(SimulatedCluster cluster, UpgradeStep step, long requestedAt) {
         while (!(cluster.upgrade(step) instanceof UpgradeDecision.Done) && cluster.now < END_MS) {
             run(cluster, cluster.now + STEP_MS);
@@ -87,6 +87,7 @@
         return cluster.now - requestedAt;
     }
 
+    /** Runs until a time and updates the longest pause between starts; pauses in the first 5 s of load don't count. */
     private void run(SimulatedCluster cluster, long until) {
         while (cluster.now < until) {
             cluster.run(Math.min(until, cluster.now + STEP_MS));
--- a/src/test/java/garnetscale/core/trace/TraceCluster.java
+++ b/src/test/java/garnetscale/core/trace/TraceCluster.java
@@ -33,7 +33,9 @@
 /** The controllers, workers and state service of a trace; each action prints what the core did. */
 final class TraceCluster {
 
+    /** Duration of a worker lease. */
     private static final long LEASE_MS = 10_000;
+
     private static final List<MachineType> TYPES =
             List.of(new MachineType("big", 8, 1, 32, 20, 1, 1, 0.5, 20, List.of("a", "b")));
 
@@ -43,8 +45,8 @@
     private final Map<String, JobSpec> jobs = new HashMap<>();
     /** Direct commands that have not arrived, oldest first. */
     private final List<OwnerEffect.SendCommands> commandsInFlight = new ArrayList<>();
-    /** Workers that receive no messages, while those that they send arrive. */
-    private final Set<String> isolatedWorkers = new HashSet<>();
+    /** Workers that receive no messages, although their heartbeats arrive. */
+    private final Set<String> unreachableWorkers = new HashSet<>();
     /** The last heartbeat of each worker, for copies that arrive late. */
     private final Map<String, WorkerHeartbeat> lastHeartbeats = new HashMap<>();
 
@@ -174,14 +176,15 @@
                 .put(Keys.job(id), Records.job(job.withState(JobState.CANCELLED))));
     }
 
-    /** Has an owner publish all its status and bids again, as for a new leader. */
+    /** Makes an owner publish the status of all its machines and its bids again, as for a new leader. */
     void resynchronize(String name) {
         nodes.get(name).owner.resynchronize(now);
         performEffects(nodes.get(name), false);
     }
 
     /**
-     * Delivers to a controller's owner the jobs that its own leader wants late bids for, and the suspect jobs, with no machines.
+     * Delivers a machine directory without machines to a controller's owner role. It names the jobs that the controller's leader
+     * role wants late bids for, and the quarantined jobs.
      */
     void publishMachineDirectory(String name) {
         TraceNode node = nodes.get(name);
@@ -189,12 +192,12 @@
                 List.of(), node.leader.jobsWantingLateBids(), List.copyOf(node.leader.quarantinedJobs()));
     }
 
-    void isolate(String worker) {
-        isolatedWorkers.add(worker);
+    void blockMessagesTo(String worker) {
+        unreachableWorkers.add(worker);
     }
 
-    void reconnect(String worker) {
-        isolatedWorkers.remove(worker);
+    void unblockMessagesTo(String worker) {
+        unreachableWorkers.remove(worker);
     }
 
     /** Delivers a heartbeat of a worker to a controller; the answer may be lost. */
@@ -208,7 +211,7 @@
         if (reply instanceof HeartbeatReply.Acknowledge acknowledged) {
             print(node.name + " answers " + model.id() + " " + TraceText.fencingToken(acknowledged.fencingToken()) + " "
                     + TraceText.commands(acknowledged.commands()) + (lost ? ", lost" : ""));
-            if (!lost && !isolatedWorkers.contains(model.id())) {
+            if (!lost && !unreachableWorkers.contains(model.id())) {
                 model.answered(now, now, heartbeat.agentEpoch(), acknowledged.fencingToken(), acknowledged.commands());
             }
         } else if (reply instanceof HeartbeatReply.Redirect redirect) {
@@ -246,7 +249,7 @@
                 commandsInFlight.add(send);
             } else if (effect instanceof OwnerEffect.ProbeWorker probe) {
                 WorkerModel worker = workers.get(probe.machine());
-                boolean answered = worker != null && !isolatedWorkers.contains(probe.machine());
+                boolean answered = worker != null && !unreachableWorkers.contains(probe.machine());
                 print(node.name + " asks " + probe.machine() + (answered ? "" : ", no answer"));
                 node.owner.onProbeEnded();
                 if (answered) {
@@ -277,8 +280,9 @@
     /**
      * Sends the next transaction of a leader, or the election transaction of a controller that doesn't lead.
      *
-     * @param outcome what becomes of a leader's transaction: "ok", "applied" or "lost", both without an answer, or "held", which
-     *                arrives at {@link #commitHeld}
+     * @param outcome what becomes of a leader's transaction: "ok" if it arrives and is answered; "applied" if it arrives and the
+     *                answer is lost; "lost" if it never arrives; "held" if it arrives only at {@link #commitHeld}, without an
+     *                answer
      */
     void lead(String name, String outcome) {
         TraceNode node = nodes.get(name);
@@ -331,8 +335,8 @@
     /**
      * Delivers the oldest direct command to its machine.
      *
-     * @param how "ok"; "late" when the owner no longer waits for the answer; "lost" when the owner gives the command up, which
-     *            may still arrive; "carried-out" when a copy of the command may arrive again
+     * @param how "ok" if it is answered; "late" if the owner no longer waits for the answer; "lost" if the owner gives the
+     *            command up, although it may still arrive; "carried-out" if it is answered and a copy may arrive later
      */
     void deliverCommand(String how) {
         if (commandsInFlight.isEmpty()) {
--- a/src/test/java/garnetscale/core/trace/TraceRunner.java
+++ b/src/test/java/garnetscale/core/trace/TraceRunner.java
@@ -6,9 +6,9 @@
 import java.util.List;
 
 /**
- * Runs a trace: lines that begin with {@code >} are inputs, lines that begin with {@code #} comments, and the others what the
- * core did. There are no timers: controllers receive the changes of the state service and messages of others only at an input
- * line. CONTRIBUTING.md explains the input words.
+ * Runs a trace: lines that begin with {@code >} are inputs, lines that begin with {@code #} are comments, and the other lines are
+ * the actions of the core. There are no timers: controllers receive changes of the state service and messages only as the result
+ * of an input line. CONTRIBUTING.md explains the input words.
  */
 final class TraceRunner {
 
@@ -16,7 +16,7 @@
     private final TraceCluster cluster =
             new TraceCluster(line -> out.append("    ").append(line).append('\n'));
 
-    /** Runs the inputs of a trace; returns the trace with what the core did in this run instead of what is recorded. */
+    /** Runs the inputs of a trace; returns the trace with the actions of this run in place of the recorded ones. */
     static String play(String trace) {
         TraceRunner runner = new TraceRunner();
         for (String line : trace.split("\n")) {
@@ -43,8 +43,8 @@
             case "resynchronize" -> cluster.resynchronize(words[1]);
             case "slow" -> cluster.worker(words[1]).slowDown(Double.parseDouble(words[2]));
             case "directory" -> cluster.publishMachineDirectory(words[1]);
-            case "deaf" -> cluster.isolate(words[1]);
-            case "hears" -> cluster.reconnect(words[1]);
+            case "deaf" -> cluster.blockMessagesTo(words[1]);
+            case "hears" -> cluster.unblockMessagesTo(words[1]);
             case "copy" -> cluster.copyHeartbeat(words[1], words[2]);
             case "report" -> cluster.heartbeat(words[1], words[2], flag(words, "lost"));
             case "tick" -> cluster.tick(words[1]);
--- a/src/test/java/garnetscale/core/trace/TraceText.java
+++ b/src/test/java/garnetscale/core/trace/TraceText.java
@@ -17,7 +17,8 @@
     private TraceText() {}
 
     /**
-     * Formats a fencing token as the leader's term, the number of the partition's term within it, and the machine's own number.
+     * Formats a fencing token as the leader's term, the number of the partition's term within it, and the number of the machine's
+     * token within the partition's term.
      */
     static String fencingToken(long fencingToken) {
         long term = fencingToken >> 20;
@@ -34,7 +35,7 @@
         return list.toString();
     }
 
-    /** Formats tasks with their states, or with the causes of their exits. */
+    /** Formats tasks with their states, and exited tasks with their exit causes. */
     static String tasks(List<TaskStatus> tasks) {
         List<String> list = new ArrayList<>();
         for (TaskStatus status : tasks) {
