--- a/src/main/java/garnetscale/peer/PeerCodec.java
+++ b/src/main/java/garnetscale/peer/PeerCodec.java
@@ -25,10 +25,11 @@
 import org.apache.avro.io.EncoderFactory;
 
 /**
- * Encodes and decodes peer messages in Avro's binary encoding. The schema is {@code peer.avsc}. This class writes and reads the
- * fields directly, in schema order, with Avro's encoder and decoder; a test checks the result against the schema with Avro's
- * generic reader and writer. Parsing the schema and building generic records took a third of a process's start-up time and
- * most of the cost of each message. Not thread-safe.
+ * Encodes and decodes peer messages in Avro's binary encoding by the schema {@code peer.avsc}. Not thread-safe.
+ *
+ * <p>This class writes and reads the fields directly, in schema order, with Avro's encoder and decoder: parsing the schema and
+ * building generic records took a third of a process's start-up time and most of the cost of each message. A test checks the
+ * result against the schema with Avro's generic reader and writer.
  */
 public final class PeerCodec {
 
@@ -42,11 +43,11 @@
     private static final int BIDS = 8;
     private static final int OPERATOR_REQUEST = 9;
     private static final int OPERATOR_RESPONSE = 10;
-    /** Indexes in the union of null and a value. */
+    /** Indexes in the schema's union of null and another type. */
     private static final int ABSENT = 0;
 
     private static final int PRESENT = 1;
-    /** Stands for the absence of an exit cause; causes and states are encoded as their ordinals. */
+    /** Encodes the absence of an exit cause. Causes and states are encoded as their ordinals. */
     private static final int NO_CAUSE = -1;
 
     private static final int INITIAL_BUFFER_BYTES = 1024;
--- a/src/main/java/garnetscale/peer/PeerMessage.java
+++ b/src/main/java/garnetscale/peer/PeerMessage.java
@@ -10,12 +10,13 @@
 public sealed interface PeerMessage {
 
     /**
-     * A controller's proof that it is up, sent every second and whenever its content changes.
+     * A controller's proof that it is up, sent every second. It is also sent at once when the sender becomes leader, and when
+     * {@code isolatedFromWorkers} changes.
      *
      * @param node                the sender's name
      * @param incarnation         the lease under which the sender is registered; -1 if it is not registered
      * @param leaderTerm          the term in which the sender is leader; -1 if it is not the leader
-     * @param stateAgeMs          milliseconds since the sender sent the latest request that the state service has answered
+     * @param stateAgeMs          milliseconds since the sender sent the newest request as of which its replica is complete
      * @param isolatedFromWorkers whether no worker can reach the sender
      */
     record ControllerHeartbeat(
@@ -23,9 +24,9 @@
             implements PeerMessage {}
 
     /**
-     * The leader's information for every controller about machines and jobs outside the controller's own partitions.
+     * What every controller needs to know of machines and jobs outside its own partitions, sent by the leader.
      *
-     * @param machines all machines in the cloud's instance list
+     * @param machines all machines that the cloud's instance list shows as running, in any partition
      * @param lateJobs ids of started jobs for which the leader accepts late bids
      * @param suspects ids of jobs that fail on every machine they run on
      */
@@ -50,7 +51,7 @@
     /** A user's cancellation of a job, which the sender has stored. */
     record JobCancelled(String job) implements PeerMessage {}
 
-    /** A job's terminal record, which the leader knows to be stored; it never changes again. */
+    /** A job's terminal record, sent by the leader once the record is stored. The record never changes again. */
     record JobTerminated(String job, Records.TerminalJob terminalJob) implements PeerMessage {}
 
     /** The status of a machine, sent by its partition's owner to the leader. */
@@ -60,7 +61,7 @@
     record Bids(BidBatch batch) implements PeerMessage {}
 
     /**
-     * A request that an operator sends to a controller from the command line; controllers send none to each other.
+     * An operator's request to a controller, sent by the command line and never by another controller.
      *
      * @param argument the job's id for {@code JOB}, the step's name for {@code UPGRADE}, otherwise empty
      */
@@ -86,7 +87,7 @@
             DONE,
             /** The request is being carried out; a repeated request returns {@code DONE} once it is complete. */
             UNDER_WAY,
-            /** Nothing was changed; the answer gives the reason. */
+            /** The request was refused and changed nothing; the answer gives the reason. */
             REFUSED
         }
     }
--- a/src/main/java/garnetscale/wire/Cbor.java
+++ b/src/main/java/garnetscale/wire/Cbor.java
@@ -9,8 +9,8 @@
 import java.util.Map;
 
 /**
- * Reads and writes CBOR bodies as plain maps, lists, strings and numbers, with Jackson's streaming API. It doesn't use data
- * binding, whose initialization would cost a starting process more CPU time than everything else together.
+ * Reads and writes CBOR bodies as plain maps, lists, strings, numbers, booleans and nulls, with Jackson's streaming API. It
+ * doesn't use data binding, whose initialization would cost a starting process more CPU time than everything else together.
  */
 public final class Cbor {
 
@@ -44,7 +44,7 @@
         throw new IOException("not a map");
     }
 
-    /** Encodes a value that consists of maps, lists, strings, booleans and numbers. */
+    /** Encodes a value that consists of maps, lists, strings, numbers, booleans and nulls. */
     public static byte[] write(Object value) {
         ByteArrayOutputStream out = new ByteArrayOutputStream(256);
         try (JsonGenerator generator = FACTORY.createGenerator(out)) {
--- a/src/main/java/garnetscale/wire/CloudCodec.java
+++ b/src/main/java/garnetscale/wire/CloudCodec.java
@@ -25,7 +25,7 @@
     private CloudCodec() {}
 
     /**
-     * Decodes the machine types with their current prices.
+     * Decodes the machine types with their current prices. The spot price of a type without one is its regular price.
      *
      * @throws IOException if the body is malformed; the message names the field
      */
@@ -84,7 +84,8 @@
     }
 
     /**
-     * Decodes a page of the instance list.
+     * Decodes a page of the instance list. A state other than failed or running is decoded as {@code BOOTING}, a missing address
+     * as an empty one.
      *
      * @throws IOException if the body is malformed; the message names the field
      */
--- a/src/main/java/garnetscale/wire/Fields.java
+++ b/src/main/java/garnetscale/wire/Fields.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** Typed access to the fields of a decoded body; the message of each exception names the malformed field. */
+/** Typed access to the fields of a decoded body; the message of each exception names the missing or malformed field. */
 final class Fields {
 
     private final Map<?, ?> map;
@@ -36,11 +36,12 @@
         throw new IOException(name + " is not true or false");
     }
 
+    /** Returns a flag, or false if the field is missing or not a boolean. */
     boolean flagOrFalse(String name) {
         return Boolean.TRUE.equals(map.get(name));
     }
 
-    /** Returns a finite number that is at least 0. */
+    /** Returns the value of a mandatory field, a finite number that is at least 0. */
     double amount(String name) throws IOException {
         Double amount = amountOrNull(name);
         if (amount == null) {
@@ -95,6 +96,7 @@
         return list.stream().map(String.class::cast).toList();
     }
 
+    /** Returns the fields of a nested map; {@code what} names the map in the exception's message. */
     static Fields of(Object value, String what) throws IOException {
         if (value instanceof Map<?, ?> map) {
             return new Fields(map);
--- a/src/main/java/garnetscale/wire/StateCodec.java
+++ b/src/main/java/garnetscale/wire/StateCodec.java
@@ -12,8 +12,9 @@
 
 /**
  * Encodes requests to the state service and decodes its answers. Maps the protocol's names to the terms of the code:
- * {@code stamp} is a key's modRevision, {@code ledger} the revision of the store, {@code tenure} a lease, {@code /holds} the
- * leases and {@code /multi} transactions. Decoding a malformed answer throws an {@link IOException}.
+ * {@code stamp} is a key's modRevision, {@code ledger} the state service's revision, {@code tenure} a lease, {@code /holds} the
+ * leases and {@code /multi} transactions. Decoding an answer throws an {@link IOException} if a field is missing or malformed.
+ * The elements of {@code pairs} and {@code log} and their keys are only cast: a wrong type throws a {@link ClassCastException}.
  */
 public final class StateCodec {
 
@@ -23,9 +24,10 @@
     public static final String LEASES_PATH = "/holds";
 
     /**
-     * Keys as of a revision: one page of a listing, or the changes that a watch returned.
+     * One page of a listing, or the changes that a watch returned.
      *
-     * @param more whether further pages follow
+     * @param revision the state service's revision as of this answer
+     * @param more     whether further pages follow; always false for a watch
      */
     public record Batch(List<KeyChange> changes, long revision, boolean more) {}
 
@@ -91,12 +93,17 @@
         return fields;
     }
 
-    /** Decodes the store's revision from the answer to a transaction. */
+    /** Decodes the state service's revision from the answer to a transaction. */
     public static long revision(byte[] body) throws IOException {
         return new Fields(Cbor.readMap(body)).integer("ledger");
     }
 
-    /** Decodes the keys whose guards failed from the answer to a transaction; there is at least one. */
+    /**
+     * Decodes the answer to a failed transaction.
+     *
+     * @return the keys whose guards failed, at least one
+     * @throws IOException if the answer is malformed or names no key
+     */
     public static Set<String> failedGuards(byte[] body) throws IOException {
         Set<String> keys = new HashSet<>();
         new Fields(Cbor.readMap(body)).list("failed").forEach(key -> keys.add(String.valueOf(key)));
@@ -116,7 +123,7 @@
         return new Fields(Cbor.readMap(body)).integer("tenure");
     }
 
-    /** Decodes the value of a single key. */
+    /** Decodes the value from the answer to a read of a single key; null if the answer has none. */
     public static Object value(byte[] body) throws IOException {
         return Cbor.readMap(body).get("v");
     }
--- a/src/main/java/garnetscale/wire/Trees.java
+++ b/src/main/java/garnetscale/wire/Trees.java
@@ -9,7 +9,10 @@
 import java.util.List;
 import java.util.Map;
 
-/** Reads and writes plain maps, lists, strings and numbers with Jackson's streaming parsers and generators of any format. */
+/**
+ * Reads and writes trees of plain maps, lists, strings, numbers, booleans and nulls with Jackson's streaming parsers and
+ * generators, which determine the format.
+ */
 public final class Trees {
 
     private Trees() {}
@@ -17,7 +20,7 @@
     /**
      * Reads exactly one value.
      *
-     * @throws IOException if there is no value, or it is truncated or followed by another value
+     * @throws IOException if there is no value, or it is truncated, of another type or followed by another value
      */
     public static Object read(JsonParser parser) throws IOException {
         if (parser.nextToken() == null) {
@@ -67,8 +70,8 @@
     /**
      * Writes a value.
      *
-     * @throws IllegalArgumentException if the value has a type other than map, list, string, boolean, integer, long or
-     * double
+     * @throws IllegalArgumentException if the value is or contains something other than a map, list, string, integer, long,
+     *     double, boolean or null
      */
     public static void write(JsonGenerator generator, Object value) throws IOException {
         if (value instanceof Map<?, ?> map) {
--- a/src/main/java/garnetscale/wire/UserCodec.java
+++ b/src/main/java/garnetscale/wire/UserCodec.java
@@ -8,8 +8,9 @@
 import java.util.regex.Pattern;
 
 /**
- * Decodes users' submissions and encodes the answers to users (PROTOCOL, "Users"). The protocol's field names and values appear
- * only in this and the other codecs.
+ * Decodes users' submissions and encodes the answers to users (PROTOCOL, "Users"). In a serving controller, the protocol's field
+ * names appear only in this and the other codecs; {@code emulator} and {@code cli.LoopbackDemo}, which stand in for the outside,
+ * use them too.
  */
 public final class UserCodec {
 
@@ -23,11 +24,11 @@
      * The answer to a user's request, with the state of a job.
      *
      * @param id      the job's id
-     * @param state   the job's state, in the protocol's words
+     * @param state   the protocol's name of the job's state
      * @param done    number of finished tasks
      * @param running number of placed tasks
      * @param team    the job's team; null to leave it out of the answer
-     * @param reason  why tasks wait or were stopped, or why the request was rejected; otherwise null
+     * @param reason  why tasks wait or were stopped, or why the request was rejected; null to leave it out of the answer
      */
     public record Answer(String id, String state, int done, int running, String team, String reason) {}
 
@@ -39,7 +40,7 @@
     }
 
     /**
-     * Decodes only the id of a submission. A submission whose id is already known is answered regardless of its other fields.
+     * Decodes only the id of a submission, since a submission with a known id is answered regardless of its other fields.
      *
      * @throws IOException if the id is missing or malformed
      */
--- a/src/main/java/garnetscale/wire/WorkerCodec.java
+++ b/src/main/java/garnetscale/wire/WorkerCodec.java
@@ -18,7 +18,8 @@
     private WorkerCodec() {}
 
     /**
-     * Decodes a heartbeat. A task state that the protocol doesn't define becomes {@code UNKNOWN}, an exit cause {@code OTHER}.
+     * Decodes a heartbeat. A task state that the protocol doesn't define is decoded as {@code UNKNOWN}, an undefined or missing
+     * exit cause as {@code OTHER}, and a missing fencing token as 0.
      *
      * @throws IOException if a field is missing or malformed; the message names the field
      */
@@ -79,7 +80,11 @@
         return Cbor.write(Map.of("baton", fencingToken, "orders", commands(commands)));
     }
 
-    /** Encodes commands sent directly to a worker, rather than in the answer to a heartbeat. */
+    /**
+     * Encodes commands sent directly to a worker, rather than in the answer to a heartbeat.
+     *
+     * @param agentEpoch the agent epoch of the worker's newest heartbeat
+     */
     public static byte[] commands(long fencingToken, long agentEpoch, List<WorkerCommand> commands) {
         return Cbor.write(Map.of("baton", fencingToken, "shift", agentEpoch, "orders", commands(commands)));
     }
--- a/src/test/java/garnetscale/peer/PeerCodecTest.java
+++ b/src/test/java/garnetscale/peer/PeerCodecTest.java
@@ -34,7 +34,7 @@
 /** Round trips, agreement with the Avro schema, and rejection of truncated messages and trailing bytes. */
 class PeerCodecTest {
 
-    /** Names of the messages in the schema; the schema defines the encoding between controllers. */
+    /** Names of the messages' records in the schema, which defines the encoding between controllers. */
     private static final Map<Class<? extends PeerMessage>, String> SCHEMA_NAMES = Map.of(
             PeerMessage.ControllerHeartbeat.class, "Heartbeat",
             PeerMessage.JobTerminated.class, "Over",
--- a/src/test/java/garnetscale/wire/CodecExamplesTest.java
+++ b/src/test/java/garnetscale/wire/CodecExamplesTest.java
@@ -20,7 +20,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** Codecs of workers, the cloud and the state service, against the examples in the protocol. */
+/** Checks the codecs of workers, the cloud and the state service against the protocol's examples. */
 class CodecExamplesTest {
 
     private static Map<String, Object> map(Object... pairs) {
--- a/src/test/java/garnetscale/wire/WireBytesTest.java
+++ b/src/test/java/garnetscale/wire/WireBytesTest.java
@@ -68,7 +68,7 @@
                 .get(0);
     }
 
-    /** Pins the ordinals of states and causes, by which peer messages encode them. */
+    /** Pins the ordinals of states and causes, because peer messages encode them as ordinals. */
     @Test
     void taskStatesAndExitCauses() throws IOException {
         List<Object> states = new ArrayList<>();
@@ -91,7 +91,7 @@
         EXPECTED.check("next page", CloudCodec.pagePath(new CloudCall.ListInstances("m-2")));
     }
 
-    /** Pins the ordinals of the machine states in the cloud's instance list. */
+    /** Pins the decoded instance states of the cloud's instance list, by their ordinals. */
     @Test
     void instanceStates() throws IOException {
         List<Object> states = new ArrayList<>();
@@ -133,7 +133,7 @@
         EXPECTED.check("error", UserCodec.error("id is missing"));
     }
 
-    /** Pins the ordinals of the priorities, that is, the order of the ranks from the most to the least urgent. */
+    /** Pins the ordinals of the priorities: the protocol's ranks in order from the most to the least urgent. */
     @Test
     void ranks() throws IOException {
         Map<String, Object> job = new LinkedHashMap<>(
