--- a/src/main/java/garnetscale/config/FeaturesFile.java
+++ b/src/main/java/garnetscale/config/FeaturesFile.java
@@ -12,9 +12,9 @@
 import java.util.Set;
 
 /**
- * Reads the operators' features file, which has a table for each feature with {@code enabled} and the feature's settings. Unlike
- * unknown keys in the platform's settings, unknown names are rejected here: otherwise a misspelt name would silently leave a
- * feature disabled.
+ * Reads the operators' features file. It has one table for each feature, with the key {@code enabled} and the feature's settings.
+ * Unknown names are rejected, unlike those in the platform's settings: otherwise a misspelt name would silently leave a feature
+ * disabled.
  */
 public final class FeaturesFile {
 
@@ -37,8 +37,8 @@
     /**
      * Reads a file.
      *
-     * @throws InvalidConfigurationException if the file can't be read, or has an unknown feature or key or a value out of range;
-     *     each problem names the key and its allowed values
+     * @throws InvalidConfigurationException if the file can't be read, or has an unknown feature, an unknown key or an invalid
+     *     value; each problem of the content names the feature or key and what is allowed
      */
     public static Features read(Path file) throws InvalidConfigurationException {
         return new FeaturesFile((Map<?, ?>) TomlFile.read(file)).features();
@@ -125,7 +125,7 @@
             return false;
         }
 
-        /** Reads a layout version; defaults to {@code max} if the key is missing. */
+        /** Returns a layout version, or {@code max} if the key is missing or its value isn't a number in the range. */
         int versionOrMax(String key, int min, int max) {
             double value = number(key, min, max, max);
             if (value != Math.rint(value)) {
--- a/src/main/java/garnetscale/config/Settings.java
+++ b/src/main/java/garnetscale/config/Settings.java
@@ -7,14 +7,14 @@
 /**
  * The platform's settings for one controller (PROTOCOL, "Settings"). Unknown keys in the file are ignored.
  *
- * <p>All addresses are host and port.
+ * <p>All addresses are an IPv4 address and a port, such as 10.0.0.1:8080.
  *
  * @param config        the settings that scheduling decisions depend on
- * @param listenAddress where the controller accepts requests of users and workers
- * @param peerAddress   where the controller accepts connections of other controllers and of operators' commands
+ * @param listenAddress the address at which the controller accepts requests of users and workers
+ * @param peerAddress   the address at which it accepts connections of other controllers and of operators' commands
  * @param cloudAddress  the address of the cloud
  * @param stateAddress  the address of the state service
- * @param cpuShare      the fraction of a core that the process may use
+ * @param cpuShare      the CPU that the process may use, in cores; usually a fraction of one
  * @param ramMb         the memory that the process may use, in MB
  */
 public record Settings(
@@ -27,9 +27,9 @@
         double ramMb) {
 
     /**
-     * Reads the settings of a controller without any feature enabled.
+     * Reads the settings of a controller with all features disabled.
      *
-     * @throws InvalidConfigurationException if the file can't be read, or keys are missing or out of range
+     * @throws InvalidConfigurationException if the file can't be read, or a key is missing or its value invalid
      */
     public static Settings read(Path file) throws InvalidConfigurationException {
         return read(file, Features.NONE);
@@ -38,7 +38,7 @@
     /**
      * Reads the settings of a controller with the given features.
      *
-     * @throws InvalidConfigurationException if the file can't be read, or keys are missing or out of range
+     * @throws InvalidConfigurationException if the file can't be read, or a key is missing or its value invalid
      */
     public static Settings read(Path file, Features features) throws InvalidConfigurationException {
         return new SettingsReader(TomlFile.read(file), features).read();
--- a/src/main/java/garnetscale/config/SettingsFields.java
+++ b/src/main/java/garnetscale/config/SettingsFields.java
@@ -6,7 +6,8 @@
 
 /**
  * Reads typed fields of a settings file and collects their problems. A missing or invalid field is read as 0 or empty, so that
- * the remaining fields are still checked. {@code prefix} is the path of the table in the problems' texts.
+ * the remaining fields are still checked. The static methods, for tables, lists and optional fields, report no problem. {@code
+ * prefix} is the table's path, which precedes the key in a problem's text.
  */
 final class SettingsFields {
 
@@ -58,7 +59,7 @@
         return address;
     }
 
-    /** Reads a limit; 0 in the settings means no limit and is returned as infinity. */
+    /** Reads a limit. A value of 0 in the settings means no limit and is returned as infinity. */
     double limit(Object table, String prefix, String key) {
         double limit = atLeastZero(table, prefix, key);
         return limit == 0 ? Double.POSITIVE_INFINITY : limit;
--- a/src/main/java/garnetscale/config/SettingsReader.java
+++ b/src/main/java/garnetscale/config/SettingsReader.java
@@ -8,7 +8,7 @@
 /** Maps the keys of a settings file to {@link Settings}. Collects all problems of the file before rejecting it. */
 final class SettingsReader {
 
-    /** Minimum number of operations that a transaction must allow: the leader's smallest transaction needs this many. */
+    /** Minimum of {@code txn_ops}, the most operations in a transaction: the leader's smallest transaction needs this many. */
     private static final int MIN_TRANSACTION_OPERATIONS = 16;
 
     private final Object root;
@@ -20,7 +20,7 @@
         this.features = features;
     }
 
-    /** Reads and validates the file; problems are listed in the order of the reads. */
+    /** Reads and validates the file; problems are listed in the order in which the fields are read. */
     Settings read() throws InvalidConfigurationException {
         String self = fields.text(root, "", "node_name");
         String zone = fields.text(root, "", "site");
@@ -54,8 +54,8 @@
                     fields.text(member, prefix, "site"),
                     fields.address(member, prefix, "endpoint")));
         }
-        // Not Comparator.comparing: its lambda is in a JDK class, and the class archive holds JDK classes without their
-        // lambdas.
+        // Comparator.comparing isn't used because its lambda is in a JDK class, and the class archive holds JDK classes
+        // without their lambdas.
         controllers.sort((first, second) -> first.name().compareTo(second.name()));
         if (controllers.stream()
                         .map(SchedulerConfig.ControllerAddress::name)
@@ -106,7 +106,7 @@
         return zones;
     }
 
-    /** Checks that each time is longer than the previous one. A time of 0 was already reported as missing or invalid. */
+    /** Checks that each time is longer than the one before it. A time of 0 was already reported as missing or invalid. */
     private void checkOrder(long heartbeatIntervalMs, long leaseMs, long cancellationMs) {
         if (heartbeatIntervalMs > 0 && leaseMs > 0 && leaseMs <= heartbeatIntervalMs) {
             fields.addProblem("facts.workers.lease_s must be longer than report_s");
@@ -147,7 +147,7 @@
         return List.copyOf(objectives);
     }
 
-    /** Maps the name of an objective's kind; a kind that this version doesn't know is accepted and has no effect. */
+    /** Returns the kind of an objective by its name. A kind that this version doesn't know is accepted and has no effect. */
     private static SchedulerConfig.ObjectiveKind objectiveKind(String value) {
         return switch (value) {
             case "wait" -> SchedulerConfig.ObjectiveKind.START;
--- a/src/main/java/garnetscale/config/TomlFile.java
+++ b/src/main/java/garnetscale/config/TomlFile.java
@@ -9,13 +9,13 @@
 import java.nio.file.Path;
 import java.util.List;
 
-/** Reads TOML files as plain maps, lists, strings and numbers. */
+/** Reads TOML files as plain maps, lists, strings, numbers and booleans. */
 final class TomlFile {
 
     private TomlFile() {}
 
     static Object read(Path file) throws InvalidConfigurationException {
-        // Uses the parser alone: creating an object mapper, which isn't needed here, took a third of the start-up time.
+        // Uses only the parser: creating an object mapper, which isn't needed here, took a third of the start-up time.
         try (JsonParser parser = new TomlFactory().createParser(Files.readString(file))) {
             return Trees.read(parser);
         } catch (JsonProcessingException e) {
