--- a/src/main/java/garnetscale/cli/LoopbackDemo.java
+++ b/src/main/java/garnetscale/cli/LoopbackDemo.java
@@ -31,8 +31,9 @@
 import picocli.CommandLine.Option;
 
 /**
- * Runs two controllers against emulated services on loopback until a job is done. The build runs it to record the classes that a
- * serving process loads, because on a small share of a core class loading takes most of the time of a restart.
+ * Runs two controllers against emulated services on loopback until one job is done and another is cancelled. The build runs it
+ * to record the classes that a serving process loads, because on a small share of a core, loading classes takes most of the
+ * time of a restart.
  */
 @Command(
         name = "rehearse",
@@ -126,22 +127,22 @@
         http = new HttpClient(loop, 2, 500);
         Path dir = Files.createTempDirectory("garnetscale");
         try {
-            String[] listen = {freePort(), freePort()};
-            String[] back = {freePort(), freePort()};
+            String[] listenAddresses = {freePort(), freePort()};
+            String[] peerAddresses = {freePort(), freePort()};
             EmulatedServices services =
-                    new EmulatedServices(loop, Map.of("node-0", listen[0], "node-1", listen[1]), 300);
-            String state = services.startState("127.0.0.1:0");
-            String cloud = services.startCloud("127.0.0.1:0");
+                    new EmulatedServices(loop, Map.of("node-0", listenAddresses[0], "node-1", listenAddresses[1]), 300);
+            String stateAddress = services.startState("127.0.0.1:0");
+            String cloudAddress = services.startCloud("127.0.0.1:0");
             services.startWorker("m-000001", 3000);
             services.startWorker("m-000002", 3000);
             for (int index = 0; index < 2; index++) {
                 Path file = dir.resolve("node-" + index + ".toml");
-                Files.writeString(file, settings(index, listen, back, state, cloud));
+                Files.writeString(file, settings(index, listenAddresses, peerAddresses, stateAddress, cloudAddress));
                 ControllerNode node = new ControllerNode(Settings.read(file, enabledFeatures));
                 nodes.add(node);
                 node.start();
             }
-            return runJobs(listen) && answersOperator(back[0]) ? 0 : 1;
+            return runJobs(listenAddresses) && answersOperator(peerAddresses[0]) ? 0 : 1;
         } finally {
             // Stops the controllers first: while they run, they would log that the emulated services no longer answer.
             nodes.forEach(node -> node.stop().awaitUninterruptibly());
@@ -155,17 +156,17 @@
         }
     }
 
-    /** Returns whether a controller answers an operator's status request and its answer names the leader. */
-    private static boolean answersOperator(String address) throws IOException {
-        PeerMessage.OperatorResponse answer = new OperatorClient(address, OPERATOR_TIMEOUT_MS)
+    /** Returns whether a controller answers an operator's status request, and its answer names a leader. */
+    private static boolean answersOperator(String peerAddress) throws IOException {
+        PeerMessage.OperatorResponse answer = new OperatorClient(peerAddress, OPERATOR_TIMEOUT_MS)
                 .send(new PeerMessage.OperatorRequest(PeerMessage.OperatorRequest.Kind.STATUS, ""));
         return answer.outcome() == PeerMessage.OperatorResponse.Outcome.DONE
                 && answer.json().contains("\"leader\":\"node-");
     }
 
     /**
-     * Finds a free port outside the system's ephemeral port range. A port in that range could be assigned to the emulated
-     * services or to a connection of the controllers before the controller listens on it; a build has failed for this reason.
+     * Finds a free port outside the system's ephemeral port range. The system could assign a port in that range to an emulated
+     * service or to a controller's connection before the controller listens on it; a build has failed for this reason.
      *
      * @return the loopback address with the port
      * @throws IOException if every attempted port is in use
@@ -183,24 +184,33 @@
     }
 
     /** Returns the content of the settings file of one of the two controllers. */
-    static String settings(int index, String[] listen, String[] back, String state, String cloud) {
-        return SETTINGS_TEMPLATE.formatted(index, listen[index], back[index], 1 - index, back[1 - index], cloud, state);
+    static String settings(
+            int index, String[] listenAddresses, String[] peerAddresses, String stateAddress, String cloudAddress) {
+        return SETTINGS_TEMPLATE.formatted(
+                index,
+                listenAddresses[index],
+                peerAddresses[index],
+                1 - index,
+                peerAddresses[1 - index],
+                cloudAddress,
+                stateAddress);
     }
 
-    private boolean runJobs(String[] listen)
+    /** Submits two jobs and cancels the second. Returns whether the first is done and the second cancelled in time. */
+    private boolean runJobs(String[] addresses)
             throws InterruptedException, ExecutionException, TimeoutException, IOException {
         long deadlineNs = System.nanoTime() + seconds * 1_000_000_000L;
         boolean accepted = false;
         boolean cancelled = false;
         while (System.nanoTime() < deadlineNs) {
             if (!accepted) {
-                accepted = accepted(post(listen[0], "/v2/runs", Cbor.write(job("wk-000001", 3, 0.5))))
-                        && accepted(post(listen[1], "/v2/runs", Cbor.write(job("wk-000002", 9, 60))));
+                accepted = accepted(post(addresses[0], "/v2/runs", Cbor.write(job("wk-000001", 3, 0.5))))
+                        && accepted(post(addresses[1], "/v2/runs", Cbor.write(job("wk-000002", 9, 60))));
             } else {
-                call(listen[0], HttpMethod.GET, "/ready", null);
+                call(addresses[0], HttpMethod.GET, "/ready", null);
                 cancelled = cancelled
-                        || post(listen[0], "/v2/runs/wk-000002/cancel", null).status() == 200;
-                HttpResult result = call(listen[1], HttpMethod.GET, "/v2/runs/wk-000001", null);
+                        || post(addresses[0], "/v2/runs/wk-000002/cancel", null).status() == 200;
+                HttpResult result = call(addresses[1], HttpMethod.GET, "/v2/runs/wk-000001", null);
                 if (result.status() == 200
                         && "done".equals(Cbor.readMap(result.body()).get("mood"))
                         && cancelled) {
@@ -219,24 +229,24 @@
         return result.status() == 201 || result.status() == 200;
     }
 
-    private HttpResult post(String host, String path, byte[] body)
+    private HttpResult post(String address, String path, byte[] body)
             throws InterruptedException, ExecutionException, TimeoutException {
-        return call(host, HttpMethod.POST, path, body);
+        return call(address, HttpMethod.POST, path, body);
     }
 
-    private HttpResult call(String host, HttpMethod method, String path, byte[] body)
+    private HttpResult call(String address, HttpMethod method, String path, byte[] body)
             throws InterruptedException, ExecutionException, TimeoutException {
         CompletableFuture<HttpResult> result = new CompletableFuture<>();
-        loop.next().execute(() -> http.call(host, method, path, body, 2000, result::complete));
+        loop.next().execute(() -> http.call(address, method, path, body, 2000, result::complete));
         return result.get(5, TimeUnit.SECONDS);
     }
 
     /**
-     * Returns the body of a submission before its encoding.
+     * Returns the body of a submission, not yet encoded.
      *
-     * @param runTimeS the user's estimate of a task's run time, in seconds
+     * @param estimateS the user's estimate of a task's run time in seconds, for which emulated workers run the task
      */
-    static Map<String, Object> job(String id, int tasks, double runTimeS) {
+    static Map<String, Object> job(String id, int tasks, double estimateS) {
         Map<String, Object> body = new LinkedHashMap<>();
         body.put("id", id);
         body.put("herd", "try");
@@ -254,7 +264,7 @@
         body.put("same_place", false);
         body.put("apart", false);
         body.put("windfall", true);
-        body.put("guess_s", runTimeS);
+        body.put("guess_s", estimateS);
         body.put("pin_s", 0.0);
         body.put("stash_s", 0.0);
         body.put("due_s", null);
--- a/src/main/java/garnetscale/cli/Main.java
+++ b/src/main/java/garnetscale/cli/Main.java
@@ -97,9 +97,10 @@
     }
 
     /**
-     * Serves until the process is killed.
+     * Serves until the process is killed; returns only if it can't serve.
      *
      * @param features the features file; null to enable no feature
+     * @return the exit code
      */
     private static int serve(Path config, Path features) throws InterruptedException {
         Path currentFile = features;
@@ -129,7 +130,7 @@
             System.err.println("garnetscale: LOG_LEVEL is not error, info or debug; taking info");
             level = "info";
         }
-        // Names the provider, which spares each start a search for providers in every file of the jar.
+        // Names the provider, which saves a search for providers in every file of the jar at each start.
         System.setProperty("slf4j.internal.verbosity", "WARN");
         System.setProperty("slf4j.provider", "org.slf4j.simple.SimpleServiceProvider");
         System.setProperty("org.slf4j.simpleLogger.defaultLogLevel", level);
@@ -142,13 +143,14 @@
     }
 
     /**
-     * Runs the command line and exits with the command's exit code: 0 on success, 1 if the process can't serve or a controller
-     * refuses or doesn't answer, 2 for invalid arguments or files.
+     * Runs the command line and exits with the command's exit code: 0 on success, 2 for invalid arguments or files, otherwise 1,
+     * for example if the process can't serve, or a controller refuses a request or doesn't answer.
      */
     public static void main(String[] args) throws InterruptedException {
         setUpLogging();
-        // The platform's command line at every restart is parsed without picocli: the class archive can't hold picocli,
-        // and parsing these few arguments with it would take a third of the start-up time.
+        // The platform starts the process with one of these two forms. They are parsed without picocli, because the
+        // class archive can't hold picocli, and parsing these few arguments with it would take a third of the start-up
+        // time.
         if (args.length == 2 && args[0].equals("--config")) {
             System.exit(serve(Path.of(args[1]), null));
         }
--- a/src/main/java/garnetscale/cli/OperatorClient.java
+++ b/src/main/java/garnetscale/cli/OperatorClient.java
@@ -8,10 +8,10 @@
 import java.io.IOException;
 import java.net.Socket;
 
-/** Sends a request to a controller at its address for other controllers, and waits for the answer. */
+/** Sends operators' requests to a controller, at the address where it also accepts other controllers' connections. */
 final class OperatorClient {
 
-    /** Longer than any answer; the longest is that for a job with 100,000 placed tasks. */
+    /** More than the largest answer, which is that for a job with 100,000 placed tasks. */
     private static final int MAX_ANSWER_BYTES = 64 << 20;
 
     private final String address;
@@ -23,9 +23,10 @@
     }
 
     /**
-     * Sends a request and returns the answer.
+     * Sends a request and waits for the answer. The timeout applies to the connect and to each read on its own.
      *
-     * @throws IOException if the controller is down, doesn't answer in time or sends anything other than an answer
+     * @throws IOException if the address is malformed, the controller is down, doesn't answer in time or sends anything other
+     *     than an answer
      */
     PeerMessage.OperatorResponse send(PeerMessage.OperatorRequest request) throws IOException {
         PeerCodec codec = new PeerCodec();
--- a/src/main/java/garnetscale/cli/OperatorCommand.java
+++ b/src/main/java/garnetscale/cli/OperatorCommand.java
@@ -18,13 +18,13 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** Base class of the operators' commands: holds the controller's address and the timeout, and prints the answer. */
+/** Base class of the operators' commands. Sends a command's request to a controller and prints the answer. */
 @Command(mixinStandardHelpOptions = true)
 abstract class OperatorCommand implements Callable<Integer> {
 
-    private static final int DONE = 0;
+    private static final int OK = 0;
     private static final int FAILED = 1;
-    /** Delay before a request is repeated while its step is under way. */
+    /** Delay before a request is repeated while its upgrade step is under way. */
     private static final long POLL_INTERVAL_MS = 200;
 
     @Spec
@@ -80,7 +80,7 @@
             print(out, "", (Map<?, ?>) fields);
         }
         out.flush();
-        return DONE;
+        return OK;
     }
 
     private static Object read(String json) throws IOException {
@@ -136,7 +136,7 @@
         }
     }
 
-    /** Base class of the commands for the steps of an upgrade, which only the leader carries out. */
+    /** Base class of the commands that request a step of an upgrade. Only the leader carries out steps. */
     abstract static class Step extends OperatorCommand {
 
         abstract UpgradeStep step();
@@ -147,7 +147,7 @@
         }
     }
 
-    /** See {@link UpgradeStep#ACTIVATE}. */
+    /** Requests {@link UpgradeStep#ACTIVATE}. */
     @Command(name = "activate", description = "Make the next version of what is stored the active one.")
     static final class Activate extends Step {
 
@@ -157,7 +157,7 @@
         }
     }
 
-    /** See {@link UpgradeStep#DEACTIVATE}. */
+    /** Requests {@link UpgradeStep#DEACTIVATE}. */
     @Command(name = "deactivate", description = "Go back to the version before; what is stored is converted.")
     static final class Deactivate extends Step {
 
@@ -167,7 +167,7 @@
         }
     }
 
-    /** See {@link UpgradeStep#FINALIZE}. */
+    /** Requests {@link UpgradeStep#FINALIZE}. */
     @Command(name = "finalize", description = "Give up the way back to the version before.")
     static final class Finalize extends Step {
 
@@ -177,7 +177,7 @@
         }
     }
 
-    /** Groups the commands for the steps and the state of an upgrade; prints the usage if called without a subcommand. */
+    /** Parent of the upgrade's subcommands; prints the usage if called without one. */
     @Command(
             name = "upgrade",
             mixinStandardHelpOptions = true,
--- a/src/test/java/garnetscale/cli/LoopbackDemoTest.java
+++ b/src/test/java/garnetscale/cli/LoopbackDemoTest.java
@@ -5,7 +5,10 @@
 import org.junit.jupiter.api.Test;
 import picocli.CommandLine;
 
-/** Runs two complete controllers, a state service, a cloud and two workers over loopback sockets until a job is done. */
+/**
+ * Runs two complete controllers, a state service, a cloud and two workers over loopback sockets until one job is done and another
+ * is cancelled.
+ */
 class LoopbackDemoTest {
 
     @Test
--- a/src/test/java/garnetscale/cli/MixedVersionsTest.java
+++ b/src/test/java/garnetscale/cli/MixedVersionsTest.java
@@ -36,8 +36,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Upgrades, rolls back and upgrades again, by operators' requests, while users submit jobs and jobs run. Two complete controllers
- * run over loopback sockets; one of them is restarted with other ranges of supported versions.
+ * Operators upgrade the cluster, roll it back and upgrade it again, while users submit jobs and jobs run. Two complete
+ * controllers run over loopback sockets; one of them is restarted with other ranges of supported versions.
  */
 class MixedVersionsTest {
 
@@ -51,21 +51,22 @@
 
     private final EventLoopGroup loop = new NioEventLoopGroup(1);
     private final HttpClient http = new HttpClient(loop, 2, 500);
-    private final String[] listen = new String[2];
-    private final String[] back = new String[2];
+    private final String[] listenAddresses = new String[2];
+    private final String[] peerAddresses = new String[2];
     private final ControllerNode[] nodes = new ControllerNode[2];
     private final List<String> jobs = new ArrayList<>();
-    private String state;
-    private String cloud;
+    private String stateAddress;
+    private String cloudAddress;
 
     private void startEmulatedServices() throws IOException {
         for (int i = 0; i < 2; i++) {
-            listen[i] = LoopbackDemo.freePort();
-            back[i] = LoopbackDemo.freePort();
+            listenAddresses[i] = LoopbackDemo.freePort();
+            peerAddresses[i] = LoopbackDemo.freePort();
         }
-        EmulatedServices services = new EmulatedServices(loop, Map.of("node-0", listen[0], "node-1", listen[1]), 300);
-        state = services.startState("127.0.0.1:0");
-        cloud = services.startCloud("127.0.0.1:0");
+        EmulatedServices services =
+                new EmulatedServices(loop, Map.of("node-0", listenAddresses[0], "node-1", listenAddresses[1]), 300);
+        stateAddress = services.startState("127.0.0.1:0");
+        cloudAddress = services.startCloud("127.0.0.1:0");
         services.startWorker("m-000001", WORKER_LEASE_MS);
         services.startWorker("m-000002", WORKER_LEASE_MS);
     }
@@ -76,7 +77,8 @@
             nodes[node].stop().awaitUninterruptibly();
         }
         Path file = dir.resolve("node-" + node + ".toml");
-        Files.writeString(file, LoopbackDemo.settings(node, listen, back, state, cloud));
+        Files.writeString(
+                file, LoopbackDemo.settings(node, listenAddresses, peerAddresses, stateAddress, cloudAddress));
         nodes[node] = new ControllerNode(
                 Settings.read(file, new Features(false, 0.5, layouts, Features.NEVER, BalanceSettings.OFF)));
         nodes[node].start();
@@ -94,16 +96,17 @@
 
     // ---- operators
 
-    private PeerMessage.OperatorResponse ask(int node, PeerMessage.OperatorRequest.Kind kind, String argument) {
+    private PeerMessage.OperatorResponse send(int node, PeerMessage.OperatorRequest.Kind kind, String argument) {
         try {
-            return new OperatorClient(back[node], TIMEOUT_MS).send(new PeerMessage.OperatorRequest(kind, argument));
+            return new OperatorClient(peerAddresses[node], TIMEOUT_MS)
+                    .send(new PeerMessage.OperatorRequest(kind, argument));
         } catch (IOException e) {
             return new PeerMessage.OperatorResponse(Outcome.REFUSED, "{}");
         }
     }
 
     private Map<?, ?> status(int node) {
-        return tree(ask(node, PeerMessage.OperatorRequest.Kind.STATUS, ""));
+        return tree(send(node, PeerMessage.OperatorRequest.Kind.STATUS, ""));
     }
 
     private static Map<?, ?> tree(PeerMessage.OperatorResponse answer) {
@@ -122,14 +125,14 @@
         }
     }
 
-    /** Requests a step from both controllers in turn until one, the leader, answers that it is done. */
+    /** Requests a step from both controllers in turn until the leader answers that the step is done. */
     private void awaitDone(UpgradeStep step) {
         await(step, answer -> answer.outcome() == Outcome.DONE);
     }
 
     private void await(UpgradeStep step, Predicate<PeerMessage.OperatorResponse> condition) {
         for (int i = 0; ; i = 1 - i) {
-            if (condition.test(ask(i, PeerMessage.OperatorRequest.Kind.UPGRADE, step.name()))) {
+            if (condition.test(send(i, PeerMessage.OperatorRequest.Kind.UPGRADE, step.name()))) {
                 return;
             }
         }
@@ -147,7 +150,7 @@
 
     private HttpResult call(int node, HttpMethod method, String path, byte[] body) {
         CompletableFuture<HttpResult> result = new CompletableFuture<>();
-        loop.next().execute(() -> http.call(listen[node], method, path, body, TIMEOUT_MS, result::complete));
+        loop.next().execute(() -> http.call(listenAddresses[node], method, path, body, TIMEOUT_MS, result::complete));
         return result.join();
     }
 
@@ -164,11 +167,11 @@
 
     private void awaitJobs() throws IOException {
         for (String id : jobs) {
-            Object mood = null;
-            for (int i = 0; !"done".equals(mood); i = 1 - i) {
+            Object jobState = null;
+            for (int i = 0; !"done".equals(jobState); i = 1 - i) {
                 HttpResult result = call(i, HttpMethod.GET, "/v2/runs/" + id, null);
                 assertTrue(!result.is(404), id + " is unknown after it was accepted");
-                mood = result.is(200) ? Cbor.readMap(result.body()).get("mood") : mood;
+                jobState = result.is(200) ? Cbor.readMap(result.body()).get("mood") : jobState;
             }
         }
     }
@@ -186,7 +189,7 @@
         awaitDone(UpgradeStep.ACTIVATE);
         await(0, status -> Integer.valueOf(2).equals(active(status)));
 
-        // Only this controller is rolled back: it stops serving and reports why, while the other one serves.
+        // Only node-1 returns to the old version: it stops serving and reports why, while node-0 serves.
         start(1, OLD);
         await(1, status -> status.containsKey("unreadable"));
         assertFalse(
--- a/src/test/java/garnetscale/cli/OperatorSurfaceTest.java
+++ b/src/test/java/garnetscale/cli/OperatorSurfaceTest.java
@@ -18,14 +18,14 @@
 import picocli.CommandLine;
 
 /**
- * Pins the keys of the settings file and the command line's verbs, options and exit codes for invalid input. All keys of the
- * features file are checked by {@code FeaturesFileTest}, the other problems of settings by {@code SettingsTest}, and the exit
- * codes of the verbs that send a request to a controller by {@link OperatorCommandTest}.
+ * Pins the keys of the settings file, and the command line's subcommands, options and exit codes without a controller. All keys
+ * of the features file are checked by {@code FeaturesFileTest}, the other problems of settings by {@code SettingsTest}, and the
+ * exit codes of the subcommands that send a request to a controller by {@link OperatorCommandTest}.
  */
 class OperatorSurfaceTest {
 
     private static final ExpectedEncodings EXPECTED = new ExpectedEncodings("operator.txt");
-    /** Every key that is read, one per line, each with a value other than the default of a missing key; one key is unknown. */
+    /** Every known key on a line of its own, with a value other than the key's default if it has one, and one unknown key. */
     private static final String COMPLETE =
             """
             node_name = "n-0"
@@ -80,7 +80,11 @@
         return Files.writeString(directory.resolve("settings.toml"), text);
     }
 
-    /** Returns the problems of the settings without one line, "optional" if it changes the result, or "ignored" if it doesn't. */
+    /**
+     * Reads the settings without one line.
+     *
+     * @return the problems; if there are none, "optional" if the settings read differ from the complete ones, otherwise "ignored"
+     */
     private String resultWithoutLine(int number) throws IOException, InvalidConfigurationException {
         List<String> lines = new ArrayList<>(COMPLETE.lines().toList());
         lines.remove(number);
