--- a/src/main/java/garnetscale/core/SchedulerConfig.java
+++ b/src/main/java/garnetscale/core/SchedulerConfig.java
@@ -16,9 +16,9 @@
  * @param heartbeatIntervalMs time between two heartbeats of a worker
  * @param workerLeaseMs time after sending its last answered heartbeat at which a worker kills its tasks
  * @param cancellationDeadlineMs time from a job's cancellation within which its tasks must be terminated
- * @param maxTransactionOperations the most operations in one transaction of the key-value store
- * @param stateRequestsPerS requests per second that the key-value store accepts from this controller
- * @param stateWritesPerS writes per second that the key-value store accepts from all controllers together
+ * @param maxTransactionOperations the most operations in one transaction of the state service
+ * @param stateRequestsPerS requests per second that the state service accepts from this controller
+ * @param stateWritesPerS writes per second that the state service accepts from all controllers together
  * @param maxValueBytes the largest size of one stored value, in bytes
  * @param cloudRequestsPerS requests per second that the cloud accepts
  * @param instanceListLagMs usual age of the cloud's instance list; it may be twice as old
@@ -45,7 +45,7 @@
         long wallClockErrorMs,
         Features features) {
 
-    /** Seconds for which terminal jobs are remembered when they end as fast as the key-value store can record them. */
+    /** Seconds for which terminal jobs are remembered when they end as fast as the state service can record them. */
     private static final double TERMINAL_JOB_RETENTION_S = 200;
 
     private static final int WRITES_PER_TERMINAL_JOB = 2;
@@ -112,7 +112,7 @@
     /**
      * Returns the grace period: how long a partition owner goes on answering heartbeats after it sent the last request that
      * confirmed that its replica is complete. It is as long as possible, since a longer period lets tasks survive a longer outage
-     * of the key-value store. The grace period, a worker's lease and the margins together stay below {@link
+     * of the state service. The grace period, a worker's lease and the margins together stay below {@link
      * #cancellationDeadlineMs}, since an owner in its grace period may not know of a cancellation.
      */
     public long graceMs() {
@@ -135,7 +135,7 @@
     }
 
     /**
-     * Returns the time to live of a controller's lease in the key-value store: an eighth of a worker's lease, at least 1.5 s. No
+     * Returns the time to live of a controller's lease in the state service: an eighth of a worker's lease, at least 1.5 s. No
      * task is started on the machines of a failed owner until its lease expires. After a renewal that is later than this, the
      * controller needs a new lease and a new fencing token, but no task is killed.
      */
@@ -166,14 +166,14 @@
     }
 
     /**
-     * Returns how many cancellations by other controllers a partition owner remembers: as many as the key-value store can record
+     * Returns how many cancellations by other controllers a partition owner remembers: as many as the state service can record
      * until the tasks of a cancelled job would be terminated in any case. That is the steady rate plus a burst of one second.
      */
     public int maxRememberedCancellations() {
         return (int) Math.ceil(stateWritesPerS * (cancellationDeadlineMs / 1000.0 + 1));
     }
 
-    /** Returns how many terminal jobs a controller remembers, so that it needn't read them from the key-value store. */
+    /** Returns how many terminal jobs a controller remembers, so that it needn't read them from the state service. */
     public int maxRememberedTerminalJobs() {
         return (int) Math.ceil(stateWritesPerS * TERMINAL_JOB_RETENTION_S / WRITES_PER_TERMINAL_JOB);
     }
--- a/src/main/java/garnetscale/core/job/JobRecord.java
+++ b/src/main/java/garnetscale/core/job/JobRecord.java
@@ -1,7 +1,7 @@
 package garnetscale.core.job;
 
 /**
- * A job as the key-value store holds it.
+ * A job as the state service holds it.
  *
  * @param submittedMs wall-clock time of the job's acceptance in milliseconds, used for aging across failovers. Controllers'
  *     clocks may differ, within a bound from the settings, so no safety rule depends on this time.
--- a/src/main/java/garnetscale/core/job/package-info.java
+++ b/src/main/java/garnetscale/core/job/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Jobs as users submit them and as the key-value store holds them: immutable values without scheduling rules. This package
+ * Jobs as users submit them and as the state service holds them: immutable values without scheduling rules. This package
  * depends on no other package.
  */
 package garnetscale.core.job;
--- a/src/main/java/garnetscale/core/package-info.java
+++ b/src/main/java/garnetscale/core/package-info.java
@@ -7,7 +7,7 @@
  *
  * <ul>
  *   <li>{@code job}, {@code machine}: the records of jobs, tasks, machines and their messages, without mutable state;
- *   <li>{@code state}: the replica of the key-value store, its log and snapshots, and transactions;
+ *   <li>{@code state}: the replica of the state service's contents, their log and snapshots, and transactions;
  *   <li>{@code queue}: the order in which waiting jobs are served;
  *   <li>{@code bidding}: machines' bids and run-time estimates;
  *   <li>{@code quota}: the resources that each team uses;
--- a/src/main/java/garnetscale/core/state/Keys.java
+++ b/src/main/java/garnetscale/core/state/Keys.java
@@ -1,7 +1,7 @@
 package garnetscale.core.state;
 
 /**
- * The keys in the key-value store. All keys that controllers replicate share one prefix, so that a single watch covers them.
+ * The keys in the state service. All keys that controllers replicate share one prefix, so that a single watch covers them.
  * Terminal jobs are outside that prefix, so that a cold start reads only live state.
  */
 public final class Keys {
--- a/src/main/java/garnetscale/core/state/StateReplica.java
+++ b/src/main/java/garnetscale/core/state/StateReplica.java
@@ -13,9 +13,9 @@
 import java.util.Set;
 
 /**
- * A controller's copy of the live part of the key-value store (all keys under {@link Keys#REPLICATED}) as of one revision.
- * It is loaded from a listing and then updated from a watch. Between listings its revision only increases: stale watch
- * responses are ignored.
+ * A controller's copy of the live part of the state service's contents (all keys under {@link Keys#REPLICATED}) as of one
+ * revision. It is loaded from a listing and then updated from a watch. Between listings its revision only increases: stale
+ * watch responses are ignored.
  */
 public final class StateReplica {
 
--- a/src/test/java/garnetscale/core/upgrade/UpgradeCluster.java
+++ b/src/test/java/garnetscale/core/upgrade/UpgradeCluster.java
@@ -10,7 +10,7 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** A few controllers on one key-value store; each replica is updated only when the test does so. */
+/** A few controllers on one state service; each replica is updated only when the test does so. */
 final class UpgradeCluster {
 
     static final long SETTLE_MS = 1000;
