--- a/src/main/java/garnetscale/controller/LeadershipLoop.java
+++ b/src/main/java/garnetscale/controller/LeadershipLoop.java
@@ -194,7 +194,8 @@
         PeerMessage.MachineDirectory directory = peers.machineDirectory();
         if (!directory.equals(publishedDirectory)) {
             publishedDirectory = directory;
-            context.owner().onMachineDirectory(directory.machines(), directory.lateJobs(), directory.suspects());
+            context.owner()
+                    .onMachineDirectory(directory.machines(), directory.lateBidJobs(), directory.quarantinedJobs());
             peers.sendAll(directory);
             context.pacer().requestCycle();
         }
--- a/src/main/java/garnetscale/controller/PeerMessageHandler.java
+++ b/src/main/java/garnetscale/controller/PeerMessageHandler.java
@@ -151,7 +151,8 @@
         } else if (message instanceof PeerMessage.JobTerminated terminated) {
             jobApi.onTerminated(terminated.job(), terminated.terminalJob());
         } else if (message instanceof PeerMessage.MachineDirectory directory) {
-            context.owner().onMachineDirectory(directory.machines(), directory.lateJobs(), directory.suspects());
+            context.owner()
+                    .onMachineDirectory(directory.machines(), directory.lateBidJobs(), directory.quarantinedJobs());
             context.pacer().requestCycle();
         } else if (message instanceof PeerMessage.MachineStatusUpdate update) {
             context.leader().onMachineStatus(EventLoopPacer.now(), update.machineStatus());
--- a/src/main/java/garnetscale/controller/ProcessStatus.java
+++ b/src/main/java/garnetscale/controller/ProcessStatus.java
@@ -41,7 +41,7 @@
         if (job.unstartedCount() == 0) {
             return null;
         }
-        if (owner.isSuspect(job.spec().id())) {
+        if (owner.isQuarantined(job.spec().id())) {
             return "its tasks fail on every machine; they are tried ever more rarely";
         }
         return job.unstartedCount() + " of " + job.spec().tasks() + " tasks wait for room";
--- a/src/main/java/garnetscale/core/autoscaling/Autoscaler.java
+++ b/src/main/java/garnetscale/core/autoscaling/Autoscaler.java
@@ -73,10 +73,13 @@
      *
      * @param heartbeating statuses of the machines that have sent a heartbeat, including those that are silent now
      * @param decommissioned ids of machines without tasks that are to be deleted
-     * @param suspectJobs ids of jobs that fail on every machine
+     * @param quarantinedJobs ids of the quarantined jobs, which fail on every machine
      */
     public CloudCall next(
-            long now, Collection<MachineStatus> heartbeating, List<String> decommissioned, Set<String> suspectJobs) {
+            long now,
+            Collection<MachineStatus> heartbeating,
+            List<String> decommissioned,
+            Set<String> quarantinedJobs) {
         CloudCall listing = nextListing(now);
         if (listing != null || !instances.hasCompleteList()) {
             return listing;
@@ -88,13 +91,13 @@
         // Deletes and launches alternate: a wave of lost machines causes deletes for half a minute, and the launch of
         // replacements can't wait that long.
         if (wasLastCallDelete) {
-            call = nextScaleOut(now, statuses, capacity, suspectJobs);
+            call = nextScaleOut(now, statuses, capacity, quarantinedJobs);
         }
         if (call == null) {
             call = decommissioned.isEmpty() ? stuckInstances.next(now, statuses) : scaleIn(decommissioned);
         }
         if (call == null && !wasLastCallDelete) {
-            call = nextScaleOut(now, statuses, capacity, suspectJobs);
+            call = nextScaleOut(now, statuses, capacity, quarantinedJobs);
         }
         wasLastCallDelete = call instanceof CloudCall.ScaleIn;
         return call != null || capacity.isEmpty() ? call : idleInstances.next(now, capacity, statuses);
@@ -119,13 +122,13 @@
 
     /** Returns the next launch, or null. Fills {@code capacity} with existing and booting machines, and marks those in use. */
     private CloudCall nextScaleOut(
-            long now, Map<String, MachineStatus> statuses, List<Capacity> capacity, Set<String> suspectJobs) {
+            long now, Map<String, MachineStatus> statuses, List<Capacity> capacity, Set<String> quarantinedJobs) {
         stuckInstances.retainSilent(statuses);
         if (replica.types().isEmpty()) {
             return null;
         }
         capacity.addAll(demand.capacity(statuses));
-        return scaleOutPlanner.next(now, demand.missing(now, now + wallClockOffsetMs, capacity, suspectJobs));
+        return scaleOutPlanner.next(now, demand.missing(now, now + wallClockOffsetMs, capacity, quarantinedJobs));
     }
 
     /** Receives the cloud's machine types with their current prices. */
--- a/src/main/java/garnetscale/core/autoscaling/DemandPlanner.java
+++ b/src/main/java/garnetscale/core/autoscaling/DemandPlanner.java
@@ -76,15 +76,15 @@
      * {@code capacity} that the demand uses. Waiting tasks are packed first, in queue order and within quotas, then the headroom.
      *
      * @param wallClockMs wall-clock time in milliseconds, which the order of jobs depends on
-     * @param suspectJobs ids of jobs that fail on every machine; each counts as one task at most
+     * @param quarantinedJobs ids of the quarantined jobs, which fail on every machine; each counts as one task at most
      */
-    Map<Offering, Integer> missing(long now, long wallClockMs, List<Capacity> capacity, Set<String> suspectJobs) {
+    Map<Offering, Integer> missing(long now, long wallClockMs, List<Capacity> capacity, Set<String> quarantinedJobs) {
         QuotaUsage quota = QuotaUsage.of(config, replica);
         List<Capacity> open = new ArrayList<>(capacity);
         double smallestCpus = smallestTaskCpus();
         Map<Offering, Integer> missing = new LinkedHashMap<>();
         for (JobView job : JobQueue.sort(replica.jobs(), order, wallClockMs)) {
-            int tasks = takeQuota(job, suspectJobs, quota);
+            int tasks = takeQuota(job, quarantinedJobs, quota);
             open.removeIf(machine -> machine.isFull(smallestCpus));
             cover(now, job.spec(), tasks, open, missing);
         }
@@ -106,9 +106,10 @@
                 .orElse(0);
     }
 
-    private static int takeQuota(JobView job, Set<String> suspectJobs, QuotaUsage quota) {
+    private static int takeQuota(JobView job, Set<String> quarantinedJobs, QuotaUsage quota) {
         int tasks = 0;
-        int limit = suspectJobs.contains(job.spec().id()) ? Math.min(1, job.unstartedCount()) : job.unstartedCount();
+        int limit =
+                quarantinedJobs.contains(job.spec().id()) ? Math.min(1, job.unstartedCount()) : job.unstartedCount();
         while (tasks < limit && quota.allows(job.spec())) {
             quota.add(job.spec(), 1);
             tasks++;
--- a/src/main/java/garnetscale/core/bidding/Bidding.java
+++ b/src/main/java/garnetscale/core/bidding/Bidding.java
@@ -47,7 +47,7 @@
     private final Estimator estimator;
     private final ScarceTypeFilter scarceTypes;
     private final long wallClockMs;
-    private final Set<String> suspectJobs;
+    private final Set<String> quarantinedJobs;
     private final Map<List<Object>, BidderGroup> groups = new HashMap<>();
     /** One bidder of each group, from which the group's values are computed. */
     private final List<Bidder> representatives = new ArrayList<>();
@@ -68,19 +68,19 @@
      * Prepares a batch.
      *
      * @param wallClockMs wall-clock time in milliseconds
-     * @param suspectJobs ids of jobs that fail on every machine; one task of such a job is tried at a time
+     * @param quarantinedJobs ids of the quarantined jobs, which fail on every machine; one task of such a job is tried at a time
      */
     public Bidding(
             StateReplica replica,
             Estimator estimator,
             ScarceTypeFilter scarceTypes,
             long wallClockMs,
-            Set<String> suspectJobs) {
+            Set<String> quarantinedJobs) {
         this.replica = replica;
         this.estimator = estimator;
         this.scarceTypes = scarceTypes;
         this.wallClockMs = wallClockMs;
-        this.suspectJobs = suspectJobs;
+        this.quarantinedJobs = quarantinedJobs;
     }
 
     /**
@@ -138,7 +138,7 @@
     }
 
     private int tasksToBidFor(JobView job) {
-        if (suspectJobs.contains(job.spec().id())) {
+        if (quarantinedJobs.contains(job.spec().id())) {
             return 1;
         }
         return job.unstartedCount() == 0 ? job.placedCount() : job.unstartedCount();
--- a/src/main/java/garnetscale/core/partition/BidSubmitter.java
+++ b/src/main/java/garnetscale/core/partition/BidSubmitter.java
@@ -47,8 +47,8 @@
     private final JobOrder order;
     private final ScarceTypeFilter scarceTypes;
     private final FreeCapacityCache capacities;
-    /** Jobs that fail on every machine; a live set of {@link HeartbeatIntake}. */
-    private final Set<String> suspectJobs;
+    /** Quarantined jobs, which fail on every machine; a live set of {@link HeartbeatIntake}. */
+    private final Set<String> quarantinedJobs;
     /** Started jobs for which the leader accepts late bids. */
     private final Set<String> lateBidJobs = new HashSet<>();
 
@@ -58,14 +58,14 @@
     private long submittedRevision = -1;
     private long wallClockOffset;
 
-    /** {@code machines} and {@code suspectJobs} are shared; this class only reads them. */
+    /** {@code machines} and {@code quarantinedJobs} are shared; this class only reads them. */
     BidSubmitter(
             SchedulerConfig config,
             StateReplica replica,
             Estimator estimator,
             PartitionLeases leases,
             Map<String, MachineView> machines,
-            Set<String> suspectJobs,
+            Set<String> quarantinedJobs,
             Reachability reachability,
             List<OwnerEffect> effects) {
         this.config = config;
@@ -73,7 +73,7 @@
         this.estimator = estimator;
         this.leases = leases;
         this.machines = machines;
-        this.suspectJobs = suspectJobs;
+        this.quarantinedJobs = quarantinedJobs;
         this.reachability = reachability;
         this.effects = effects;
         this.order = new JobOrder(config);
@@ -169,7 +169,7 @@
         QuotaUsage quota = QuotaUsage.of(config, replica);
         waiting.removeIf(job -> !quota.allows(job.spec()));
         scarceTypes.refresh(replica.types(), waiting);
-        return new Bidding(replica, estimator, scarceTypes, wallClockMs(now), suspectJobs)
+        return new Bidding(replica, estimator, scarceTypes, wallClockMs(now), quarantinedJobs)
                 .bids(waiting, bidders(now, waiting));
     }
 
--- a/src/main/java/garnetscale/core/partition/HeartbeatIntake.java
+++ b/src/main/java/garnetscale/core/partition/HeartbeatIntake.java
@@ -31,8 +31,8 @@
     private final StateReplica replica;
     private final Estimator estimator;
     private final Map<String, MachineView> machines;
-    /** Jobs that fail on every machine, according to the leader, which receives the status of all machines. */
-    private final Set<String> suspectJobs = new HashSet<>();
+    /** Jobs that the leader, which receives the status of all machines, has quarantined: they fail on every machine. */
+    private final Set<String> quarantinedJobs = new HashSet<>();
 
     /** {@code machines} is shared; this class uncordons machines in it. */
     HeartbeatIntake(
@@ -43,24 +43,24 @@
         this.machines = machines;
     }
 
-    /** Returns the jobs that fail on every machine, as a live set that callers must not modify. */
-    Set<String> suspectJobs() {
-        return suspectJobs;
+    /** Returns the quarantined jobs, as a live set that callers must not modify. */
+    Set<String> quarantinedJobs() {
+        return quarantinedJobs;
     }
 
-    /** Replaces the jobs that fail on every machine, and uncordons the machines that were cordoned because of these jobs. */
-    void onSuspectJobs(List<String> jobs) {
-        suspectJobs.clear();
-        suspectJobs.addAll(jobs);
+    /** Replaces the quarantined jobs, and uncordons the machines that were cordoned because of these jobs. */
+    void onQuarantinedJobs(List<String> jobs) {
+        quarantinedJobs.clear();
+        quarantinedJobs.addAll(jobs);
         machines.values().forEach(this::uncordon);
     }
 
     /**
-     * Removes failures of suspect jobs from the machine, and its cordon if too few failed jobs remain to justify it. A job is
-     * found to be suspect only after its failures have been counted.
+     * Removes failures of quarantined jobs from the machine, and its cordon if too few failed jobs remain to justify it. A job
+     * is quarantined only after its failures have been counted.
      */
     private void uncordon(MachineView machine) {
-        if (machine.failedJobs.removeAll(suspectJobs) && machine.failedJobs.size() <= MAX_FAILED_JOBS) {
+        if (machine.failedJobs.removeAll(quarantinedJobs) && machine.failedJobs.size() <= MAX_FAILED_JOBS) {
             machine.cordonedUntil = MachineView.NOT_CORDONED;
             machine.needsReconcile = true;
         }
@@ -113,11 +113,13 @@
      * be the only ones. Failures of one job alone say nothing about the machine.
      */
     private void recordFailure(long now, MachineView machine, TaskStatus task) {
-        boolean isSuspect = suspectJobs.contains(task.task().job());
-        if (!isSuspect) {
+        boolean isQuarantined = quarantinedJobs.contains(task.task().job());
+        if (!isQuarantined) {
             machine.failedJobs.add(task.task().job());
         }
-        if (machine.failedAttempts.add(task.attempt()) && !isSuspect && machine.failedJobs.size() > MAX_FAILED_JOBS) {
+        if (machine.failedAttempts.add(task.attempt())
+                && !isQuarantined
+                && machine.failedJobs.size() > MAX_FAILED_JOBS) {
             machine.cordonedUntil = now + CORDON_HEARTBEATS * config.heartbeatIntervalMs();
         }
     }
--- a/src/main/java/garnetscale/core/partition/PartitionOwner.java
+++ b/src/main/java/garnetscale/core/partition/PartitionOwner.java
@@ -70,7 +70,7 @@
         this.adoption = new MachineAdoption(replica, partitions, leases, probes, machines);
         this.status = new StatusPublisher(config, replica, leases, effects);
         this.bids = new BidSubmitter(
-                config, replica, estimator, leases, machines, intake.suspectJobs(), reachability, effects);
+                config, replica, estimator, leases, machines, intake.quarantinedJobs(), reachability, effects);
         this.workerMessages = new WorkerMessageHandler(
                 partitions, leases, machines, reachability, intake, termination, reconciler, probes, status, bids);
     }
@@ -140,10 +140,11 @@
      *
      * @param directory all machines of the cluster
      * @param lateBidJobs started jobs for which the leader accepts late bids
-     * @param suspectJobs jobs that fail on every machine
+     * @param quarantinedJobs jobs that the leader has quarantined because they fail on every machine
      */
-    public void onMachineDirectory(List<MachineAddress> directory, List<String> lateBidJobs, List<String> suspectJobs) {
-        intake.onSuspectJobs(suspectJobs);
+    public void onMachineDirectory(
+            List<MachineAddress> directory, List<String> lateBidJobs, List<String> quarantinedJobs) {
+        intake.onQuarantinedJobs(quarantinedJobs);
         bids.onLateBidJobs(lateBidJobs);
         probes.onMachineDirectory(directory);
         sweptAt = Times.NEVER;
@@ -157,9 +158,9 @@
         desired.onCancelled(job);
     }
 
-    /** Returns whether the job fails on every machine, as far as this owner knows. */
-    public boolean isSuspect(String job) {
-        return intake.suspectJobs().contains(job);
+    /** Returns whether the job is quarantined because it fails on every machine, as far as this owner knows. */
+    public boolean isQuarantined(String job) {
+        return intake.quarantinedJobs().contains(job);
     }
 
     /**
--- a/src/main/java/garnetscale/peer/PeerCodec.java
+++ b/src/main/java/garnetscale/peer/PeerCodec.java
@@ -139,8 +139,8 @@
             out.writeString(machine.address());
             out.writeString(machine.zone());
         });
-        writeList(out, directory.lateJobs(), out::writeString);
-        writeList(out, directory.suspects(), out::writeString);
+        writeList(out, directory.lateBidJobs(), out::writeString);
+        writeList(out, directory.quarantinedJobs(), out::writeString);
     }
 
     private static void writeJobTerminated(Encoder out, PeerMessage.JobTerminated terminated) throws IOException {
--- a/src/main/java/garnetscale/peer/PeerMessage.java
+++ b/src/main/java/garnetscale/peer/PeerMessage.java
@@ -26,10 +26,10 @@
      * The leader's information for every controller about machines and jobs outside the controller's own partitions.
      *
      * @param machines all machines in the cloud's instance list
-     * @param lateJobs ids of started jobs for which the leader accepts late bids
-     * @param suspects ids of jobs that fail on every machine they run on
+     * @param lateBidJobs ids of started jobs for which the leader accepts late bids
+     * @param quarantinedJobs ids of jobs that fail on every machine they run on
      */
-    record MachineDirectory(List<MachineAddress> machines, List<String> lateJobs, List<String> suspects)
+    record MachineDirectory(List<MachineAddress> machines, List<String> lateBidJobs, List<String> quarantinedJobs)
             implements PeerMessage {
 
         /** Explicit because it is on the hot path; see {@link garnetscale.core}. */
@@ -37,8 +37,8 @@
         public boolean equals(Object object) {
             return object instanceof MachineDirectory other
                     && machines.equals(other.machines)
-                    && lateJobs.equals(other.lateJobs)
-                    && suspects.equals(other.suspects);
+                    && lateBidJobs.equals(other.lateBidJobs)
+                    && quarantinedJobs.equals(other.quarantinedJobs);
         }
 
         @Override
