--- a/src/main/java/garnetscale/controller/ControllerNode.java
+++ b/src/main/java/garnetscale/controller/ControllerNode.java
@@ -213,11 +213,11 @@
     }
 
     @Override
-    public void onLeaseGranted(long lease) {
-        peers.onLeaseGranted(lease);
-        leadership.onLeaseGranted(lease);
-        context.owner().onLeaseGranted(lease);
-        context.leader().onLeaseGranted(lease);
+    public void onLeaseChanged(long lease) {
+        peers.onLeaseChanged(lease);
+        leadership.onLeaseChanged(lease);
+        context.owner().onLeaseChanged(lease);
+        context.leader().onLeaseChanged(lease);
         pacer.requestCycle();
     }
 
--- a/src/main/java/garnetscale/controller/LeadershipLoop.java
+++ b/src/main/java/garnetscale/controller/LeadershipLoop.java
@@ -80,8 +80,12 @@
         this.pipeline = new TransactionPipeline(context.replica(), leader);
     }
 
-    /** Records the lease that this process is registered under; -1 when it has lost it. */
-    void onLeaseGranted(long newLease) {
+    /**
+     * Records the lease that this process is registered under.
+     *
+     * @param newLease the number of the lease, or a negative number when it is lost
+     */
+    void onLeaseChanged(long newLease) {
         lease = newLease;
     }
 
--- a/src/main/java/garnetscale/controller/SessionLease.java
+++ b/src/main/java/garnetscale/controller/SessionLease.java
@@ -111,7 +111,7 @@
     private void onExpired() {
         LOG.info("lease expired, acquiring a new one, lease={}", lease);
         lease = NO_LEASE;
-        listener.onLeaseGranted(NO_LEASE);
+        listener.onLeaseChanged(NO_LEASE);
         acquire();
     }
 
@@ -157,7 +157,7 @@
         boolean registered = lease >= 0 && isRegistered();
         if (registered && announcedLease != lease) {
             announcedLease = lease;
-            listener.onLeaseGranted(lease);
+            listener.onLeaseChanged(lease);
         }
         if (!registered) {
             register();
--- a/src/main/java/garnetscale/controller/StateLink.java
+++ b/src/main/java/garnetscale/controller/StateLink.java
@@ -38,7 +38,7 @@
          *
          * @param lease the number of the lease, or a negative number when it is lost
          */
-        void onLeaseGranted(long lease);
+        void onLeaseChanged(long lease);
     }
 
     /** The transport to the service, the clock and the timers. */
--- a/src/main/java/garnetscale/core/leader/Leader.java
+++ b/src/main/java/garnetscale/core/leader/Leader.java
@@ -66,9 +66,14 @@
 
     // ---- leadership
 
-    /** Sets the ID of the lease that the state service granted to this process. The ID identifies the process from now on. */
-    public void onLeaseGranted(long lease) {
-        election.onLeaseGranted(lease);
+    /**
+     * Sets the ID of the lease that this process holds in the state service. The ID identifies the process from now on.
+     *
+     * @param lease the ID of the granted lease, or a negative number when the lease is lost; the process then has no identity
+     *     and doesn't lead
+     */
+    public void onLeaseChanged(long lease) {
+        election.onLeaseChanged(lease);
     }
 
     /** Returns the term under which this process leads according to the replica, or -1 if it doesn't lead. */
--- a/src/main/java/garnetscale/core/leader/LeaderElection.java
+++ b/src/main/java/garnetscale/core/leader/LeaderElection.java
@@ -20,7 +20,7 @@
     /** Term of a controller that doesn't lead. */
     static final long NO_TERM = -1;
 
-    /** Incarnation of a process that hasn't been granted a lease yet. */
+    /** Incarnation of a process that holds no lease: none has been granted yet, or the last one was lost. */
     private static final long NO_INCARNATION = -1;
     /** Controller leases for which a leader must have been visible in the replica before it may be deposed. */
     private static final int LEASES_BEFORE_DEPOSING = 4;
@@ -58,8 +58,13 @@
         this.log = log;
     }
 
-    /** Sets the ID of the lease that the state service granted to this process. The ID identifies the process from now on. */
-    void onLeaseGranted(long lease) {
+    /**
+     * Sets the ID of the lease that this process holds in the state service. The ID identifies the process from now on.
+     *
+     * @param lease the ID of the granted lease, or a negative number when the lease is lost; the process then has no identity
+     *     and doesn't lead
+     */
+    void onLeaseChanged(long lease) {
         incarnation = lease;
     }
 
--- a/src/main/java/garnetscale/core/partition/PartitionLeases.java
+++ b/src/main/java/garnetscale/core/partition/PartitionLeases.java
@@ -41,13 +41,18 @@
         this.requests = requests;
     }
 
-    /** Returns the state lease that identifies this process, or -1 before the first one. */
+    /** Returns the state lease that identifies this process; negative before the first one and after its loss. */
     long incarnation() {
         return incarnation;
     }
 
-    /** Records a new state lease of this process. Partitions owned under an earlier state lease are no longer its own. */
-    void onLeaseGranted(long stateLease) {
+    /**
+     * Records a new state lease of this process, or the loss of the lease. Partitions owned under an earlier state lease are no
+     * longer its own.
+     *
+     * @param stateLease the number of the state lease, or a negative number when it is lost; then no partition is its own
+     */
+    void onLeaseChanged(long stateLease) {
         incarnation = stateLease;
     }
 
--- a/src/main/java/garnetscale/core/partition/PartitionOwner.java
+++ b/src/main/java/garnetscale/core/partition/PartitionOwner.java
@@ -82,9 +82,14 @@
         return drained;
     }
 
-    /** Records a new state lease of this process. Partitions owned under an earlier state lease are no longer its own. */
-    public void onLeaseGranted(long lease) {
-        leases.onLeaseGranted(lease);
+    /**
+     * Records a new state lease of this process, or the loss of the lease. Partitions owned under an earlier state lease are no
+     * longer its own.
+     *
+     * @param lease the number of the state lease, or a negative number when it is lost; then no partition is its own
+     */
+    public void onLeaseChanged(long lease) {
+        leases.onLeaseChanged(lease);
     }
 
     /** Records that the replica contains everything that was stored when a request was sent at {@code sentAt}. */
--- a/src/test/java/garnetscale/cli/OperatorCommandTest.java
+++ b/src/test/java/garnetscale/cli/OperatorCommandTest.java
@@ -75,7 +75,7 @@
                         Records.job(new JobRecord(
                                 TestJob.named("wk-1").team("red").tasks(5).build(), JobState.LIVE, 0))));
         replica.reset(state.list(Keys.REPLICATED, null, 100), state.revision());
-        leader.onLeaseGranted(lease);
+        leader.onLeaseChanged(lease);
         ClusterInspector inspector = new ClusterInspector(
                 config,
                 partitions,
--- a/src/test/java/garnetscale/controller/ClusterInspectorJsonTest.java
+++ b/src/test/java/garnetscale/controller/ClusterInspectorJsonTest.java
@@ -70,7 +70,7 @@
                 .put(Keys.partition("a/0"), Records.partition(new PartitionLease("n0", lease, 17)))
                 .put(Keys.job("wk-1"), job("wk-1", 5)));
         replica.reset(state.list(Keys.REPLICATED, null, 100), state.revision());
-        leader.onLeaseGranted(lease);
+        leader.onLeaseChanged(lease);
     }
 
     private static Map<String, Object> job(String id, int tasks) {
--- a/src/test/java/garnetscale/controller/ScriptedController.java
+++ b/src/test/java/garnetscale/controller/ScriptedController.java
@@ -140,7 +140,7 @@
     }
 
     @Override
-    public void onLeaseGranted(long lease) {
+    public void onLeaseChanged(long lease) {
         cluster.countOccurrence(lease < 0 ? "lease lost" : "lease");
     }
 }
--- a/src/test/java/garnetscale/controller/StateLinkRelistTest.java
+++ b/src/test/java/garnetscale/controller/StateLinkRelistTest.java
@@ -40,7 +40,7 @@
         }
 
         @Override
-        public void onLeaseGranted(long lease) {
+        public void onLeaseChanged(long lease) {
             // As above.
         }
     }
--- a/src/test/java/garnetscale/controller/StateLinkVersionTest.java
+++ b/src/test/java/garnetscale/controller/StateLinkVersionTest.java
@@ -44,7 +44,7 @@
         }
 
         @Override
-        public void onLeaseGranted(long lease) {
+        public void onLeaseChanged(long lease) {
             // As above.
         }
     }
--- a/src/test/java/garnetscale/core/leader/AttemptNumbersTest.java
+++ b/src/test/java/garnetscale/core/leader/AttemptNumbersTest.java
@@ -35,7 +35,7 @@
         long lease = state.service.grantLease(0, 60_000);
         state.join("n0", lease, "a");
         Leader leader = new Leader(config, state.replica, new PartitionMap(config), line -> {});
-        leader.onLeaseGranted(lease);
+        leader.onLeaseChanged(lease);
         state.commit(leader.election(0));
         assertTrue(leader.leads(0));
         assertNull(leader.resignation(0));
--- a/src/test/java/garnetscale/core/leader/BalancerTest.java
+++ b/src/test/java/garnetscale/core/leader/BalancerTest.java
@@ -73,7 +73,7 @@
         state.join("n0", 1, "a");
         state.lease("a/0", "n0", 1, TERM);
         state.lead("n0", 1, 1);
-        leader.onLeaseGranted(1);
+        leader.onLeaseChanged(1);
         assertTrue(leader.leads(0));
         publishStatus(AWARDED_AT, "m-000001", LARGE, List.of());
         publishStatus(AWARDED_AT, "m-000002", SMALL, List.of());
--- a/src/test/java/garnetscale/core/leader/LeaderElectionTest.java
+++ b/src/test/java/garnetscale/core/leader/LeaderElectionTest.java
@@ -27,7 +27,7 @@
         state.join("n1", 2, "a");
         state.join("n2", 3, "a");
         n1 = new Leader(config, state.replica, new PartitionMap(config), line -> {});
-        n1.onLeaseGranted(2);
+        n1.onLeaseChanged(2);
         assertNull(n1.election(0), "there is a leader");
     }
 
--- a/src/test/java/garnetscale/core/leader/LoadObserverTest.java
+++ b/src/test/java/garnetscale/core/leader/LoadObserverTest.java
@@ -55,7 +55,7 @@
         state.lease("a/0", "n1", 2, TERM);
         state.lease("b/0", "n0", 1, TERM + 1);
         state.lead("n0", 1, 1);
-        leader.onLeaseGranted(1);
+        leader.onLeaseChanged(1);
         assertTrue(leader.leads(0));
         publishStatus(0, false);
         bid(0);
@@ -126,7 +126,7 @@
     @Test
     void aControllerThatDoesNotLeadShowsNoLoadAndNoMoves() {
         totals(1000);
-        leader.onLeaseGranted(7);
+        leader.onLeaseChanged(7);
         leader.leads(2000);
         assertEquals(LoadSnapshot.EMPTY, leader.load());
         assertEquals(List.of(), leader.recentMoves());
--- a/src/test/java/garnetscale/core/partition/HeartbeatReplyTest.java
+++ b/src/test/java/garnetscale/core/partition/HeartbeatReplyTest.java
@@ -59,7 +59,7 @@
 
     @Test
     void afterANewStateLeaseTheRedirectNamesNoOwner() {
-        owner.onLeaseGranted(2);
+        owner.onLeaseChanged(2);
         assertEquals(
                 new HeartbeatReply.Redirect(null), owner.onHeartbeat(0, fixture.heartbeat(FIRST_TOKEN, List.of())));
     }
--- a/src/test/java/garnetscale/core/partition/OwnerFixture.java
+++ b/src/test/java/garnetscale/core/partition/OwnerFixture.java
@@ -58,7 +58,7 @@
         refreshReplica();
         owner = new PartitionOwner(
                 config, replica, new PartitionMap(config), new Estimator(config.heartbeatIntervalMs()));
-        owner.onLeaseGranted(INCARNATION);
+        owner.onLeaseChanged(INCARNATION);
     }
 
     /** Places the job's task on the worker's machine. */
--- a/src/test/java/garnetscale/core/sim/SimulatedStateLink.java
+++ b/src/test/java/garnetscale/core/sim/SimulatedStateLink.java
@@ -117,8 +117,8 @@
                 ok -> {
                     if (ok == 0 && lease == renewed) {
                         lease = -1;
-                        node.owner.onLeaseGranted(-1);
-                        node.leader.onLeaseGranted(-1);
+                        node.owner.onLeaseChanged(-1);
+                        node.leader.onLeaseChanged(-1);
                     }
                 },
                 () -> {});
@@ -205,8 +205,8 @@
                                     lease),
                     (outcome, revision) -> {});
         } else if (lease >= 0) {
-            node.owner.onLeaseGranted(lease);
-            node.leader.onLeaseGranted(lease);
+            node.owner.onLeaseChanged(lease);
+            node.leader.onLeaseChanged(lease);
         }
     }
 
--- a/src/test/java/garnetscale/core/trace/TraceCluster.java
+++ b/src/test/java/garnetscale/core/trace/TraceCluster.java
@@ -100,8 +100,8 @@
                         Keys.controller(name),
                         Records.controller(new ControllerInfo(name, node.lease, zone, Layouts.SUPPORTED)),
                         node.lease));
-        node.owner.onLeaseGranted(node.lease);
-        node.leader.onLeaseGranted(node.lease);
+        node.owner.onLeaseChanged(node.lease);
+        node.leader.onLeaseChanged(node.lease);
         nodes.put(name, node);
         sync(node);
     }
