--- a/src/main/java/garnetscale/core/package-info.java
+++ b/src/main/java/garnetscale/core/package-info.java
@@ -22,7 +22,8 @@
  * {@link garnetscale.core.Features}. They don't change after start-up.
  *
  * <p>Records that are compared or hashed in every scheduling cycle implement {@code equals} and {@code hashCode} explicitly. The
- * versions that the compiler generates are method handles. They are linked at the first call, and a class archive can't hold
- * the linked state: a controller that had just started spent about 3% of its first seconds on linking those of six records.
+ * versions that the compiler generates are method handles. They are linked at the first call, and a class data sharing (CDS)
+ * archive can't hold the linked state: a controller that had just started spent about 3% of its first seconds on linking those
+ * of six records.
  */
 package garnetscale.core;
--- a/src/main/java/garnetscale/emulator/EmulatedServices.java
+++ b/src/main/java/garnetscale/emulator/EmulatedServices.java
@@ -19,8 +19,8 @@
 
 /**
  * Emulates a state service, a cloud and a few workers on loopback, by their published protocols: for trying the scheduler out,
- * for its tests, and for the class archive that the build makes. Everything is kept in memory, without limits or failures. The
- * machines are fictitious.
+ * for its tests, and for the class data sharing (CDS) archive that the build makes. Everything is kept in memory, without limits
+ * or failures. The machines are fictitious.
  */
 public final class EmulatedServices {
 
