--- a/src/main/java/garnetscale/core/SchedulerConfig.java
+++ b/src/main/java/garnetscale/core/SchedulerConfig.java
@@ -17,7 +17,7 @@
  * @param workerLeaseMs time after sending its last answered heartbeat at which a worker kills its tasks
  * @param cancellationDeadlineMs time from a job's cancellation within which its tasks must be terminated
  * @param maxTransactionOperations the most operations in one transaction of the state service
- * @param stateRequestsPerS requests per second that the state service accepts from this controller
+ * @param stateRequestsPerS requests per second that the state service accepts from all controllers together
  * @param stateWritesPerS writes per second that the state service accepts from all controllers together
  * @param maxValueBytes the largest size of one stored value, in bytes
  * @param cloudRequestsPerS requests per second that the cloud accepts
