--- a/src/main/java/garnetscale/controller/OwnerEffectExecutor.java
+++ b/src/main/java/garnetscale/controller/OwnerEffectExecutor.java
@@ -94,8 +94,8 @@
     @SuppressWarnings("IllegalCatch") // After a malformed answer, the command counts as unanswered.
     private void onCommandsAnswered(OwnerEffect.SendCommands command, HttpResult result) {
         try {
-            // A worker that rejects the command with 409 has seen a newer fencing token. It answers with its status all
-            // the same.
+            // A worker rejects the commands with 409 if it has seen a higher fencing token than theirs, or if their
+            // agent epoch isn't its current one. It answers with its status all the same.
             if (result.is(HttpStatus.OK) || result.is(HttpStatus.CONFLICT)) {
                 context.owner()
                         .onCommandAnswer(
