--- a/src/main/java/garnetscale/controller/PeerMessageHandler.java
+++ b/src/main/java/garnetscale/controller/PeerMessageHandler.java
@@ -63,8 +63,12 @@
         heartbeatsSentAt = EventLoopPacer.now();
     }
 
-    /** Records the lease that this process is registered under; -1 when it has lost it. */
-    void onLeaseGranted(long newLease) {
+    /**
+     * Records the lease that this process is registered under.
+     *
+     * @param newLease the number of the lease, or a negative number when it is lost
+     */
+    void onLeaseChanged(long newLease) {
         lease = newLease;
     }
 
@@ -151,7 +155,8 @@
         } else if (message instanceof PeerMessage.JobTerminated terminated) {
             jobApi.onTerminated(terminated.job(), terminated.terminalJob());
         } else if (message instanceof PeerMessage.MachineDirectory directory) {
-            context.owner().onMachineDirectory(directory.machines(), directory.lateJobs(), directory.suspects());
+            context.owner()
+                    .onMachineDirectory(directory.machines(), directory.lateBidJobs(), directory.quarantinedJobs());
             context.pacer().requestCycle();
         } else if (message instanceof PeerMessage.MachineStatusUpdate update) {
             context.leader().onMachineStatus(EventLoopPacer.now(), update.machineStatus());
