--- a/src/main/java/garnetscale/cli/Main.java
+++ b/src/main/java/garnetscale/cli/Main.java
@@ -149,8 +149,8 @@
     public static void main(String[] args) throws InterruptedException {
         setUpLogging();
         // The platform starts the process with one of these two forms. They are parsed without picocli, because the
-        // class archive can't hold picocli, and parsing these few arguments with it would take a third of the start-up
-        // time.
+        // class data sharing (CDS) archive can't hold picocli, and parsing these few arguments with it would take a
+        // third of the start-up time.
         if (args.length == 2 && args[0].equals("--config")) {
             System.exit(serve(Path.of(args[1]), null));
         }
--- a/src/main/java/garnetscale/config/SettingsReader.java
+++ b/src/main/java/garnetscale/config/SettingsReader.java
@@ -54,8 +54,8 @@
                     fields.text(member, prefix, "site"),
                     fields.address(member, prefix, "endpoint")));
         }
-        // Comparator.comparing isn't used because its lambda is in a JDK class, and the class archive holds JDK classes
-        // without their lambdas.
+        // Comparator.comparing isn't used because its lambda is in a JDK class, and the class data sharing (CDS)
+        // archive holds JDK classes without their lambdas.
         controllers.sort((first, second) -> first.name().compareTo(second.name()));
         if (controllers.stream()
                         .map(SchedulerConfig.ControllerAddress::name)
--- a/src/main/java/garnetscale/controller/CloudLink.java
+++ b/src/main/java/garnetscale/controller/CloudLink.java
@@ -29,7 +29,7 @@
         /** Called with the machine types that the cloud offers. */
         void onTypes(List<MachineType> types);
 
-        /** Called when the cloud has confirmed that a machine is deleted or has failed: nothing runs on it any more. */
+        /** Called when the cloud has confirmed that a machine is deleted or has failed: nothing runs on it any longer. */
         void onTerminated(String machine);
 
         /** Called when all pages of the list of instances have arrived. */
--- a/src/main/java/garnetscale/controller/JobReplies.java
+++ b/src/main/java/garnetscale/controller/JobReplies.java
@@ -75,7 +75,7 @@
                         reason)));
     }
 
-    /** Returns the state of a terminal job, of which only a summary is still stored. */
+    /** Returns the state of a terminal job; only a summary of the job is still stored. */
     static Reply terminal(String id, Records.TerminalJob job) {
         boolean done = job.state() == JobState.DONE;
         return Reply.of(
--- a/src/main/java/garnetscale/controller/LeadershipLoop.java
+++ b/src/main/java/garnetscale/controller/LeadershipLoop.java
@@ -81,9 +81,9 @@
     }
 
     /**
-     * Records the lease that this process is registered under.
+     * Records the session lease that this process is registered under.
      *
-     * @param newLease the number of the lease, or a negative number when it is lost
+     * @param newLease the id of the session lease, or a negative number when it is lost
      */
     void onLeaseChanged(long newLease) {
         lease = newLease;
--- a/src/main/java/garnetscale/controller/OperatorJson.java
+++ b/src/main/java/garnetscale/controller/OperatorJson.java
@@ -57,12 +57,12 @@
         return write(out -> out.writeJob(job));
     }
 
-    /** Returns the answer to {@code job} for a terminal job, of which only a summary is still stored. */
+    /** Returns the answer to {@code job} for a terminal job; only a summary of the job is still stored. */
     static String terminalJob(String id, Records.TerminalJob job) {
         return write(out -> out.writeTerminalJob(id, job));
     }
 
-    /** Returns the load by itself, as in the answer to {@code status}. */
+    /** Returns the load alone, in the same form as in the answer to {@code status}. */
     static String load(LoadView load) {
         return write(out -> out.writeLoad(load));
     }
--- a/src/main/java/garnetscale/controller/PeerMessageHandler.java
+++ b/src/main/java/garnetscale/controller/PeerMessageHandler.java
@@ -64,9 +64,9 @@
     }
 
     /**
-     * Records the lease that this process is registered under.
+     * Records the session lease that this process is registered under.
      *
-     * @param newLease the number of the lease, or a negative number when it is lost
+     * @param newLease the id of the session lease, or a negative number when it is lost
      */
     void onLeaseChanged(long newLease) {
         lease = newLease;
--- a/src/main/java/garnetscale/controller/SessionLease.java
+++ b/src/main/java/garnetscale/controller/SessionLease.java
@@ -16,8 +16,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Acquires and renews this process's lease. The process's record among the live controllers is attached to the lease; the
- * listener is notified of the lease once the replica shows that record. The lease's number is the process's incarnation.
+ * Acquires and renews this process's session lease in the state service. The process's record among the live controllers is
+ * attached to the lease; the listener is notified of the lease once the replica shows that record. The lease's id is the
+ * process's incarnation.
  */
 final class SessionLease {
 
@@ -117,8 +118,8 @@
 
     /** Sends a keep-alive for the lease. */
     void renew() {
-        // A controller that can't read a stored record decides nothing. It lets its lease expire, so that others
-        // get its partitions.
+        // A controller that can't read a stored record makes no decisions. It lets its lease expire, so that others get
+        // its partitions.
         if (lease < 0 || replica.unreadable() != null) {
             return;
         }
--- a/src/main/java/garnetscale/controller/StateLink.java
+++ b/src/main/java/garnetscale/controller/StateLink.java
@@ -15,15 +15,15 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Owns all communication of this process with the state service. Keeps the process's lease and its replica, and sends all other
- * requests within this controller's share of the service's rate limits. Each of these duties has a class of its own; all of them
+ * Owns all communication of this process with the state service. Keeps the process's session lease and its replica, and sends all
+ * other requests within this controller's share of the service's rate limits. Each of these duties has its own class; all of them
  * run on the controller's event loop.
  */
 final class StateLink implements JobApi.Store, ReplicaListener {
 
     /** Callbacks of the link to the controller. */
     interface Listener {
-        /** Called when the replica has changed, and on each confirmation while the current lease isn't announced yet. */
+        /** Called when the replica has changed, and on each confirmation while the current session lease isn't announced yet. */
         void onReplicaAdvanced();
 
         /**
@@ -34,9 +34,9 @@
         void onReplicaConfirmed(long sentAt);
 
         /**
-         * Called when this process is registered under a lease, or has lost its lease.
+         * Called when this process is registered under a session lease, or has lost it.
          *
-         * @param lease the number of the lease, or a negative number when it is lost
+         * @param lease the id of the session lease, or a negative number when it is lost
          */
         void onLeaseChanged(long lease);
     }
--- a/src/main/java/garnetscale/controller/StatusView.java
+++ b/src/main/java/garnetscale/controller/StatusView.java
@@ -12,7 +12,7 @@
  * @param unreadable   the stored record that this version of the program can't read, and why; null if it reads all
  * @param leader       the leader according to the replica, or null if there is none
  * @param machinesWithRecords number of machines that the state service has a record of
- * @param load         the load of all machines, or null unless this controller leads and rebalancing is on
+ * @param load         the load of all machines, or null unless this controller leads and load balancing is on
  */
 record StatusView(
         String controller,
--- a/src/main/java/garnetscale/controller/TerminalJobIndex.java
+++ b/src/main/java/garnetscale/controller/TerminalJobIndex.java
@@ -14,9 +14,9 @@
 import java.util.function.Consumer;
 
 /**
- * Looks up terminal jobs, which are no longer in the replica. Users also ask for jobs that were never submitted, and each look-up
- * by itself would cost a request. Look-ups are therefore batched: one transaction without operations guards each of their keys
- * with "doesn't exist". Only keys that exist are read one by one. Confined to the event loop.
+ * Looks up terminal jobs, which are no longer in the replica. Users also ask for jobs that were never submitted, and a separate
+ * look-up of each would cost a request. Look-ups are therefore batched: one transaction without operations guards each of the
+ * jobs' keys with "doesn't exist". Only keys that exist are read one by one. Confined to the event loop.
  */
 final class TerminalJobIndex {
 
--- a/src/main/java/garnetscale/core/Features.java
+++ b/src/main/java/garnetscale/core/Features.java
@@ -8,7 +8,7 @@
  * Features that operators can switch on. All are off by default. docs/operations.md describes the features file.
  *
  * @param automaticActivation whether the leader activates the next layout version without an operator's command, once the stored
- *     data exceeds what the active version can hold
+ *     state has outgrown the active version or soon will
  * @param activationDelayLeases how long every live controller must have been up before a layout version is activated, in worker
  *     leases
  * @param layouts the layout versions that this controller supports
--- a/src/main/java/garnetscale/core/SchedulerConfig.java
+++ b/src/main/java/garnetscale/core/SchedulerConfig.java
@@ -53,7 +53,7 @@
     private static final int DRIFT_DIVISOR = 100;
 
     private static final long MIN_CONTROLLER_LEASE_MS = 1500;
-    /** A controller's lease is a worker's lease divided by this. */
+    /** A controller's session lease is a worker's lease divided by this. */
     private static final int CONTROLLER_LEASE_DIVISOR = 8;
     /** The time left for stopping tasks after the grace period is the cancellation deadline divided by this. */
     private static final int STOP_TIME_DIVISOR = 16;
@@ -110,10 +110,10 @@
     }
 
     /**
-     * Returns the grace period: how long a partition owner goes on answering heartbeats after it sent the last request that
+     * Returns the grace period: how long a partition owner continues to answer heartbeats after it sent the last request that
      * confirmed that its replica is complete. It is as long as possible, since a longer period lets tasks survive a longer outage
-     * of the state service. The grace period, a worker's lease and the margins together stay below {@link
-     * #cancellationDeadlineMs}, since an owner in its grace period may not know of a cancellation.
+     * of the state service. The grace period, a worker's lease and the margins together stay below
+     * {@link #cancellationDeadlineMs}, since an owner in its grace period may not know of a cancellation.
      */
     public long graceMs() {
         return Math.max(
@@ -135,9 +135,9 @@
     }
 
     /**
-     * Returns the time to live of a controller's lease in the state service: an eighth of a worker's lease, at least 1.5 s. No
-     * task is started on the machines of a failed owner until its lease expires. After a renewal that is later than this, the
-     * controller needs a new lease and a new fencing token, but no task is killed.
+     * Returns the time to live of a controller's session lease in the state service: an eighth of a worker's lease, at least
+     * 1.5 s. No task is started on the machines of a failed owner until its session lease expires. After a renewal that is later
+     * than this, the controller needs a new session lease and a new fencing token, but no task is killed.
      */
     public long controllerLeaseMs() {
         return Math.max(MIN_CONTROLLER_LEASE_MS, workerLeaseMs / CONTROLLER_LEASE_DIVISOR);
--- a/src/main/java/garnetscale/core/balance/MoveBudget.java
+++ b/src/main/java/garnetscale/core/balance/MoveBudget.java
@@ -115,7 +115,7 @@
 
     /**
      * Returns whether a task of {@code cpus} CPUs may be moved to the group, in addition to the tasks in transit and to
-     * {@code plannedCpus} further CPUs. If there are no such tasks or CPUs, it may be moved whatever its size.
+     * {@code plannedCpus} further CPUs. If there are no such tasks or CPUs, it may be moved regardless of its size.
      */
     boolean mayReceive(long now, MachineGroup group, double plannedCpus, double cpus, LoadSnapshot load) {
         double inTransitCpus = plannedCpus;
--- a/src/main/java/garnetscale/core/balance/MovePlanner.java
+++ b/src/main/java/garnetscale/core/balance/MovePlanner.java
@@ -194,8 +194,8 @@
     }
 
     /**
-     * Moves the tasks if the gain is sufficient and each task gets a slot of its own. Bids are chosen again, since the clearance
-     * may count one slot for several tasks. Returns whether the tasks are moved.
+     * Moves the tasks if the gain is sufficient and each task gets its own slot. Bids are chosen again, since the clearance may
+     * count one slot for several tasks. Returns whether the tasks are moved.
      */
     private boolean tryClearance(MachineClearance cheapest, JobSpec job, WaitForecast forecast) {
         List<PlannedStop> reserved = new ArrayList<>();
--- a/src/main/java/garnetscale/core/balance/RunningTask.java
+++ b/src/main/java/garnetscale/core/balance/RunningTask.java
@@ -9,7 +9,7 @@
  * @param remainingS estimated seconds until the task completes on its current machine
  * @param checkpointedS seconds of the run that are in a checkpoint and needn't be repeated elsewhere
  * @param stopS seconds from the decision to stop the task until its resources are free
- * @param movable whether the task may be moved at all
+ * @param movable whether the task may be moved
  */
 public record RunningTask(
         TaskId task,
--- a/src/main/java/garnetscale/core/bidding/Bidding.java
+++ b/src/main/java/garnetscale/core/bidding/Bidding.java
@@ -18,8 +18,8 @@
  * Makes the bids of one partition owner's machines. Each machine bids for the jobs at the head of its queue (paper, DSP step 3).
  * The machines of one {@link BidderGroup} have the same queue, so it is evaluated once per group. For each job, only the best
  * bids are made, with slots for about one and a half times the tasks that could start: the leader may reject some of the bids,
- * but has no use for more from one owner. Capacity that a machine offers to a job counts as taken for the jobs behind, so that
- * those get bids from machines that will still have capacity.
+ * but has no use for more from one owner. Capacity that a machine offers to a job counts as taken for the later jobs in the
+ * queue, so that these get bids from machines that will still have capacity.
  *
  * <p>An instance makes one batch. It evaluates thousands of machines for hundreds of jobs, so it allocates per batch and per
  * bid, not per candidate.
--- a/src/main/java/garnetscale/core/bidding/Estimator.java
+++ b/src/main/java/garnetscale/core/bidding/Estimator.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 
 /**
- * Estimates run times: corrects the job owner's estimate by the run times of completed tasks. There is one factor for each class of
+ * Estimates run times: corrects the user's estimate by the run times of completed tasks. There is one factor for each class of
  * jobs, since the estimates in a class err alike, and one for each machine, since a faulty machine can be much slower.
  *
  * <p>Run times of a job's tasks differ by half or more, and the first tasks to complete are the shortest. So a machine is
@@ -20,7 +20,7 @@
     private static final double SAMPLE_WEIGHT = 0.2;
     /** Upper bound of all factors; its inverse is the lower bound. */
     private static final double MAX_FACTOR = 8;
-    /** Number of completed tasks after which a job's observed run times replace its owner's estimate. */
+    /** Number of completed tasks after which a job's observed run times replace the user's estimate. */
     private static final int MIN_COMPLETED_TASKS = 4;
     /** A smaller factor counts as 1: preferring slightly faster machines would send tasks away from cached images. */
     private static final double MIN_RELEVANT_FACTOR = 1.5;
--- a/src/main/java/garnetscale/core/cluster/FencingTokens.java
+++ b/src/main/java/garnetscale/core/cluster/FencingTokens.java
@@ -3,7 +3,7 @@
 /**
  * Encodes nested terms in one monotonically increasing integer. Leader terms come from the stored counter. Partition terms are
  * numbered within a leader's term, and fencing tokens within a partition's term, so that the partition's owner can raise a
- * worker's token by itself. Attempts are also numbered within a leader's term, which makes each attempt id unique.
+ * worker's token without the leader. Attempts are also numbered within a leader's term, which makes each attempt id unique.
  */
 public final class FencingTokens {
 
--- a/src/main/java/garnetscale/core/cluster/LeaderInfo.java
+++ b/src/main/java/garnetscale/core/cluster/LeaderInfo.java
@@ -4,7 +4,7 @@
  * The leader, as recorded in the state service.
  *
  * @param node the name of the leader's controller
- * @param incarnation the id of the state lease of the leader's process
+ * @param incarnation the id of the session lease of the leader's process
  * @param term the leader term, which is taken from the stored counter and only increases
  */
 public record LeaderInfo(String node, long incarnation, long term) {
--- a/src/main/java/garnetscale/core/leader/ExitRecorder.java
+++ b/src/main/java/garnetscale/core/leader/ExitRecorder.java
@@ -70,7 +70,7 @@
         }
     }
 
-    /** Handles the cloud's proof that nothing runs on the machine any more. */
+    /** Handles the cloud's proof that nothing runs on the machine any longer. */
     void onMachineTerminated(String machine) {
         terminatedMachines.add(machine);
     }
--- a/src/main/java/garnetscale/core/leader/FailureTracker.java
+++ b/src/main/java/garnetscale/core/leader/FailureTracker.java
@@ -128,7 +128,7 @@
     }
 
     /**
-     * Returns whether the task isn't in a backoff of its own. The backoff of its job is applied by {@link #allowedPlacements}.
+     * Returns whether the task itself isn't in backoff. The backoff of its job is applied by {@link #allowedPlacements}.
      */
     boolean mayStart(long now, TaskId task) {
         FailureHistory history = tasks.get(task);
@@ -148,7 +148,7 @@
         return now < history.retryAt ? 0 : Math.max(0, MAX_TRIAL_TASKS - placed);
     }
 
-    /** Returns the quarantined jobs, sorted by ID. */
+    /** Returns the quarantined jobs, sorted by id. */
     Set<String> quarantinedJobs() {
         Set<String> quarantined = new TreeSet<>();
         jobs.forEach((job, history) -> {
--- a/src/main/java/garnetscale/core/leader/HeadroomReserve.java
+++ b/src/main/java/garnetscale/core/leader/HeadroomReserve.java
@@ -118,10 +118,10 @@
     }
 
     /**
-     * Returns whether the job must leave the reserve free. The reserve applies only to jobs of lower priority than every job
-     * seen of an urgent class, and only until a job has waited for its class's limit. That limit doesn't end it for a job that
-     * borrows and has begun: such a job must leave the reserve free however long it waits. For a job that has not begun, the
-     * limit always ends the reserve, because it would otherwise never begin on a full fleet.
+     * Returns whether the job must leave the reserve free. The reserve applies only to jobs of lower priority than every job seen
+     * of an urgent class, and only until a job has waited for its class's limit. That limit doesn't end it for a job that borrows
+     * and has begun: such a job must leave the reserve free, no matter how long it waits. For a job that has not begun, the limit
+     * always ends the reserve, because it would otherwise never begin on a full fleet.
      *
      * @param borrows whether the job is of low priority and not within a guarantee of its team
      * @param wallMs  wall-clock time in milliseconds since the Unix epoch
--- a/src/main/java/garnetscale/core/leader/Leader.java
+++ b/src/main/java/garnetscale/core/leader/Leader.java
@@ -67,9 +67,9 @@
     // ---- leadership
 
     /**
-     * Sets the ID of the lease that this process holds in the state service. The ID identifies the process from now on.
+     * Sets the id of this process's session lease. The id identifies the process from now on.
      *
-     * @param lease the ID of the granted lease, or a negative number when the lease is lost; the process then has no identity
+     * @param lease the id of the granted session lease, or a negative number when it is lost; the process then has no identity
      *     and doesn't lead
      */
     public void onLeaseChanged(long lease) {
@@ -176,8 +176,8 @@
     }
 
     /**
-     * Handles the cloud's proof that nothing runs on the machine any more: it answered a delete with 200, or lists the machine
-     * as failed.
+     * Handles the cloud's proof that nothing runs on the machine any longer: the cloud answered a delete with 200, or lists the
+     * machine as failed.
      */
     public void onMachineTerminated(String machine) {
         exitRecorder.onMachineTerminated(machine);
@@ -185,8 +185,8 @@
     }
 
     /**
-     * Handles a machine that disappeared from the cloud's list long ago. Lists lag behind, so this frees no placement. It only
-     * removes the machine's record if that has no placements.
+     * Handles a machine that disappeared from the cloud's instance list long ago. Lists lag behind, so this frees no placement.
+     * It only removes the machine's record if that has no placements.
      */
     public void onMachineVanished(String machine) {
         if (replica.placements(machine).isEmpty()) {
@@ -237,7 +237,7 @@
         return list;
     }
 
-    /** Returns the started jobs for which late bids are requested, sorted by ID. */
+    /** Returns the started jobs for which late bids are requested, sorted by id. */
     public List<String> jobsWantingLateBids() {
         Set<String> jobs = new TreeSet<>(machineEvaluator.jobsOnSlowMachines());
         jobs.addAll(balancer.jobsWantingBids());
--- a/src/main/java/garnetscale/core/leader/LeaderContext.java
+++ b/src/main/java/garnetscale/core/leader/LeaderContext.java
@@ -13,7 +13,7 @@
 /**
  * State and services shared by the parts of the leader.
  *
- * @param machines   state of each machine, by its ID; only {@link Leader} adds to it
+ * @param machines   state of each machine, by its name; only {@link Leader} adds to it
  * @param auction    open bids
  * @param estimator  estimates of how long tasks run and how fast machines are
  * @param failures   failures of jobs and tasks, and which of them are quarantined
--- a/src/main/java/garnetscale/core/leader/LeaderElection.java
+++ b/src/main/java/garnetscale/core/leader/LeaderElection.java
@@ -12,17 +12,17 @@
 
 /**
  * Decides when this controller becomes the leader, deposes a leader whose process is down, or resigns. The leader is the
- * controller that the leader key in the state service names. The key is attached to that controller's lease in the state
- * service, so it is deleted when the process dies.
+ * controller that the leader key in the state service names. The key is attached to that controller's session lease, so it is
+ * deleted when the process dies.
  */
 final class LeaderElection {
 
     /** Term of a controller that doesn't lead. */
     static final long NO_TERM = -1;
 
-    /** Incarnation of a process that holds no lease: none has been granted yet, or the last one was lost. */
+    /** Incarnation of a process that holds no session lease: none has been granted yet, or the last one was lost. */
     private static final long NO_INCARNATION = -1;
-    /** Controller leases for which a leader must have been visible in the replica before it may be deposed. */
+    /** Session lease durations for which a leader must have been visible in the replica before it may be deposed. */
     private static final int LEASES_BEFORE_DEPOSING = 4;
     /**
      * Time for which a leader that resigned because no worker reached it leaves the leadership to other controllers, in
@@ -35,7 +35,7 @@
     private final PeerFailureDetector failureDetector;
     private final Consumer<String> log;
 
-    /** ID of this process's lease in the state service, or {@link #NO_INCARNATION}. */
+    /** Id of this process's session lease, or {@link #NO_INCARNATION}. */
     private long incarnation = NO_INCARNATION;
     /** Time before which this controller isn't a candidate, unless it is the only controller. */
     private long candidateFrom = Times.NEVER;
@@ -59,9 +59,9 @@
     }
 
     /**
-     * Sets the ID of the lease that this process holds in the state service. The ID identifies the process from now on.
+     * Sets the id of this process's session lease. The id identifies the process from now on.
      *
-     * @param lease the ID of the granted lease, or a negative number when the lease is lost; the process then has no identity
+     * @param lease the id of the granted session lease, or a negative number when it is lost; the process then has no identity
      *     and doesn't lead
      */
     void onLeaseChanged(long lease) {
@@ -127,14 +127,14 @@
     }
 
     /**
-     * Returns whether to depose the current leader before its lease expires. This is safe at any time, because every
+     * Returns whether to depose the current leader before its session lease expires. This is safe at any time, because every
      * transaction of a leader is guarded by the key that this replaces.
      *
      * <p>Three rules keep two controllers from deposing each other over and over. Only a recent suspicion counts, because a
-     * process that is still live a controller lease after it was suspected wasn't down. A suspicion doesn't count if a recent
-     * suspicion of the same controller turned out to be false. Nor does it count if all other controllers are suspected at
-     * once: then the network is at fault, and the state service knows better which processes are alive. The last two rules
-     * don't protect a leader that no worker reaches, since deposing it loses nothing.
+     * process that is still live one session lease duration after it was suspected wasn't down. A suspicion doesn't count if a
+     * recent suspicion of the same controller turned out to be false. Nor does it count if all other controllers are suspected at
+     * once: then the network is at fault, and the state service knows better which processes are alive. The last two rules don't
+     * protect a leader that no worker reaches, since deposing it loses nothing.
      */
     private boolean isLeaderDown(long now) {
         LeaderInfo leader = replica.leader();
@@ -163,7 +163,7 @@
     /**
      * Returns the transaction by which a leader that no worker reaches steps down, so that a controller that workers may reach
      * can take over. Returns null if some machine sends heartbeats, if there is no other controller, or if it is too early to
-     * tell.
+     * decide.
      */
     Transaction resignIfIsolated(long now, Collection<MachineState> machines) {
         boolean isIsolated = machines.stream().allMatch(machine -> machine.status.silent());
--- a/src/main/java/garnetscale/core/leader/MachineEvaluator.java
+++ b/src/main/java/garnetscale/core/leader/MachineEvaluator.java
@@ -71,8 +71,8 @@
 
     /**
      * Forgets silent machines without placements. If the cloud removed a machine before this leader first received the cloud's
-     * list, silence is the only sign of that. If such machines were counted, so many would seem silent that no silent machine
-     * would be deleted early.
+     * instance list, silence is the only sign of that. If such machines still counted as silent, there could be too many silent
+     * machines for any of them to be deleted early.
      */
     private void forgetSilent(long now) {
         machines.values()
--- a/src/main/java/garnetscale/core/leader/PartitionAssigner.java
+++ b/src/main/java/garnetscale/core/leader/PartitionAssigner.java
@@ -26,12 +26,12 @@
 final class PartitionAssigner {
 
     /**
-     * Controller leases for which a controller must have been live, and the leader must have led, before a partition is moved
-     * to that controller to rebalance.
+     * Session lease durations for which a controller must have been live, and the leader must have led, before a partition is
+     * moved to that controller to rebalance.
      */
     private static final int LEASES_BEFORE_REBALANCING = 2;
     /**
-     * Controller leases for which a partition isn't rebalanced after it was taken from an owner that was isolated from its
+     * Session lease durations for which a partition isn't rebalanced after it was taken from an owner that was isolated from its
      * machines.
      */
     private static final int LEASES_AFTER_ISOLATION = 8;
@@ -82,7 +82,7 @@
         reassignedAt.clear();
     }
 
-    /** Returns whether the leader's term is about to run out of numbers for the terms of partitions. */
+    /** Returns whether the numbers for partition terms within the leader's term are nearly exhausted. */
     boolean isNearlyExhausted() {
         return sequence >= FencingTokens.MAX_PARTITION_TERMS - partitions.all().size();
     }
@@ -261,7 +261,7 @@
     }
 
     /**
-     * Returns whether the controller can read the layout of the stored data. A controller that can't makes no decisions, so it
+     * Returns whether the controller can read the layout of the stored state. A controller that can't makes no decisions, so it
      * can't own a partition.
      */
     private boolean canRead(ControllerInfo node) {
--- a/src/main/java/garnetscale/core/leader/PeerFailureDetector.java
+++ b/src/main/java/garnetscale/core/leader/PeerFailureDetector.java
@@ -16,10 +16,11 @@
  */
 final class PeerFailureDetector {
 
-    /** Controller leases for which a controller that was falsely suspected isn't believed to be down again. */
+    /** Session lease durations for which a controller that was falsely suspected isn't believed to be down again. */
     private static final int LEASES_AFTER_FALSE_SUSPICION = 8;
     /**
-     * Part of the isolation timeout, in controller leases. The timeout is the sum of this and {@link #ISOLATION_HEARTBEATS}.
+     * Part of the isolation timeout, in session lease durations. The timeout is the sum of this and
+     * {@link #ISOLATION_HEARTBEATS}.
      */
     private static final int ISOLATION_LEASES = 2;
     /** Part of the isolation timeout, in heartbeat intervals. */
@@ -78,8 +79,8 @@
     }
 
     /**
-     * Returns whether the controller has been suspected for less than a controller lease. A process that is still live a lease
-     * after it was suspected wasn't down.
+     * Returns whether the controller has been suspected for less than one session lease duration. A process that is still live
+     * one such duration after it was suspected wasn't down.
      */
     boolean isRecentlySuspected(long now, String controller) {
         Long since = suspectedSince.get(controller);
--- a/src/main/java/garnetscale/core/leader/TransactionDraft.java
+++ b/src/main/java/garnetscale/core/leader/TransactionDraft.java
@@ -209,7 +209,7 @@
 
     /**
      * Returns the transaction. It is guarded by the leader key, by the last entry of the work log, and by the keys of the jobs
-     * that it ends. If one of these jobs is cancelled in the meantime, the transaction fails and is drafted anew.
+     * that it ends. If one of these jobs is cancelled in the meantime, the transaction fails and is drafted again.
      */
     Transaction toTransaction() {
         Transaction transaction = new Transaction().guard(Keys.LEADER, replica.modRevision(Keys.LEADER));
--- a/src/main/java/garnetscale/core/leader/TransactionPipeline.java
+++ b/src/main/java/garnetscale/core/leader/TransactionPipeline.java
@@ -7,11 +7,11 @@
 import java.util.function.Supplier;
 
 /**
- * Serializes the leader's transactions. The next one is drafted only once the replica shows the previous one. After a
- * transaction of unknown outcome, a fence is sent first: a transaction that rewrites the leader key. Every transaction of a
- * leader is guarded by that key's modRevision, so once the fence is applied, the unknown transaction either has been applied,
- * and the replica shows it, or will never be. Without the fence, a delayed transaction could free a placement that a later
- * transaction wrote and whose owner has started the task again.
+ * Serializes the leader's transactions. The next one is drafted only once the replica shows the previous one. After a transaction
+ * of unknown outcome, a fence is sent first: a transaction that rewrites the leader key. Every transaction of a leader is guarded
+ * by that key's modRevision, so once the fence is applied, the earlier transaction either has been applied, and the replica shows
+ * it, or will never be. Without the fence, a delayed transaction could free a placement that a later transaction wrote and whose
+ * owner has started the task again.
  */
 public final class TransactionPipeline {
 
--- a/src/main/java/garnetscale/core/machine/MachineAddress.java
+++ b/src/main/java/garnetscale/core/machine/MachineAddress.java
@@ -1,8 +1,7 @@
 package garnetscale.core.machine;
 
 /**
- * An entry of the machine directory, which the leader builds from the cloud's list of machines and sends to all partition
- * owners.
+ * An entry of the machine directory, which the leader builds from the cloud's instance list and sends to all partition owners.
  *
  * @param machine the machine's name
  * @param address host and port of the machine's worker
--- a/src/main/java/garnetscale/core/package-info.java
+++ b/src/main/java/garnetscale/core/package-info.java
@@ -3,10 +3,11 @@
  * below it do I/O, wait, read a clock or start a thread; a test enforces that. Times are milliseconds of one steady clock.
  * Callers pass one message at a time, so no state in these packages is shared between threads.
  *
- * <p>Each package owns one part of the state:
+ * <p>The packages, each with the part of the state that it owns or describes:
  *
  * <ul>
- *   <li>{@code job}, {@code machine}: the records of jobs, tasks, machines and their messages, without mutable state;
+ *   <li>{@code job}, {@code machine}: jobs, tasks, machines and the messages of workers, as values; these packages own no state;
+ *   <li>{@code cluster}: records of the leader, the controllers and the owners of partitions, as values; it owns no state;
  *   <li>{@code state}: the replica of the state service's contents, their log and snapshots, and transactions;
  *   <li>{@code queue}: the order in which waiting jobs are served;
  *   <li>{@code bidding}: machines' bids and run-time estimates;
@@ -15,7 +16,7 @@
  *   <li>{@code leader}: election, placement and preemption, by the leader alone;
  *   <li>{@code balance}: load of machine groups, and moves of running tasks;
  *   <li>{@code autoscaling}: scale out and scale in;
- *   <li>{@code upgrade}: the layout version of the stored data.
+ *   <li>{@code upgrade}: the layout version of the stored state.
  * </ul>
  *
  * <p>This package itself holds the settings that all of them share: {@link garnetscale.core.SchedulerConfig} and
--- a/src/main/java/garnetscale/core/partition/CommandReconciler.java
+++ b/src/main/java/garnetscale/core/partition/CommandReconciler.java
@@ -116,7 +116,7 @@
     }
 
     /**
-     * Sends the needed commands to the machine directly, unless a command is in flight, the machine may be out of reach, the
+     * Sends the needed commands to the machine directly, unless a command is in flight, the machine may be unreachable, the
      * partition's term has no higher fencing token left, or too many requests to workers are in flight.
      */
     void sendCommands(long now, MachineView machine, OwnedPartition owned) {
--- a/src/main/java/garnetscale/core/partition/HeartbeatIntake.java
+++ b/src/main/java/garnetscale/core/partition/HeartbeatIntake.java
@@ -92,8 +92,8 @@
     private static void beginEpoch(long now, MachineView machine) {
         machine.runningSince.clear();
         machine.fencing.clearStartsInReply();
-        // A new agent epoch has a full lease of its own. Without this line, a machine whose new epoch was first seen in
-        // the answer to a command counted as terminated when the old epoch's lease ended, and its tasks ran twice.
+        // A new agent epoch has its own full lease. Without this line, a machine whose new epoch was first seen in the
+        // answer to a command counted as terminated when the old epoch's lease ended, and its tasks ran twice.
         machine.acknowledgedAt = now;
     }
 
--- a/src/main/java/garnetscale/core/partition/MachineAdoption.java
+++ b/src/main/java/garnetscale/core/partition/MachineAdoption.java
@@ -6,7 +6,7 @@
 
 /**
  * Keeps a view of each machine that has placements in an owned partition, whether or not it sends heartbeats: its tasks still
- * have to be proved terminated or alive.
+ * have to be proven terminated or alive.
  */
 final class MachineAdoption {
 
--- a/src/main/java/garnetscale/core/partition/MachineFencing.java
+++ b/src/main/java/garnetscale/core/partition/MachineFencing.java
@@ -78,8 +78,8 @@
     }
 
     /**
-     * Drops the direct starts under tokens lower than {@code seenToken}. The worker has seen that token, so that these starts
-     * can't take effect any more.
+     * Drops the direct starts under tokens lower than {@code seenToken}. The worker has seen that token, so these starts can no
+     * longer take effect.
      */
     void dropSupersededStarts(long seenToken) {
         directStarts.values().removeIf(startToken -> startToken < seenToken);
@@ -104,12 +104,12 @@
     }
 
     /**
-     * Returns whether no start of the attempt can take effect any more, other than a start whose effect the newest heartbeat
-     * already shows. A direct command may arrive late and twice, answered or not; only a worker that has seen a higher token
-     * than the command's rejects it. Without this check, a copy of a start that arrives after the clear would run the task a
-     * second time. A start in an acknowledgement is settled by the worker's next heartbeat: a worker drops an answer that
-     * arrives more than four seconds after it sent the heartbeat, and sends the next heartbeat only after the answer or those
-     * four seconds (PROTOCOL). Commands from earlier owners have tokens below this term's first token.
+     * Returns whether no start of the attempt can still take effect, other than a start whose effect the newest heartbeat already
+     * shows. A direct command may arrive late and twice, answered or not; only a worker that has seen a higher token than the
+     * command's rejects it. Without this check, a copy of a start that arrives after the clear would run the task a second time.
+     * A start in an acknowledgement is settled by the worker's next heartbeat: a worker drops an answer that arrives more than
+     * four seconds after it sent the heartbeat, and sends the next heartbeat only after the answer or those four seconds
+     * (PROTOCOL). Commands from earlier owners have tokens below this term's first token.
      *
      * <p>If a direct start isn't superseded yet, this method raises the token, so that a later heartbeat can show a token that
      * supersedes the start.
--- a/src/main/java/garnetscale/core/partition/MachineStatus.java
+++ b/src/main/java/garnetscale/core/partition/MachineStatus.java
@@ -8,7 +8,7 @@
  * The status of one machine as its partition's owner publishes it to the leader.
  *
  * @param node the name of the owner
- * @param incarnation the state lease of the owner's process
+ * @param incarnation the id of the session lease of the owner's process
  * @param partition the partition that the machine belongs to
  * @param term the partition term under which the owner acts; the leader drops a status of an older term
  * @param machine the machine's name
@@ -19,10 +19,10 @@
  * @param agentEpoch the agent epoch of the newest heartbeat, or 0 before the first one
  * @param evictionNoticeS seconds from the newest heartbeat until the cloud takes the machine away; null without eviction
  *     notice
- * @param silent whether the machine's heartbeat is overdue, its agent epoch has ended, or it may be out of this owner's reach;
- *     a silent machine neither bids nor counts as capacity
+ * @param silent whether the machine's heartbeat is overdue, its agent epoch has ended, or it may be unreachable for this owner; a
+ *     silent machine neither bids nor counts as capacity
  * @param tasks tasks in the newest heartbeat; empty before the first one
- * @param terminated placed attempts that are proved not to be on the machine now or later
+ * @param terminated placed attempts that are proven not to be on the machine now or later
  */
 public record MachineStatus(
         String node,
--- a/src/main/java/garnetscale/core/partition/MachineView.java
+++ b/src/main/java/garnetscale/core/partition/MachineView.java
@@ -58,7 +58,7 @@
     final Map<Long, Long> stopsSentAt = new HashMap<>();
     /** Failed attempts in the newest heartbeat. */
     final Set<Long> failedAttempts = new TreeSet<>();
-    /** Jobs, other than quarantined ones, of which a task failed here after a task of any job last completed here. */
+    /** Jobs, other than quarantined ones, with a task that failed here after a task of any job last completed here. */
     final Set<String> failedJobs = new TreeSet<>();
     /** The time until which the machine is cordoned, that is, doesn't bid. */
     long cordonedUntil = NOT_CORDONED;
--- a/src/main/java/garnetscale/core/partition/PartitionLeases.java
+++ b/src/main/java/garnetscale/core/partition/PartitionLeases.java
@@ -10,9 +10,9 @@
 import java.util.TreeMap;
 
 /**
- * Tracks the leases of all partitions in the replica: which partitions this process owns, and whether it may still act for
- * them. When the term of a partition changes, the views of its machines are dropped: a new term has fencing tokens of its own,
- * and nothing is known about what an earlier owner sent.
+ * Tracks the leases of all partitions in the replica: which partitions this process owns, and whether it may still act for them.
+ * When the term of a partition changes, the views of its machines are dropped: a new term has its own fencing tokens, and nothing
+ * is known about what an earlier owner sent.
  */
 final class PartitionLeases {
 
@@ -41,16 +41,16 @@
         this.requests = requests;
     }
 
-    /** Returns the state lease that identifies this process; negative before the first one and after its loss. */
+    /** Returns the id of the session lease that identifies this process; negative before the first one and after its loss. */
     long incarnation() {
         return incarnation;
     }
 
     /**
-     * Records a new state lease of this process, or the loss of the lease. Partitions owned under an earlier state lease are no
-     * longer its own.
+     * Records a new session lease of this process, or the loss of the lease. Partitions owned under an earlier session lease are
+     * no longer its own.
      *
-     * @param stateLease the number of the state lease, or a negative number when it is lost; then no partition is its own
+     * @param stateLease the id of the session lease, or a negative number when it is lost; then no partition is its own
      */
     void onLeaseChanged(long stateLease) {
         incarnation = stateLease;
--- a/src/main/java/garnetscale/core/partition/PartitionOwner.java
+++ b/src/main/java/garnetscale/core/partition/PartitionOwner.java
@@ -20,9 +20,9 @@
  * its stored placements, publishes machine status to the leader and submits the machines' bids.
  *
  * <p>Reconciliation is level-triggered: commands are derived from state, not from events. Even if messages are lost, late or
- * repeated, the next heartbeat and the next revision of the replica lead to the same commands. An attempt without a placement
- * is stopped and cleared, and an attempt with a placement is started. An attempt that must not run any more is reported as
- * terminated only on proof (see {@link TerminationProof}).
+ * repeated, the next heartbeat and the next revision of the replica lead to the same commands. An attempt without a placement is
+ * stopped and cleared, and an attempt with a placement is started. An attempt that must no longer run is reported as terminated
+ * only on proof (see {@link TerminationProof}).
  *
  * <p>This class only coordinates: it calls its modules in a fixed order. All times are milliseconds of the steady clock.
  */
@@ -83,10 +83,10 @@
     }
 
     /**
-     * Records a new state lease of this process, or the loss of the lease. Partitions owned under an earlier state lease are no
-     * longer its own.
+     * Records a new session lease of this process, or the loss of the lease. Partitions owned under an earlier session lease are
+     * no longer its own.
      *
-     * @param lease the number of the state lease, or a negative number when it is lost; then no partition is its own
+     * @param lease the id of the session lease, or a negative number when it is lost; then no partition is its own
      */
     public void onLeaseChanged(long lease) {
         leases.onLeaseChanged(lease);
--- a/src/main/java/garnetscale/core/partition/TerminationProof.java
+++ b/src/main/java/garnetscale/core/partition/TerminationProof.java
@@ -23,8 +23,8 @@
     }
 
     /**
-     * Updates the machine's terminated attempts. Two kinds of placement are proved terminated: those of an ended agent epoch,
-     * and those that are no longer desired, are missing in the newest heartbeat and have no start that may still arrive.
+     * Updates the machine's terminated attempts. Two kinds of placement are proven terminated: those of an ended agent epoch, and
+     * those that are no longer desired, are missing in the newest heartbeat and have no start that may still arrive.
      */
     void proveTerminated(MachineView machine, OwnedPartition owned) {
         Set<Long> attempts = new HashSet<>();
@@ -52,10 +52,9 @@
     }
 
     /**
-     * Expires the agent epoch of a machine once its worker can't hold a lease any more: for at least the length of a worker
-     * lease, no controller can have acknowledged one of its heartbeats. Until the worker has shown a token of this term, an
-     * earlier owner may have acknowledged its heartbeats throughout that owner's grace period; the wait is longer by this
-     * period.
+     * Expires the agent epoch of a machine once its worker can no longer hold a lease: for at least the length of a worker lease,
+     * no controller can have acknowledged one of its heartbeats. Until the worker has shown a token of this term, an earlier
+     * owner may have acknowledged its heartbeats throughout that owner's grace period; the wait is longer by this period.
      */
     void expire(long now, MachineView machine, OwnedPartition owned) {
         if (now <= leaseEnd(machine, owned)) {
--- a/src/main/java/garnetscale/core/partition/WorkerMessageHandler.java
+++ b/src/main/java/garnetscale/core/partition/WorkerMessageHandler.java
@@ -112,8 +112,8 @@
     }
 
     /**
-     * Handles the answer to a probe. It updates no machine if this controller doesn't own the partition any more or the worker
-     * has seen a newer term.
+     * Handles the answer to a probe. It updates no machine if this controller no longer owns the partition or the worker has seen
+     * a newer term.
      */
     void onProbeAnswer(long now, WorkerHeartbeat heartbeat) {
         reachability.onReachable(now);
--- a/src/main/java/garnetscale/core/queue/JobOrder.java
+++ b/src/main/java/garnetscale/core/queue/JobOrder.java
@@ -15,9 +15,9 @@
  * <p>Each deadline objective that a job can no longer meet puts the job behind others of its priority: when not all jobs can be
  * in time, those that still can go first.
  *
- * <p>Both rules are bounded to prevent starvation: a job of which no task has started moves to the head of its priority after one
- * and a half times the cancellation deadline, and to the head of all jobs after twice that time. Otherwise the largest job would
- * wait as long as shorter ones keep arriving.
+ * <p>Both rules are bounded to prevent starvation: a job that has no started task moves to the head of its priority after one and
+ * a half times the cancellation deadline, and to the head of all jobs after twice that time. Otherwise the largest job would wait
+ * as long as shorter ones keep arriving.
  */
 public final class JobOrder {
 
--- a/src/main/java/garnetscale/core/queue/ScarceTypeFilter.java
+++ b/src/main/java/garnetscale/core/queue/ScarceTypeFilter.java
@@ -31,8 +31,8 @@
     private final Map<String, Double> yieldSByClass = new HashMap<>();
     private final Map<String, Set<String>> fittingTypesByJob = new HashMap<>();
     /**
-     * The distinct sets of types that waiting jobs fit, with the most urgent priority of each. There are few sets, however many
-     * jobs wait.
+     * The distinct sets of types that waiting jobs fit, with the most urgent priority of each. There are few sets, no matter how
+     * many jobs wait.
      */
     private final Map<Set<String>, Priority> mostUrgentByTypes = new HashMap<>();
 
--- a/src/main/java/garnetscale/core/state/Compaction.java
+++ b/src/main/java/garnetscale/core/state/Compaction.java
@@ -65,7 +65,7 @@
         return deletes;
     }
 
-    /** Returns whether this is the first split of a store that is in the first layout. */
+    /** Returns whether this is the first split of a snapshot that is in the first layout. */
     boolean isFirstSplit() {
         return isFirstSplit;
     }
--- a/src/main/java/garnetscale/core/state/Keys.java
+++ b/src/main/java/garnetscale/core/state/Keys.java
@@ -48,7 +48,7 @@
         return PARTITION + partition;
     }
 
-    /** Returns the key of a live controller; deleted when the controller's lease expires. */
+    /** Returns the key of a live controller; deleted when the controller's session lease expires. */
     public static String controller(String name) {
         return CONTROLLER + name;
     }
--- a/src/main/java/garnetscale/core/state/LogWriter.java
+++ b/src/main/java/garnetscale/core/state/LogWriter.java
@@ -133,8 +133,8 @@
     }
 
     /**
-     * Builds the next entry. The first split skips a sequence number: a controller that supports only layout 1 finds the
-     * entry with that number missing, lists the store again, and finds the listing inconsistent by the rules of layout 1.
+     * Builds the next entry. The first split skips a sequence number: a controller that supports only layout 1 finds the entry
+     * with that number missing, lists the keys again, and finds the listing inconsistent by the rules of layout 1.
      */
     private WorkLog.Entry entry(Map<String, MachineRecord> machines, Map<String, BitSet> parts) {
         long before = log.sequence();
--- a/src/main/java/garnetscale/core/state/StateReplica.java
+++ b/src/main/java/garnetscale/core/state/StateReplica.java
@@ -42,7 +42,7 @@
 
     // ---- revision and consistency
 
-    /** Returns the revision of the store that this replica reflects, negative while nothing is loaded. */
+    /** Returns the state service's revision that this replica reflects, negative while nothing is loaded. */
     public long revision() {
         return revision;
     }
@@ -239,7 +239,7 @@
      * inconsistent if work log entries are missing.
      *
      * @param changes     all changes after {@link #revision()}, in order of revision
-     * @param newRevision the revision of the store after these changes
+     * @param newRevision the state service's revision after these changes
      * @return false if nothing was applied, because the response is stale or an earlier record couldn't be read
      */
     public boolean advance(List<KeyChange> changes, long newRevision) {
--- a/src/main/java/garnetscale/core/state/WorkLog.java
+++ b/src/main/java/garnetscale/core/state/WorkLog.java
@@ -4,16 +4,16 @@
 import java.util.Map;
 
 /**
- * The log in which placements and finished sets are stored. A finished set holds the finished tasks of a job. Each
- * transaction of the leader writes one numbered entry, with the change of every machine and the new part of every finished
- * set that it affects. One write to the store thus carries a whole award or a batch of exits. With one key per machine, the
- * store's limit on changes per second would limit how many tasks can start per second.
+ * The log in which placements and finished sets are stored. A finished set holds the finished tasks of a job. Each transaction of
+ * the leader writes one numbered entry, with the change of every machine and the new part of every finished set that it affects.
+ * One write to the state service thus carries a whole award or a batch of exits. With one key per machine, the service's limit on
+ * changes per second would limit how many tasks can start per second.
  *
  * <p>Entries are stored in a ring buffer of keys. Each overwrites an entry that the snapshot already contains. Machines and
- * finished sets are distributed over the snapshot's shards by hash. When a compaction is due, a transaction rewrites the
- * snapshot region with the lowest sequence number. To load the store, a controller applies the snapshot and then, to each
- * region, the entries after the region's sequence number. Listings return the entries before the snapshot: an entry that is
- * overwritten before it is listed is then contained in the snapshot pages that are listed after it.
+ * finished sets are distributed over the snapshot's shards by hash. When a compaction is due, a transaction rewrites the snapshot
+ * region with the lowest sequence number. To load the work log, a controller applies the snapshot and then, to each region, the
+ * entries after the region's sequence number. Listings return the entries before the snapshot: an entry that is overwritten
+ * before it is listed is then contained in the snapshot pages that are listed after it.
  *
  * @see Bucket how a shard is split further
  */
--- a/src/main/java/garnetscale/core/upgrade/UpgradeCoordinator.java
+++ b/src/main/java/garnetscale/core/upgrade/UpgradeCoordinator.java
@@ -11,7 +11,7 @@
 
 /**
  * Decides on the cluster's layout version; used only by the leader. A version is activated in one transaction, which is guarded
- * by the leader's key, the previous version and the record of every live controller. The transaction fails if any of these
+ * by the leader key, the previous version and the record of every live controller. The transaction fails if any of these
  * controllers restarts or leaves before it commits. A controller that joins meanwhile reads the version first, and makes no
  * decisions if it doesn't support that version.
  */
@@ -67,8 +67,8 @@
     }
 
     /**
-     * Returns the transaction that activates the next version if the stored state is about to outgrow the active version and
-     * every precondition holds, otherwise null.
+     * Returns the transaction that activates the next version if the stored state has outgrown the active version or soon
+     * will, and every precondition holds; otherwise null.
      */
     public Transaction automaticActivation(long now) {
         if (!replica.hasOutgrownFirstLayout(valueBytes, MAX_PAGES_IN_FIRST_LAYOUT)) {
--- a/src/main/java/garnetscale/emulator/EmulatedServices.java
+++ b/src/main/java/garnetscale/emulator/EmulatedServices.java
@@ -35,7 +35,7 @@
     private static final WorkerModel.TaskListener NO_LISTENER = new WorkerModel.TaskListener() {
         @Override
         public void onStarted(String machine, TaskId task, long attempt) {
-            // Does nothing: the tests that check the protocol's rules have listeners of their own.
+            // Does nothing: the tests that check the protocol's rules have their own listeners.
         }
 
         @Override
@@ -99,7 +99,7 @@
     }
 
     /**
-     * Starts a worker on a machine of its own.
+     * Starts a worker on a new machine.
      *
      * @param id      the name of the machine
      * @param leaseMs the duration of the worker's lease
--- a/src/main/java/garnetscale/emulator/WorkerModel.java
+++ b/src/main/java/garnetscale/emulator/WorkerModel.java
@@ -44,7 +44,7 @@
         TaskState state;
         /** Why the attempt ended; null unless the state is {@code EXITED}. */
         ExitCause cause;
-        /** When the current state ends by itself, that is, when the image is fetched or the task completes. */
+        /** When the current state ends without a command, that is, when the image is fetched or the task completes. */
         long endsAt;
 
         TaskAttempt(TaskId id, long attempt, TaskState state, long endsAt) {
@@ -130,7 +130,7 @@
         return id;
     }
 
-    /** Starts a new agent epoch without tasks if the lease has expired. The lease of a paused machine expires as well. */
+    /** Starts a new agent epoch without tasks if the lease has expired. The lease of a paused machine also expires. */
     public void expireLease(long now) {
         if (now - leaseStartedAt > leaseMs) {
             tasks.values().forEach(task -> notifyEnded(task, false));
--- a/src/main/java/garnetscale/peer/PeerMessage.java
+++ b/src/main/java/garnetscale/peer/PeerMessage.java
@@ -14,9 +14,9 @@
      * {@code isolatedFromWorkers} changes.
      *
      * @param node                the sender's name
-     * @param incarnation         the lease under which the sender is registered; -1 if it is not registered
+     * @param incarnation         the id of the session lease under which the sender is registered; -1 if it is not registered
      * @param leaderTerm          the term in which the sender is leader; -1 if it is not the leader
-     * @param stateAgeMs          milliseconds since the sender sent the newest request as of which its replica is complete
+     * @param stateAgeMs          milliseconds since the sender sent the last request that confirmed that its replica is complete
      * @param isolatedFromWorkers whether no worker can reach the sender
      */
     record ControllerHeartbeat(
--- a/src/main/java/garnetscale/wire/UserCodec.java
+++ b/src/main/java/garnetscale/wire/UserCodec.java
@@ -9,8 +9,8 @@
 
 /**
  * Decodes users' submissions and encodes the answers to users (PROTOCOL, "Users"). In a serving controller, the protocol's field
- * names appear only in this and the other codecs; {@code emulator} and {@code cli.LoopbackDemo}, which stand in for the outside,
- * use them too.
+ * names appear only in this and the other codecs; {@code emulator} and {@code cli.LoopbackDemo}, which stand in for the outside
+ * systems and for users, use them too.
  */
 public final class UserCodec {
 
--- a/src/test/java/garnetscale/controller/StateLinkRelistTest.java
+++ b/src/test/java/garnetscale/controller/StateLinkRelistTest.java
@@ -17,7 +17,7 @@
 
 /**
  * A replica that is being listed again, because its revision was too old for a watch, isn't complete: an older watch that is
- * answered meanwhile must neither confirm nor change it. Otherwise an owner, for its whole grace period, goes on answering
+ * answered meanwhile must neither confirm nor change it. Otherwise an owner would continue, for its whole grace period, to answer
  * workers from a replica that lacks a cancellation.
  */
 class StateLinkRelistTest {
--- a/src/test/java/garnetscale/controller/StateLinkTest.java
+++ b/src/test/java/garnetscale/controller/StateLinkTest.java
@@ -13,9 +13,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * An owner's grace period runs from the time as of which its replica is confirmed: the sending of a request whose answer made the
- * replica complete. If a keep-alive, a watch that was open during a refusal, or a page of a listing confirmed the replica, a
- * cancellation that another controller confirmed meanwhile would be missed for longer than the grace period.
+ * An owner's grace period runs from the time at which it sent the request whose answer confirmed that its replica is complete. If
+ * a keep-alive, a watch that was open during a refusal, or a page of a listing confirmed the replica, a cancellation that another
+ * controller confirmed meanwhile would be missed for longer than the grace period.
  */
 class StateLinkTest {
 
--- a/src/test/java/garnetscale/core/balance/MoveBudgetTest.java
+++ b/src/test/java/garnetscale/core/balance/MoveBudgetTest.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** Each limit on its own, with all other limits out of reach. */
+/** Each limit on its own, with all other limits too high to be reached. */
 class MoveBudgetTest {
 
     private static final long LEASE = 10_000;
--- a/src/test/java/garnetscale/core/bidding/BiddingTest.java
+++ b/src/test/java/garnetscale/core/bidding/BiddingTest.java
@@ -59,7 +59,7 @@
 
     /**
      * Guards against a job that fits only large machines getting no bids: many jobs that filled the small machines ended the
-     * batch before the large machines had bid at all.
+     * batch before any large machine had bid.
      */
     @Test
     void largeMachinesBidForJobBehindManySmallJobs() {
--- a/src/test/java/garnetscale/core/leader/AttemptNumbersTest.java
+++ b/src/test/java/garnetscale/core/leader/AttemptNumbersTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A term has numbers for some sixteen million attempts, which 4,000 machines use up in a day or two. If a leader went on after
+ * A term has numbers for some sixteen million attempts, which 4,000 machines use up in a day or two. If a leader continued after
  * that, the next number would be the first of the next term, and two attempts would be taken for one.
  */
 class AttemptNumbersTest {
--- a/src/test/java/garnetscale/core/leader/FailureTrackerTest.java
+++ b/src/test/java/garnetscale/core/leader/FailureTrackerTest.java
@@ -45,7 +45,7 @@
         assertFalse(failures.recordFailure(0, task("wk-1", 0), "m-0"), "the machine is at fault");
     }
 
-    /** A task that always fails must be held against machines only a few times, while the other tasks of its job go on. */
+    /** A task that always fails must be held against machines only a few times, while the other tasks of its job continue. */
     @Test
     void singleTasksOfAJobThatSucceedsAreQuarantinedToo() {
         failures.recordCompletion(task("wk-1", 9));
--- a/src/test/java/garnetscale/core/leader/LeaderElectionTest.java
+++ b/src/test/java/garnetscale/core/leader/LeaderElectionTest.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** When a controller deposes a leader whose lease in the state service hasn't expired. */
+/** When a controller deposes a leader whose session lease hasn't expired. */
 class LeaderElectionTest {
 
     private final Leader n1;
--- a/src/test/java/garnetscale/core/partition/TerminationProofTest.java
+++ b/src/test/java/garnetscale/core/partition/TerminationProofTest.java
@@ -10,8 +10,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A placed attempt is reported as terminated only on proof. Neither a heartbeat without the attempt nor the absence of
- * heartbeats is a proof by itself.
+ * A placed attempt is reported as terminated only on proof. Neither a heartbeat without the attempt nor the absence of heartbeats
+ * alone is a proof.
  */
 class TerminationProofTest {
 
--- a/src/test/java/garnetscale/core/sim/ConcurrentOutageTest.java
+++ b/src/test/java/garnetscale/core/sim/ConcurrentOutageTest.java
@@ -16,8 +16,8 @@
 
     /**
      * The state service refuses only the leader, and another controller confirms cancellations. Then the service is down for all
-     * controllers for longer than the cancellation deadline. Workers go on sending heartbeats to the old leader, which can learn
-     * of the cancellations neither from the service nor from its peers.
+     * controllers for longer than the cancellation deadline. Workers continue to send heartbeats to the old leader, which can
+     * learn of the cancellations neither from the service nor from its peers.
      */
     @Test
     void anOutageFollowsARefusalOfTheLeader() {
--- a/src/test/java/garnetscale/core/sim/SimulatedCluster.java
+++ b/src/test/java/garnetscale/core/sim/SimulatedCluster.java
@@ -23,7 +23,7 @@
 import java.util.function.BiConsumer;
 
 /**
- * A cluster in simulated time: controllers, of which only the core is run, and models of the workers, the users and the state
+ * A cluster in simulated time: controllers, each running only the core, and models of the workers, the users and the state
  * service. Messages are delayed, lost, repeated and held for minutes, controllers crash and restart, and any process can be
  * isolated. The seed determines the whole run.
  */
--- a/src/test/java/garnetscale/core/sim/SimulatedNetwork.java
+++ b/src/test/java/garnetscale/core/sim/SimulatedNetwork.java
@@ -73,7 +73,7 @@
         }
     }
 
-    /** Freezes a controller or worker while time goes on: messages to it wait, and its timers fire afterwards. */
+    /** Freezes a controller or worker while time advances: messages to it wait, and its timers fire afterwards. */
     void freeze(String process, long ms) {
         frozenUntil.put(process, cluster.now + ms);
     }
--- a/src/test/java/garnetscale/core/sim/SimulatedStateLink.java
+++ b/src/test/java/garnetscale/core/sim/SimulatedStateLink.java
@@ -12,12 +12,14 @@
 import java.util.function.Consumer;
 import java.util.function.Supplier;
 
-/** The link of a controller process to the state service: its lease, the contents of its replica, and its transactions. */
+/**
+ * The link of a controller process to the state service: its session lease, the contents of its replica, and its transactions.
+ */
 final class SimulatedStateLink {
 
     private final SimulatedCluster cluster;
     private final SimulatedNode node;
-    /** Id of the lease; -1 without a lease. */
+    /** Id of the session lease; -1 without one. */
     private long lease = -1;
     /** Whether a listing of all keys is in progress. */
     private boolean listing;
@@ -99,7 +101,7 @@
         }
     }
 
-    /** Requests a lease, or renews the present one; drops a lease that has expired. */
+    /** Requests a session lease, or renews the present one; drops one that has expired. */
     void renewLease() {
         if (node.replica.unreadable() != null) {
             cluster.countOccurrence("stored layout not supported");
@@ -197,8 +199,8 @@
     }
 
     /**
-     * Registers this process under its lease, so that it can own partitions and stand for election. Passes the lease to the
-     * roles once the replica shows the registration.
+     * Registers this process under its session lease, so that it can own partitions and stand for election. Passes the lease to
+     * the roles once the replica shows the registration.
      */
     void register() {
         ControllerInfo registered = node.replica.controller(node.name);
--- a/src/test/java/garnetscale/core/sim/SimulatedUsers.java
+++ b/src/test/java/garnetscale/core/sim/SimulatedUsers.java
@@ -14,7 +14,7 @@
 final class SimulatedUsers {
 
     private final SimulatedCluster cluster;
-    /** Share of cancellations of which no controller receives a notice, as if the links between them were down. */
+    /** Share of cancellations that no controller is notified of, as if the links between them were down. */
     double lostNoticeShare;
 
     SimulatedUsers(SimulatedCluster cluster) {
@@ -62,7 +62,7 @@
 
     /**
      * Cancels a job at a controller, which notifies its own owner role and its peers as soon as the cancellation is stored; a
-     * controller that is down notifies nobody. Returns false if the state service refuses the controller or the job is terminal
+     * controller that is down sends no notice. Returns false if the state service refuses the controller or the job is terminal
      * already.
      */
     boolean cancelAt(String node, String id) {
--- a/src/test/java/garnetscale/core/state/LayoutChangeTest.java
+++ b/src/test/java/garnetscale/core/state/LayoutChangeTest.java
@@ -25,7 +25,7 @@
     void shardsOfSeveralPagesAreConverted() {
         cluster.activate(Layouts.FIRST);
         List<String> shard = new ArrayList<>();
-        // Four buckets, of which a transaction can hold two: the shard is partly split for a while.
+        // Four buckets, and a transaction can hold only two of them: the shard is partly split for a while.
         for (int i = 0; i < 40; i++) {
             shard.add(machine(i * WorkLog.SHARDS));
         }
@@ -47,7 +47,7 @@
 
     /**
      * A controller that supports only layout 1 expects consecutive sequence numbers and counts the pages of a shard. The first
-     * split violates both, so such a controller lists the store repeatedly and never makes decisions.
+     * split violates both, so such a controller lists the keys repeatedly and never makes decisions.
      */
     @Test
     void theFirstLayoutFindsASplitStoreInconsistent() {
--- a/src/test/java/garnetscale/core/trace/TraceCluster.java
+++ b/src/test/java/garnetscale/core/trace/TraceCluster.java
@@ -92,7 +92,7 @@
         return workers.get(id);
     }
 
-    /** Starts a controller with a lease of its own. */
+    /** Starts a controller with its own session lease. */
     void start(String name) {
         TraceNode node = new TraceNode(name, config(name), line -> print(name + " logs: " + line));
         node.lease = state.grantLease(now, 1_000_000_000);
@@ -108,7 +108,7 @@
         sync(node);
     }
 
-    /** Ends the state lease of a controller, and removes the controller if it has crashed. */
+    /** Ends the session lease of a controller, and removes the controller if it has crashed. */
     void expireLease(String name, boolean crashed) {
         state.revokeLease(nodes.get(name).lease);
         if (crashed) {
--- a/src/test/java/garnetscale/core/upgrade/UpgradeCluster.java
+++ b/src/test/java/garnetscale/core/upgrade/UpgradeCluster.java
@@ -55,7 +55,7 @@
         return controller;
     }
 
-    /** Ends a controller process and its lease. */
+    /** Ends a controller process and its session lease. */
     void end(String name) {
         Long lease = leases.remove(name);
         if (lease != null) {
