--- a/src/main/java/garnetscale/cli/LoopbackDemo.java
+++ b/src/main/java/garnetscale/cli/LoopbackDemo.java
@@ -31,8 +31,9 @@
 import picocli.CommandLine.Option;
 
 /**
- * Runs two controllers against emulated services on loopback until a job is done. The build runs it to record which classes
- * a serving process loads, since at a small share of a core loading them is most of a restart.
+ * Runs two controllers against emulated services on loopback until one job is done and another is cancelled. The build runs it
+ * to record the classes that a serving process loads, because on a small share of a core, loading classes takes most of the
+ * time of a restart.
  */
 @Command(
         name = "rehearse",
@@ -42,10 +43,10 @@
 
     private static final int FIRST_PORT = 12_000;
     private static final int LAST_PORT = 30_000;
-    private static final int PORT_TRIES = 50;
-    private static final int INSPECTION_MS = 5000;
+    private static final int MAX_PORT_ATTEMPTS = 50;
+    private static final int OPERATOR_TIMEOUT_MS = 5000;
 
-    private static final String SETTINGS =
+    private static final String SETTINGS_TEMPLATE =
             """
             node_name = "node-%d"
             site = "a"
@@ -105,6 +106,7 @@
             max_connections = 500
             """;
 
+    // The help text shows the field's name as the label of the option's value.
     @Option(names = "--seconds", defaultValue = "20", description = "Give up after so long (default ${DEFAULT-VALUE}).")
     int seconds;
 
@@ -125,24 +127,24 @@
         http = new HttpClient(loop, 2, 500);
         Path dir = Files.createTempDirectory("garnetscale");
         try {
-            String[] listen = {freePort(), freePort()};
-            String[] back = {freePort(), freePort()};
+            String[] listenAddresses = {freePort(), freePort()};
+            String[] peerAddresses = {freePort(), freePort()};
             EmulatedServices services =
-                    new EmulatedServices(loop, Map.of("node-0", listen[0], "node-1", listen[1]), 300);
-            String state = services.startState("127.0.0.1:0");
-            String cloud = services.startCloud("127.0.0.1:0");
+                    new EmulatedServices(loop, Map.of("node-0", listenAddresses[0], "node-1", listenAddresses[1]), 300);
+            String stateAddress = services.startState("127.0.0.1:0");
+            String cloudAddress = services.startCloud("127.0.0.1:0");
             services.startWorker("m-000001", 3000);
             services.startWorker("m-000002", 3000);
             for (int index = 0; index < 2; index++) {
                 Path file = dir.resolve("node-" + index + ".toml");
-                Files.writeString(file, settings(index, listen, back, state, cloud));
+                Files.writeString(file, settings(index, listenAddresses, peerAddresses, stateAddress, cloudAddress));
                 ControllerNode node = new ControllerNode(Settings.read(file, enabledFeatures));
                 nodes.add(node);
                 node.start();
             }
-            return playJobs(listen) && answersOperator(back[0]) ? 0 : 1;
+            return runJobs(listenAddresses) && answersOperator(peerAddresses[0]) ? 0 : 1;
         } finally {
-            // The controllers first: while they run, they log that the emulated services don't answer any more.
+            // Stops the controllers first: while they run, they would log that the emulated services no longer answer.
             nodes.forEach(node -> node.stop().awaitUninterruptibly());
             loop.shutdownGracefully(0, 0, TimeUnit.SECONDS);
             try (var files = Files.list(dir)) {
@@ -154,52 +156,61 @@
         }
     }
 
-    /** Whether a controller names the leader when an operator asks for its status. */
-    private static boolean answersOperator(String address) throws IOException {
-        PeerMessage.OperatorResponse answer = new OperatorClient(address, INSPECTION_MS)
-                .ask(new PeerMessage.OperatorRequest(PeerMessage.OperatorRequest.Kind.STATUS, ""));
+    /** Returns whether a controller answers an operator's status request, and its answer names a leader. */
+    private static boolean answersOperator(String peerAddress) throws IOException {
+        PeerMessage.OperatorResponse answer = new OperatorClient(peerAddress, OPERATOR_TIMEOUT_MS)
+                .send(new PeerMessage.OperatorRequest(PeerMessage.OperatorRequest.Kind.STATUS, ""));
         return answer.outcome() == PeerMessage.OperatorResponse.Outcome.DONE
                 && answer.json().contains("\"leader\":\"node-");
     }
 
     /**
-     * Finds a port outside the range that systems assign by themselves. From within it, the emulated services and the
-     * controllers' own connections could take the port before the controller that is to listen on it does, and a build
-     * failed.
+     * Finds a free port outside the system's ephemeral port range. The system could assign a port in that range to an emulated
+     * service or to a controller's connection before the controller listens on it; a build has failed for this reason.
      *
-     * @throws IOException if every port that was tried is in use
+     * @return the loopback address with the port
+     * @throws IOException if every attempted port is in use
      */
     static String freePort() throws IOException {
-        for (int index = 0; index < PORT_TRIES; index++) {
+        for (int index = 0; index < MAX_PORT_ATTEMPTS; index++) {
             int port = ThreadLocalRandom.current().nextInt(FIRST_PORT, LAST_PORT);
             try (ServerSocket free = new ServerSocket(port)) {
                 return "127.0.0.1:" + free.getLocalPort();
             } catch (BindException e) {
-                // Somebody else's; the next one may be free.
+                // In use by another process; the next port may be free.
             }
         }
         throw new IOException("no free port between " + FIRST_PORT + " and " + LAST_PORT);
     }
 
-    /** The settings file of one of the two controllers. */
-    static String settings(int index, String[] listen, String[] back, String state, String cloud) {
-        return SETTINGS.formatted(index, listen[index], back[index], 1 - index, back[1 - index], cloud, state);
+    /** Returns the content of the settings file of one of the two controllers. */
+    static String settings(
+            int index, String[] listenAddresses, String[] peerAddresses, String stateAddress, String cloudAddress) {
+        return SETTINGS_TEMPLATE.formatted(
+                index,
+                listenAddresses[index],
+                peerAddresses[index],
+                1 - index,
+                peerAddresses[1 - index],
+                cloudAddress,
+                stateAddress);
     }
 
-    private boolean playJobs(String[] listen)
+    /** Submits two jobs and cancels the second. Returns whether the first is done and the second cancelled in time. */
+    private boolean runJobs(String[] addresses)
             throws InterruptedException, ExecutionException, TimeoutException, IOException {
-        long end = System.nanoTime() + seconds * 1_000_000_000L;
+        long deadlineNs = System.nanoTime() + seconds * 1_000_000_000L;
         boolean accepted = false;
         boolean cancelled = false;
-        while (System.nanoTime() < end) {
+        while (System.nanoTime() < deadlineNs) {
             if (!accepted) {
-                accepted = accepted(post(listen[0], "/v2/runs", Cbor.write(job("wk-000001", 3, 0.5))))
-                        && accepted(post(listen[1], "/v2/runs", Cbor.write(job("wk-000002", 9, 60))));
+                accepted = accepted(post(addresses[0], "/v2/runs", Cbor.write(job("wk-000001", 3, 0.5))))
+                        && accepted(post(addresses[1], "/v2/runs", Cbor.write(job("wk-000002", 9, 60))));
             } else {
-                call(listen[0], HttpMethod.GET, "/ready", null);
+                call(addresses[0], HttpMethod.GET, "/ready", null);
                 cancelled = cancelled
-                        || post(listen[0], "/v2/runs/wk-000002/cancel", null).status() == 200;
-                HttpResult result = call(listen[1], HttpMethod.GET, "/v2/runs/wk-000001", null);
+                        || post(addresses[0], "/v2/runs/wk-000002/cancel", null).status() == 200;
+                HttpResult result = call(addresses[1], HttpMethod.GET, "/v2/runs/wk-000001", null);
                 if (result.status() == 200
                         && "done".equals(Cbor.readMap(result.body()).get("mood"))
                         && cancelled) {
@@ -213,25 +224,29 @@
         return false;
     }
 
-    /** A repeated submission of an accepted job is answered with 200. */
+    /** Returns whether a job is accepted: 201 for a new job, 200 for a repeated submission of an accepted job. */
     private static boolean accepted(HttpResult result) {
         return result.status() == 201 || result.status() == 200;
     }
 
-    private HttpResult post(String host, String path, byte[] body)
+    private HttpResult post(String address, String path, byte[] body)
             throws InterruptedException, ExecutionException, TimeoutException {
-        return call(host, HttpMethod.POST, path, body);
+        return call(address, HttpMethod.POST, path, body);
     }
 
-    private HttpResult call(String host, HttpMethod method, String path, byte[] body)
+    private HttpResult call(String address, HttpMethod method, String path, byte[] body)
             throws InterruptedException, ExecutionException, TimeoutException {
         CompletableFuture<HttpResult> result = new CompletableFuture<>();
-        loop.next().execute(() -> http.call(host, method, path, body, 2000, result::complete));
+        loop.next().execute(() -> http.call(address, method, path, body, 2000, result::complete));
         return result.get(5, TimeUnit.SECONDS);
     }
 
-    /** A submission as its user sends it. */
-    static Map<String, Object> job(String id, int tasks, double seconds) {
+    /**
+     * Returns the body of a submission, not yet encoded.
+     *
+     * @param estimateS the user's estimate of a task's run time in seconds, for which emulated workers run the task
+     */
+    static Map<String, Object> job(String id, int tasks, double estimateS) {
         Map<String, Object> body = new LinkedHashMap<>();
         body.put("id", id);
         body.put("herd", "try");
@@ -249,7 +264,7 @@
         body.put("same_place", false);
         body.put("apart", false);
         body.put("windfall", true);
-        body.put("guess_s", seconds);
+        body.put("guess_s", estimateS);
         body.put("pin_s", 0.0);
         body.put("stash_s", 0.0);
         body.put("due_s", null);
--- a/src/main/java/garnetscale/cli/OperatorClient.java
+++ b/src/main/java/garnetscale/cli/OperatorClient.java
@@ -8,10 +8,10 @@
 import java.io.IOException;
 import java.net.Socket;
 
-/** Sends one request to one controller over its address for controllers, and waits for the answer. */
+/** Sends operators' requests to a controller, at the address where it also accepts other controllers' connections. */
 final class OperatorClient {
 
-    /** Longer than any answer: a job of 100,000 placed tasks. */
+    /** More than the largest answer, which is that for a job with 100,000 placed tasks. */
     private static final int MAX_ANSWER_BYTES = 64 << 20;
 
     private final String address;
@@ -23,11 +23,12 @@
     }
 
     /**
-     * Sends the request.
+     * Sends a request and waits for the answer. The timeout applies to the connect and to each read on its own.
      *
-     * @throws IOException if the controller is down, doesn't answer in time or answers something else
+     * @throws IOException if the address is malformed, the controller is down, doesn't answer in time or sends anything other
+     *     than an answer
      */
-    PeerMessage.OperatorResponse ask(PeerMessage.OperatorRequest request) throws IOException {
+    PeerMessage.OperatorResponse send(PeerMessage.OperatorRequest request) throws IOException {
         PeerCodec codec = new PeerCodec();
         try (Socket socket = new Socket()) {
             socket.connect(HttpClient.address(address), timeoutMs);
--- a/src/main/java/garnetscale/cli/OperatorCommand.java
+++ b/src/main/java/garnetscale/cli/OperatorCommand.java
@@ -18,14 +18,14 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** What all operators' commands share: which controller they ask, for how long, and how the answer is printed. */
+/** Base class of the operators' commands. Sends a command's request to a controller and prints the answer. */
 @Command(mixinStandardHelpOptions = true)
 abstract class OperatorCommand implements Callable<Integer> {
 
-    private static final int DONE = 0;
+    private static final int OK = 0;
     private static final int FAILED = 1;
-    /** Between two questions about a step that is under way. */
-    private static final long ASK_AGAIN_MS = 200;
+    /** Delay before a request is repeated while its upgrade step is under way. */
+    private static final long POLL_INTERVAL_MS = 200;
 
     @Spec
     CommandSpec spec;
@@ -43,18 +43,18 @@
             description = "Give up after so long (default ${DEFAULT-VALUE}).")
     int timeoutS;
 
-    /** The request that the command sends. */
+    /** Returns the request that the command sends. */
     abstract PeerMessage.OperatorRequest request();
 
     @Override
     public Integer call() throws InterruptedException {
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(timeoutS);
+        long deadlineNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(timeoutS);
         OperatorClient client = new OperatorClient(address, Math.max(1, timeoutS) * 1000);
         try {
-            PeerMessage.OperatorResponse answer = client.ask(request());
-            while (answer.outcome() == Outcome.UNDER_WAY && System.nanoTime() < end) {
-                TimeUnit.MILLISECONDS.sleep(ASK_AGAIN_MS);
-                answer = client.ask(request());
+            PeerMessage.OperatorResponse answer = client.send(request());
+            while (answer.outcome() == Outcome.UNDER_WAY && System.nanoTime() < deadlineNs) {
+                TimeUnit.MILLISECONDS.sleep(POLL_INTERVAL_MS);
+                answer = client.send(request());
             }
             return print(answer);
         } catch (IOException e) {
@@ -80,7 +80,7 @@
             print(out, "", (Map<?, ?>) fields);
         }
         out.flush();
-        return DONE;
+        return OK;
     }
 
     private static Object read(String json) throws IOException {
@@ -113,7 +113,7 @@
         return text.toString();
     }
 
-    /** A controller's view of the cluster. */
+    /** Shows a controller's view of the cluster. */
     @Command(name = "status", description = "Show leader, versions, controllers, blocks, teams and budgets.")
     static final class Status extends OperatorCommand {
 
@@ -123,7 +123,7 @@
         }
     }
 
-    /** One job. */
+    /** Shows one job. */
     @Command(name = "job", description = "Show a job's state, why it waits and where it runs.")
     static final class Job extends OperatorCommand {
 
@@ -136,7 +136,7 @@
         }
     }
 
-    /** A step of an upgrade, which only the leader carries out. */
+    /** Base class of the commands that request a step of an upgrade. Only the leader carries out steps. */
     abstract static class Step extends OperatorCommand {
 
         abstract UpgradeStep step();
@@ -147,7 +147,7 @@
         }
     }
 
-    /** See {@link UpgradeStep#ACTIVATE}. */
+    /** Requests {@link UpgradeStep#ACTIVATE}. */
     @Command(name = "activate", description = "Make the next version of what is stored the active one.")
     static final class Activate extends Step {
 
@@ -157,7 +157,7 @@
         }
     }
 
-    /** See {@link UpgradeStep#DEACTIVATE}. */
+    /** Requests {@link UpgradeStep#DEACTIVATE}. */
     @Command(name = "deactivate", description = "Go back to the version before; what is stored is converted.")
     static final class Deactivate extends Step {
 
@@ -167,7 +167,7 @@
         }
     }
 
-    /** See {@link UpgradeStep#FINALIZE}. */
+    /** Requests {@link UpgradeStep#FINALIZE}. */
     @Command(name = "finalize", description = "Give up the way back to the version before.")
     static final class Finalize extends Step {
 
@@ -177,7 +177,7 @@
         }
     }
 
-    /** The steps of an upgrade, and the state of it. */
+    /** Parent of the upgrade's subcommands; prints the usage if called without one. */
     @Command(
             name = "upgrade",
             mixinStandardHelpOptions = true,
--- a/src/main/java/garnetscale/controller/ControllerNode.java
+++ b/src/main/java/garnetscale/controller/ControllerNode.java
@@ -76,7 +76,10 @@
                 new Autoscaler(config, replica, LOG::info));
         this.state = new StateLink(config, stateIo(), new SplittableRandom(), replica, this);
         CloudLink cloud = new CloudLink(
-                config, new HttpClient(eventLoopGroup, 1, CONNECT_TIMEOUT_MS), settings.cloud(), context.autoscaler());
+                config,
+                new HttpClient(eventLoopGroup, 1, CONNECT_TIMEOUT_MS),
+                settings.cloudAddress(),
+                context.autoscaler());
         PeerHeartbeats peerHeartbeats = new PeerHeartbeats();
         ProcessStatus status = new ProcessStatus(replica, context.owner(), state, peerHeartbeats);
         JobApi jobApi = new JobApi(config, replica, state, status::waitingReason, this::onJobCancelled);
@@ -120,7 +123,7 @@
             @Override
             public void call(HttpMethod method, String path, byte[] body, long timeoutMs, Consumer<HttpResult> done) {
                 http.call(
-                        settings.state(),
+                        settings.stateAddress(),
                         method,
                         path,
                         body,
@@ -133,20 +136,20 @@
     // ---- start and stop
 
     /**
-     * Starts the process. The address for users and workers is opened only once the replica is complete: before that no request
-     * can be answered, and after all controllers have stopped every worker sends a request once a second.
+     * Starts the process. The address for users and workers is opened only once the replica is loaded: before that no request can
+     * be served, and there may be many: after all controllers have stopped, each worker sends one a second.
      *
      * @throws IOException if an address is in use
      */
     public void start() throws IOException {
-        requireFree(settings.listen());
-        await(peers.listen(settings.back()), settings.back());
+        requireFree(settings.listenAddress());
+        await(peers.listen(settings.peerAddress()), settings.peerAddress());
         eventLoop.execute(() -> {
             state.start();
             peers.connect();
-            // With a fixed delay: after a stall, a fixed rate would make up for every missed run.
+            // Fixed delay, not fixed rate: after a stall, a fixed rate would catch up on every missed run.
             every(EventLoopPacer.TICK_MS, this::runCycle);
-            every(PeerHeartbeats.INTERVAL_MS, peers::sendHeartbeats);
+            every(PeerHeartbeats.INTERVAL_MS, peers::checkPeersAndSendHeartbeat);
             every(PROFILE_INTERVAL_MS, () -> LOG.info("event loop profile, {}", profile.takeSummary()));
         });
     }
@@ -175,11 +178,11 @@
 
     /** Opens the address for users and workers; retries if it has been taken since the start. */
     private void openServer() {
-        server.listen(settings.listen()).addListener((ChannelFutureListener) listening -> {
+        server.listen(settings.listenAddress()).addListener((ChannelFutureListener) listening -> {
             if (!listening.isSuccess()) {
                 LOG.error(
                         "listen failed, trying again, address={} retry_ms={} error={}",
-                        settings.listen(),
+                        settings.listenAddress(),
                         LISTEN_RETRY_MS,
                         listening.cause().getMessage());
                 eventLoop.schedule(this::openServer, LISTEN_RETRY_MS, TimeUnit.MILLISECONDS);
@@ -210,11 +213,11 @@
     }
 
     @Override
-    public void onLeaseGranted(long lease) {
-        peers.onLeaseGranted(lease);
-        leadership.onLeaseGranted(lease);
-        context.owner().onLeaseGranted(lease);
-        context.leader().onLeaseGranted(lease);
+    public void onLeaseChanged(long lease) {
+        peers.onLeaseChanged(lease);
+        leadership.onLeaseChanged(lease);
+        context.owner().onLeaseChanged(lease);
+        context.leader().onLeaseChanged(lease);
         pacer.requestCycle();
     }
 
--- a/src/main/java/garnetscale/controller/PeerMessageHandler.java
+++ b/src/main/java/garnetscale/controller/PeerMessageHandler.java
@@ -18,8 +18,8 @@
 
     private static final Logger LOG = LoggerFactory.getLogger(PeerMessageHandler.class);
     /**
-     * A gap of this many heartbeat intervals or more counts as a stall: of this process if its own heartbeat is late, otherwise
-     * of the peer.
+     * Heartbeats at least this many intervals apart mean a stall: of this process if they are its own, of the peer if they were
+     * received. The first heartbeat after a peer's stall doesn't make the peer reachable yet.
      */
     private static final long STALL_INTERVALS = 2;
 
@@ -39,7 +39,7 @@
             StateLink state,
             JobApi jobApi,
             PeerHeartbeats heartbeats,
-            PeerLinks.Inspector inspector) {
+            PeerLinks.OperatorRequestHandler inspector) {
         this.context = context;
         this.state = state;
         this.jobApi = jobApi;
@@ -63,8 +63,12 @@
         heartbeatsSentAt = EventLoopPacer.now();
     }
 
-    /** Records the lease that this process is registered under; -1 when it has lost it. */
-    void onLeaseGranted(long newLease) {
+    /**
+     * Records the lease that this process is registered under.
+     *
+     * @param newLease the number of the lease, or a negative number when it is lost
+     */
+    void onLeaseChanged(long newLease) {
         lease = newLease;
     }
 
@@ -81,7 +85,7 @@
     // ---- heartbeats
 
     /** Reports silent peers to the leader role, and sends a heartbeat to all peers. */
-    void sendHeartbeats() {
+    void checkPeersAndSendHeartbeat() {
         long now = EventLoopPacer.now();
         long gapMs = now - heartbeatsSentAt;
         if (gapMs > MAX_GAP_MS) {
@@ -149,9 +153,10 @@
             context.owner().onCancelled(cancelled.job());
             context.pacer().requestCycle();
         } else if (message instanceof PeerMessage.JobTerminated terminated) {
-            jobApi.onTerminated(terminated.job(), terminated.how());
+            jobApi.onTerminated(terminated.job(), terminated.terminalJob());
         } else if (message instanceof PeerMessage.MachineDirectory directory) {
-            context.owner().onMachineDirectory(directory.machines(), directory.lateJobs(), directory.suspects());
+            context.owner()
+                    .onMachineDirectory(directory.machines(), directory.lateBidJobs(), directory.quarantinedJobs());
             context.pacer().requestCycle();
         } else if (message instanceof PeerMessage.MachineStatusUpdate update) {
             context.leader().onMachineStatus(EventLoopPacer.now(), update.machineStatus());
--- a/src/main/java/garnetscale/controller/ProcessStatus.java
+++ b/src/main/java/garnetscale/controller/ProcessStatus.java
@@ -31,7 +31,7 @@
         return PeerHeartbeats.reachesState(state.ageMs()) || !peerHeartbeats.anyReachesState(EventLoopPacer.now());
     }
 
-    /** Returns the state of this process that operators are shown. */
+    /** Returns the state of this process as operators see it. */
     ClusterInspector.ProcessView view() {
         return new ClusterInspector.ProcessView(ready(), state.ageMs(), state.rateLimits());
     }
@@ -41,7 +41,7 @@
         if (job.unstartedCount() == 0) {
             return null;
         }
-        if (owner.isSuspect(job.spec().id())) {
+        if (owner.isQuarantined(job.spec().id())) {
             return "its tasks fail on every machine; they are tried ever more rarely";
         }
         return job.unstartedCount() + " of " + job.spec().tasks() + " tasks wait for room";
--- a/src/main/java/garnetscale/controller/SessionLease.java
+++ b/src/main/java/garnetscale/controller/SessionLease.java
@@ -16,8 +16,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Keeps this process's lease alive, and with it the process's record among the live controllers, which is attached to the lease.
- * The lease counts as granted once the replica shows that record. The lease's number is the process's incarnation.
+ * Acquires and renews this process's lease. The process's record among the live controllers is attached to the lease; the
+ * listener is notified of the lease once the replica shows that record. The lease's number is the process's incarnation.
  */
 final class SessionLease {
 
@@ -55,7 +55,7 @@
         connection.call(
                 HttpMethod.POST,
                 StateCodec.LEASES_PATH,
-                StateCodec.lease(config.controllerLeaseMs()),
+                StateCodec.leaseRequest(config.controllerLeaseMs()),
                 StateConnection.TIMEOUT_MS,
                 this::onAcquired);
     }
@@ -67,7 +67,7 @@
             return;
         }
         try {
-            lease = StateCodec.lease(result.body());
+            lease = StateCodec.grantedLease(result.body());
             connection.onAnswered();
             register();
         } catch (IOException e) {
@@ -111,7 +111,7 @@
     private void onExpired() {
         LOG.info("lease expired, acquiring a new one, lease={}", lease);
         lease = NO_LEASE;
-        listener.onLeaseGranted(NO_LEASE);
+        listener.onLeaseChanged(NO_LEASE);
         acquire();
     }
 
@@ -144,17 +144,20 @@
         }
     }
 
-    /** Returns whether the last announced lease is the current one; false from its expiry until the next is announced. */
+    /**
+     * Returns whether the listener knows of the current lease. True also before the first lease is acquired; false from a
+     * lease's expiry until the next one is announced.
+     */
     boolean isAnnounced() {
         return announcedLease == lease;
     }
 
-    /** Announces the lease to the listener once the replica shows the registration, or registers again. */
+    /** Announces the lease to the listener if the replica shows the registration; registers again if it doesn't. */
     void onReplicaAdvanced() {
         boolean registered = lease >= 0 && isRegistered();
         if (registered && announcedLease != lease) {
             announcedLease = lease;
-            listener.onLeaseGranted(lease);
+            listener.onLeaseChanged(lease);
         }
         if (!registered) {
             register();
--- a/src/main/java/garnetscale/controller/StateReads.java
+++ b/src/main/java/garnetscale/controller/StateReads.java
@@ -13,7 +13,7 @@
 import java.util.function.BiConsumer;
 import java.util.function.Consumer;
 
-/** Reads keys that aren't replicated, which are those of terminal jobs, within this controller's share of the limit. */
+/** Reads the keys of terminal jobs, which aren't replicated, within this controller's share of the limit on requests. */
 final class StateReads {
 
     private static final long READ_TIMEOUT_MS = 1500;
@@ -48,7 +48,7 @@
 
     /** Finds existing keys; see {@link TerminalJobIndex.Store#findExisting}. */
     void findExisting(List<String> keys, Consumer<Set<String>> done) {
-        bucket.force(connection.now(), 1);
+        bucket.takeUnconditionally(connection.now(), 1);
         Transaction absent = new Transaction();
         keys.forEach(key -> absent.guard(key, 0));
         connection.call(
@@ -64,7 +64,7 @@
             done.accept(
                     result.is(HttpStatus.OK)
                             ? Set.of()
-                            : result.is(HttpStatus.CONFLICT) ? StateCodec.failed(result.body()) : null);
+                            : result.is(HttpStatus.CONFLICT) ? StateCodec.failedGuards(result.body()) : null);
         } catch (IOException e) {
             done.accept(null);
         }
@@ -72,7 +72,7 @@
 
     /** Reads a key; see {@link TerminalJobIndex.Store#get}. */
     void get(String key, BiConsumer<Boolean, Object> done) {
-        bucket.force(connection.now(), 1);
+        bucket.takeUnconditionally(connection.now(), 1);
         connection.call(
                 HttpMethod.GET, StateCodec.keyPath(key), null, READ_TIMEOUT_MS, result -> onValue(result, done));
     }
--- a/src/test/java/garnetscale/controller/ClusterInspectorJsonTest.java
+++ b/src/test/java/garnetscale/controller/ClusterInspectorJsonTest.java
@@ -42,7 +42,7 @@
             .teams(new SchedulerConfig.Team("red", 8, 64, 0, Double.POSITIVE_INFINITY))
             .build();
     private final StateModel state = new StateModel();
-    private final long lease = state.grant(0, Long.MAX_VALUE / 4);
+    private final long lease = state.grantLease(0, Long.MAX_VALUE / 4);
     private final StateReplica replica = new StateReplica();
     private final PartitionMap partitions = new PartitionMap(config);
     private final Leader leader = new Leader(config, replica, partitions, line -> {});
@@ -70,7 +70,7 @@
                 .put(Keys.partition("a/0"), Records.partition(new PartitionLease("n0", lease, 17)))
                 .put(Keys.job("wk-1"), job("wk-1", 5)));
         replica.reset(state.list(Keys.REPLICATED, null, 100), state.revision());
-        leader.onLeaseGranted(lease);
+        leader.onLeaseChanged(lease);
     }
 
     private static Map<String, Object> job(String id, int tasks) {
--- a/src/test/java/garnetscale/core/sim/SimulatedCluster.java
+++ b/src/test/java/garnetscale/core/sim/SimulatedCluster.java
@@ -23,9 +23,9 @@
 import java.util.function.BiConsumer;
 
 /**
- * A cluster in simulated time: the cores of the controllers, workers, users and a state service. Messages are delayed, lost,
- * repeated and held for minutes, controllers crash and restart, and any process can be isolated. The seed determines the whole
- * run.
+ * A cluster in simulated time: controllers, of which only the core is run, and models of the workers, the users and the state
+ * service. Messages are delayed, lost, repeated and held for minutes, controllers crash and restart, and any process can be
+ * isolated. The seed determines the whole run.
  */
 final class SimulatedCluster extends Timeline {
 
@@ -64,11 +64,13 @@
     private final Map<String, String> zones = new HashMap<>();
     /** A replica that {@link #stored} brings up to date. */
     private final StateReplica storedReplica = new StateReplica();
-    /** Copies of heartbeats for {@link #deliverHeldHeartbeats}. */
+    /** Copies of heartbeats that {@link #deliverHeldHeartbeats} delivers at the next election. */
     final List<WorkerHeartbeat> heldHeartbeats = new ArrayList<>();
 
     private final Map<String, Long> partitionTerms = new HashMap<>();
+    /** Time at which each partition last got a new term, in milliseconds. */
     private final Map<String, Long> partitionMovedAt = new HashMap<>();
+
     final Fault fault;
     final ClusterShape shape;
     /** Time until which late copies of heartbeats are sent to random controllers. */
@@ -144,18 +146,18 @@
     /** Expires leases, advances the workers, checks the rules and detects new leaders and moved partitions. */
     private void update() {
         if (now >= state.outageUntil) {
-            state.model.expire(now);
+            state.model.expireLeases(now);
         }
         for (SimulatedWorker worker : workers) {
             if (network.isFrozen(worker.id)) {
                 // PROTOCOL: a machine that hangs may resume its tasks within its lease, but not after the lease has
                 // expired.
-                worker.model.expire(now);
+                worker.model.expireLease(now);
             } else {
                 worker.model.advance(now);
             }
         }
-        rules.check();
+        rules.checkCancellations();
         StateReplica stored = stored();
         if (stored.leader() != null && stored.leader().term() != lastLeaderTerm) {
             lastLeaderTerm = stored.leader().term();
@@ -213,17 +215,20 @@
         return nodes.get(byId.get(worker).target() % nodes.size()).name;
     }
 
-    /** Gives a machine notice that the cloud will reclaim it, which its heartbeats report from now on. */
+    /** Gives a machine notice that the cloud will reclaim it in {@code noticeS} seconds; its heartbeats report it from now on. */
     void giveEvictionNotice(String worker, double noticeS) {
-        byId.get(worker).model.evictionNotice(noticeS);
+        byId.get(worker).model.announceEviction(noticeS);
     }
 
-    /** Freezes a machine unless it is frozen already; its tasks resume afterwards where they stopped. */
+    /**
+     * Freezes a machine unless it is frozen already. Afterwards its tasks resume where they stopped, unless the worker lease has
+     * expired meanwhile.
+     */
     void hang(String worker, long ms) {
         if (!network.isFrozen(worker)) {
             byId.get(worker).model.advance(now);
             network.freeze(worker, ms);
-            at(ms, () -> byId.get(worker).model.goOn(now, ms));
+            at(ms, () -> byId.get(worker).model.resume(now, ms));
         }
     }
 
--- a/src/test/java/garnetscale/core/sim/SimulatedNode.java
+++ b/src/test/java/garnetscale/core/sim/SimulatedNode.java
@@ -157,7 +157,7 @@
         }
         Transaction transaction = pipeline.next(() -> leader.plan(cluster.now));
         if (transaction != null) {
-            writeRate.force(cluster.now, transaction.ops().size());
+            writeRate.takeUnconditionally(cluster.now, transaction.ops().size());
             stateLink.commit(transaction, (result, revision) -> {
                 pipeline.ended(result, revision);
                 pipeline.ready();
@@ -165,7 +165,7 @@
         }
     }
 
-    /** Passes status messages to the leader that declare all tasks of some machines terminated, without any proof. */
+    /** Passes the leader status messages that declare all tasks of some machines terminated, without any proof. */
     private void reportFalseTermination(List<MachineStatus> statuses) {
         for (int i = 0; i < statuses.size(); i += 20) {
             MachineStatus status = statuses.get(cluster.random.nextInt(statuses.size()));
@@ -264,7 +264,7 @@
         int process = processNumber;
         boolean[] ended = new boolean[1];
         cluster.network.send(name, send.machine(), () -> {
-            worker.command(cluster.now, send.fencingToken(), send.agentEpoch(), send.commands());
+            worker.onDirectCommands(cluster.now, send.fencingToken(), send.agentEpoch(), send.commands());
             WorkerHeartbeat heartbeat = worker.heartbeat();
             cluster.network.send(send.machine(), name, () -> {
                 if (processNumber == process && !ended[0]) {
--- a/src/test/java/garnetscale/core/sim/SimulatedStateService.java
+++ b/src/test/java/garnetscale/core/sim/SimulatedStateService.java
@@ -48,7 +48,8 @@
     }
 
     /**
-     * Starts to refuse changes beyond the rate per second that the settings allow; leaders limit their own rate from now on, too.
+     * Limits changes to the rate per second that the settings allow. From now on, the service refuses transactions beyond it, and
+     * leaders limit their own rate, too.
      */
     void limitWrites() {
         SchedulerConfig config = cluster.shape.config("n0");
@@ -57,8 +58,8 @@
     }
 
     /**
-     * Applies a transaction of a controller and returns the HTTP status; checks that the controller supports the active layout
-     * version.
+     * Applies a transaction of a controller and returns the HTTP status. Checks that the controller supports the layout version
+     * that was active before, and that all registered controllers support a version that the transaction activates.
      */
     int commit(SimulatedNode by, Transaction transaction) {
         int active = cluster.stored().version().active();
@@ -78,7 +79,7 @@
     }
 
     private int commit(Transaction transaction) {
-        if (!writes.take(cluster.now, transaction.ops().size())) {
+        if (!writes.tryTake(cluster.now, transaction.ops().size())) {
             refusedWrites++;
             return TOO_MANY_REQUESTS;
         }
@@ -102,7 +103,7 @@
     /** Refuses the requests of all controllers; every lease is renewed in full at the end. */
     void outage(long ms) {
         outageUntil = cluster.now + ms;
-        cluster.at(ms, () -> model.refreshLeases(cluster.now));
+        cluster.at(ms, () -> model.renewAllLeases(cluster.now));
     }
 
     /** Leaves a share of the transactions without an answer for {@code ms}; they are applied at once, or 2 to 12 s late. */
--- a/src/test/java/garnetscale/core/trace/TraceCluster.java
+++ b/src/test/java/garnetscale/core/trace/TraceCluster.java
@@ -33,7 +33,9 @@
 /** The controllers, workers and state service of a trace; each action prints what the core did. */
 final class TraceCluster {
 
+    /** Duration of a worker lease. */
     private static final long LEASE_MS = 10_000;
+
     private static final List<MachineType> TYPES =
             List.of(new MachineType("big", 8, 1, 32, 20, 1, 1, 0.5, 20, List.of("a", "b")));
 
@@ -43,8 +45,8 @@
     private final Map<String, JobSpec> jobs = new HashMap<>();
     /** Direct commands that have not arrived, oldest first. */
     private final List<OwnerEffect.SendCommands> commandsInFlight = new ArrayList<>();
-    /** Workers that receive no messages, while those that they send arrive. */
-    private final Set<String> isolatedWorkers = new HashSet<>();
+    /** Workers that receive no messages, although their heartbeats arrive. */
+    private final Set<String> unreachableWorkers = new HashSet<>();
     /** The last heartbeat of each worker, for copies that arrive late. */
     private final Map<String, WorkerHeartbeat> lastHeartbeats = new HashMap<>();
 
@@ -93,22 +95,22 @@
     /** Starts a controller with a lease of its own. */
     void start(String name) {
         TraceNode node = new TraceNode(name, config(name), line -> print(name + " logs: " + line));
-        node.lease = state.grant(now, 1_000_000_000);
+        node.lease = state.grantLease(now, 1_000_000_000);
         String zone = node.config.zoneOfController(name);
         state.commit(new Transaction()
                 .put(
                         Keys.controller(name),
                         Records.controller(new ControllerInfo(name, node.lease, zone, Layouts.SUPPORTED)),
                         node.lease));
-        node.owner.onLeaseGranted(node.lease);
-        node.leader.onLeaseGranted(node.lease);
+        node.owner.onLeaseChanged(node.lease);
+        node.leader.onLeaseChanged(node.lease);
         nodes.put(name, node);
         sync(node);
     }
 
     /** Ends the state lease of a controller, and removes the controller if it has crashed. */
     void expireLease(String name, boolean crashed) {
-        state.end(nodes.get(name).lease);
+        state.revokeLease(nodes.get(name).lease);
         if (crashed) {
             nodes.remove(name);
         }
@@ -134,14 +136,15 @@
 
     void startWorker(String id, String zone) {
         workers.put(
-                id, new WorkerModel(id, id, TYPES.get(0), zone, LEASE_MS, now, jobs::get, new WorkerModel.Watcher() {
+                id,
+                new WorkerModel(id, id, TYPES.get(0), zone, LEASE_MS, now, jobs::get, new WorkerModel.TaskListener() {
                     @Override
-                    public void began(String machine, TaskId task, long attempt) {
+                    public void onStarted(String machine, TaskId task, long attempt) {
                         print(machine + " runs " + task);
                     }
 
                     @Override
-                    public void ended(String machine, TaskId task, long attempt, boolean completed) {
+                    public void onEnded(String machine, TaskId task, long attempt, boolean completed) {
                         print(machine + (completed ? " completed " : " ended ") + task);
                     }
                 }));
@@ -174,14 +177,15 @@
                 .put(Keys.job(id), Records.job(job.withState(JobState.CANCELLED))));
     }
 
-    /** Has an owner publish all its status and bids again, as for a new leader. */
+    /** Makes an owner publish the status of all its machines and its bids again, as for a new leader. */
     void resynchronize(String name) {
         nodes.get(name).owner.resynchronize(now);
         performEffects(nodes.get(name), false);
     }
 
     /**
-     * Delivers to a controller's owner the jobs that its own leader wants late bids for, and the suspect jobs, with no machines.
+     * Delivers a machine directory without machines to a controller's owner role. It names the jobs that the controller's leader
+     * role wants late bids for, and the quarantined jobs.
      */
     void publishMachineDirectory(String name) {
         TraceNode node = nodes.get(name);
@@ -189,12 +193,12 @@
                 List.of(), node.leader.jobsWantingLateBids(), List.copyOf(node.leader.quarantinedJobs()));
     }
 
-    void isolate(String worker) {
-        isolatedWorkers.add(worker);
+    void blockMessagesTo(String worker) {
+        unreachableWorkers.add(worker);
     }
 
-    void reconnect(String worker) {
-        isolatedWorkers.remove(worker);
+    void unblockMessagesTo(String worker) {
+        unreachableWorkers.remove(worker);
     }
 
     /** Delivers a heartbeat of a worker to a controller; the answer may be lost. */
@@ -208,8 +212,9 @@
         if (reply instanceof HeartbeatReply.Acknowledge acknowledged) {
             print(node.name + " answers " + model.id() + " " + TraceText.fencingToken(acknowledged.fencingToken()) + " "
                     + TraceText.commands(acknowledged.commands()) + (lost ? ", lost" : ""));
-            if (!lost && !isolatedWorkers.contains(model.id())) {
-                model.answered(now, now, heartbeat.agentEpoch(), acknowledged.fencingToken(), acknowledged.commands());
+            if (!lost && !unreachableWorkers.contains(model.id())) {
+                model.onHeartbeatReply(
+                        now, now, heartbeat.agentEpoch(), acknowledged.fencingToken(), acknowledged.commands());
             }
         } else if (reply instanceof HeartbeatReply.Redirect redirect) {
             print(node.name + " sends " + model.id() + " to " + redirect.node());
@@ -246,7 +251,7 @@
                 commandsInFlight.add(send);
             } else if (effect instanceof OwnerEffect.ProbeWorker probe) {
                 WorkerModel worker = workers.get(probe.machine());
-                boolean answered = worker != null && !isolatedWorkers.contains(probe.machine());
+                boolean answered = worker != null && !unreachableWorkers.contains(probe.machine());
                 print(node.name + " asks " + probe.machine() + (answered ? "" : ", no answer"));
                 node.owner.onProbeEnded();
                 if (answered) {
@@ -277,8 +282,9 @@
     /**
      * Sends the next transaction of a leader, or the election transaction of a controller that doesn't lead.
      *
-     * @param outcome what becomes of a leader's transaction: "ok", "applied" or "lost", both without an answer, or "held", which
-     *                arrives at {@link #commitHeld}
+     * @param outcome what becomes of a leader's transaction: "ok" if it arrives and is answered; "applied" if it arrives and the
+     *                answer is lost; "lost" if it never arrives; "held" if it arrives only at {@link #commitHeld}, without an
+     *                answer
      */
     void lead(String name, String outcome) {
         TraceNode node = nodes.get(name);
@@ -331,8 +337,8 @@
     /**
      * Delivers the oldest direct command to its machine.
      *
-     * @param how "ok"; "late" when the owner no longer waits for the answer; "lost" when the owner gives the command up, which
-     *            may still arrive; "carried-out" when a copy of the command may arrive again
+     * @param how "ok" if it is answered; "late" if the owner no longer waits for the answer; "lost" if the owner gives the
+     *            command up, although it may still arrive; "carried-out" if it is answered and a copy may arrive later
      */
     void deliverCommand(String how) {
         if (commandsInFlight.isEmpty()) {
@@ -349,7 +355,7 @@
             owner.owner.onCommandLost(now, send.machine(), send.fencingToken());
             return;
         }
-        boolean accepted = worker.command(now, send.fencingToken(), send.agentEpoch(), send.commands());
+        boolean accepted = worker.onDirectCommands(now, send.fencingToken(), send.agentEpoch(), send.commands());
         print(worker.id() + (accepted ? " takes " : " refuses ") + "the command "
                 + TraceText.fencingToken(send.fencingToken()));
         if (!how.equals("carried-out")) {
--- a/src/test/java/garnetscale/core/upgrade/UpgradeCluster.java
+++ b/src/test/java/garnetscale/core/upgrade/UpgradeCluster.java
@@ -10,7 +10,7 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** A few controllers on one key-value store; each replica is updated only when the test does so. */
+/** A few controllers on one state service; each replica is updated only when the test does so. */
 final class UpgradeCluster {
 
     static final long SETTLE_MS = 1000;
@@ -41,7 +41,7 @@
         Controller controller = new Controller(name, supported);
         list(controller);
         if (controller.replica.isLoaded()) {
-            long lease = state.grant(0, Long.MAX_VALUE / 4);
+            long lease = state.grantLease(0, Long.MAX_VALUE / 4);
             leases.put(name, lease);
             commit(
                     controller,
@@ -59,7 +59,7 @@
     void end(String name) {
         Long lease = leases.remove(name);
         if (lease != null) {
-            state.end(lease);
+            state.revokeLease(lease);
         }
     }
 
@@ -72,7 +72,10 @@
                         .put(Keys.LEADER, Records.leader(new LeaderInfo(controller.name, lease, ++term)), lease));
     }
 
-    /** Commits as every controller does: fails unless the active version is the one in its replica; 0 if that isn't loaded. */
+    /**
+     * Commits as every controller does: fails unless the active version is the one in the controller's replica. Returns the
+     * status of the response, or 0 if that replica isn't loaded.
+     */
     int commit(Controller by, Transaction transaction) {
         return by.replica.isLoaded() ? state.commit(by.replica.guardVersion(transaction)) : 0;
     }
